--- a/crates/calls/src/admission/active.rs
+++ b/crates/calls/src/admission/active.rs
@@ -1,4 +1,4 @@
-//! Tenants that were here lately, and what each may hold of the queue.
+//! Recently active tenants, and how many places of the queue each may use.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,57 +7,58 @@
 
 use crate::ids::Time;
 
-/// Time after which a tenant that sent nothing no longer counts.
-const LATELY: Duration = Duration::from_secs(1);
+/// Time after which a tenant that sent no call no longer counts as active.
+const ACTIVE_TIME: Duration = Duration::from_secs(1);
 
-/// Time between two counts of the weights.
-const RECOUNT: Duration = Duration::from_millis(100);
+/// Time between two updates of the total weight.
+const RECOUNT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Tenants that are told apart. Names come from callers, so the table must not
-/// grow with them; those beyond it count as one of weight 1.
-const TENANTS: usize = 1024;
+/// Upper bound on the tenants in the table. Their names come from callers, so the table
+/// must not grow with them; tenants beyond the bound are not counted.
+const MAX_TENANTS: usize = 1024;
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
+struct Activity {
     at: Time,
     weight: u32,
 }
 
-/// Table of the tenants seen lately.
+/// Table of the recently active tenants.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Active {
-    seen: BTreeMap<CustomerName, Seen>,
-    total: u64,
+pub(super) struct ActiveTenants {
+    tenants: BTreeMap<CustomerName, Activity>,
+    total_weight: u64,
     recount_at: Time,
 }
 
-impl Active {
-    /// Counts a call of a tenant.
-    pub(super) fn see(&mut self, tenant: &CustomerName, weight: u32, now: Time) {
-        let seen = Seen { at: now, weight };
-        if let Some(known) = self.seen.get_mut(tenant) {
-            *known = seen;
-        } else if self.seen.len() < TENANTS {
-            self.seen.insert(tenant.clone(), seen);
-            self.total += u64::from(weight.max(1));
+impl ActiveTenants {
+    /// Takes in a call of a tenant.
+    pub(super) fn record(&mut self, tenant: &CustomerName, weight: u32, now: Time) {
+        let activity = Activity { at: now, weight };
+        if let Some(known) = self.tenants.get_mut(tenant) {
+            *known = activity;
+        } else if self.tenants.len() < MAX_TENANTS {
+            self.tenants.insert(tenant.clone(), activity);
+            self.total_weight += u64::from(weight.max(1));
         }
         if now >= self.recount_at {
             self.recount(now);
         }
     }
 
-    /// Places of a queue of `queue` that a tenant may hold.
-    pub(super) fn places(&self, weight: u32, queue: usize) -> usize {
+    /// Places that a tenant with `weight` may use in a queue of length `queue`.
+    pub(super) fn queue_places(&self, weight: u32, queue: usize) -> usize {
         let weight = u64::from(weight.max(1));
-        let total = self.total.max(weight);
+        let total = self.total_weight.max(weight);
         let places = queue as u64 * weight / total;
         usize::try_from(places).unwrap_or(queue).max(1)
     }
 
     fn recount(&mut self, now: Time) {
-        self.seen.retain(|_, seen| seen.at + LATELY > now);
-        let weights = self.seen.values().map(|it| u64::from(it.weight.max(1)));
-        self.total = weights.sum();
-        self.recount_at = now + RECOUNT;
+        self.tenants
+            .retain(|_, activity| activity.at + ACTIVE_TIME > now);
+        let weights = self.tenants.values().map(|it| u64::from(it.weight.max(1)));
+        self.total_weight = weights.sum();
+        self.recount_at = now + RECOUNT_INTERVAL;
     }
 }
--- a/crates/calls/src/admission/mod.rs
+++ b/crates/calls/src/admission/mod.rs
@@ -1,10 +1,10 @@
-//! What an executor runs, lets wait and refuses.
+//! Admission control of an executor: which calls run, wait or are refused.
 //!
-//! Slots are few and the queue in front of them is short on purpose: work that
-//! waits until its caller has gone costs a slot and helps nobody, and under
-//! overload nearly all work would end up like that. So a call that cannot
-//! finish in time is refused when it comes, while another executor may still
-//! have time for it. See `docs/design/calls.md`.
+//! Slots are few and the queue in front of them is short on purpose. Work that starts
+//! after its caller has given up occupies a slot for nothing, and with a long queue
+//! nearly all work would end like that under overload. A call that cannot finish before
+//! its deadline is therefore refused on arrival, when another executor may still have
+//! time for it. See `docs/design/calls.md`.
 
 mod active;
 mod shares;
@@ -19,13 +19,13 @@
 use crate::estimate::Estimate;
 use crate::ids::{AttemptId, Time};
 use crate::refusal::{Reason, Refusal};
-use active::Active;
+use active::ActiveTenants;
 use shares::Shares;
 
 pub use types::{AdmissionConfig, Ask, Dispatch, Load, Verdict};
 
-/// Least time after which coming back is worthwhile.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(10);
+/// Lower bound of the retry delay that a refusal states.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Debug)]
 struct Running {
@@ -41,12 +41,12 @@
     running: BTreeMap<AttemptId, Running>,
     waiting: Vec<Ask>,
     shares: Shares,
-    active: Active,
+    active_tenants: ActiveTenants,
     service: BTreeMap<Class, Estimate>,
 }
 
 impl Admission {
-    /// An idle executor.
+    /// Creates the admission control of an idle executor.
     #[must_use]
     pub fn new(cfg: AdmissionConfig) -> Self {
         Self {
@@ -54,17 +54,17 @@
             running: BTreeMap::new(),
             waiting: Vec::new(),
             shares: Shares::default(),
-            active: Active::default(),
+            active_tenants: ActiveTenants::default(),
             service: BTreeMap::new(),
         }
     }
 
-    /// Takes new bounds; what runs and waits stays.
+    /// Replaces the limits. Running and waiting calls are kept.
     pub fn set_config(&mut self, cfg: AdmissionConfig) {
         self.cfg = cfg;
     }
 
-    /// Current load.
+    /// Returns the current load.
     #[must_use]
     pub fn load(&self) -> Load {
         Load {
@@ -74,12 +74,13 @@
         }
     }
 
-    /// Decides about an attempt at once.
+    /// Decides about an attempt at once. Also returns the waiting attempt that is refused
+    /// to make room for it, if any.
     pub fn offer(&mut self, ask: Ask, now: Time) -> (Verdict, Vec<Dispatch>) {
-        self.active.see(&ask.tenant, ask.weight, now);
+        self.active_tenants.record(&ask.tenant, ask.weight, now);
         let service = self.service_time(ask.class);
         if now + service >= ask.expires && !self.may_probe(&ask, now) {
-            let refusal = Refusal::retry(Reason::Deadline, LEAST_RETRY_AFTER);
+            let refusal = Refusal::retry(Reason::Deadline, MIN_RETRY_AFTER);
             return (Verdict::Refused(refusal), Vec::new());
         }
         if self.waiting.is_empty() && self.may_run(&ask) {
@@ -87,14 +88,15 @@
             return (Verdict::Run, Vec::new());
         }
         let wait = self.expected_wait(&ask);
-        if now + wait + service >= ask.expires || self.holds_its_share(&ask) {
+        if now + wait + service >= ask.expires || self.has_used_queue_share(&ask) {
             let refusal = overload(wait);
             return (Verdict::Refused(refusal), Vec::new());
         }
         self.enqueue(ask, wait)
     }
 
-    /// The attempt's run ended, or it has left before running.
+    /// The attempt ended. If it had a slot, records its run time and frees the slot;
+    /// otherwise takes it out of the queue.
     pub fn release(&mut self, attempt: AttemptId, now: Time) {
         if let Some(run) = self.running.remove(&attempt) {
             let took = now.saturating_sub(run.started);
@@ -103,23 +105,23 @@
         self.cancel(attempt);
     }
 
-    /// The attempt's run ended without telling how long a run takes: the target
-    /// refused it, or its caller cancelled it.
+    /// The attempt ended in a way that says nothing about run times: the target refused
+    /// it, or its caller cancelled it. Frees its slot without recording a run time.
     pub fn release_unmeasured(&mut self, attempt: AttemptId) {
         self.running.remove(&attempt);
         self.cancel(attempt);
     }
 
-    /// Takes a waiting attempt out of the queue.
+    /// Removes a waiting attempt from the queue.
     pub fn cancel(&mut self, attempt: AttemptId) {
         self.waiting.retain(|it| it.attempt != attempt);
     }
 
-    /// Fills free slots and refuses what can no longer finish in time. To be
-    /// called after each release and on each tick.
+    /// Fills free slots and refuses attempts that can no longer finish before their
+    /// deadline. Must be called after each release and on each tick.
     pub fn next(&mut self, now: Time) -> Vec<Dispatch> {
-        let mut out = self.refuse_late(now);
-        while let Some(index) = self.choose() {
+        let mut out = self.refuse_expired(now);
+        while let Some(index) = self.next_index() {
             let ask = self.waiting.swap_remove(index);
             out.push(Dispatch::Run(ask.attempt));
             self.start(ask, now);
@@ -127,11 +129,11 @@
         out
     }
 
-    /// Empties the queue after a freeze. Callers may have given up long ago, and
-    /// deadlines passed on clocks that did not stop; starting the whole queue
-    /// now would run work that its entries are about to revoke.
+    /// Refuses all waiting attempts, for example after the process was frozen. Callers
+    /// may have given up during the freeze, while their clocks kept running; starting
+    /// the whole queue would run work that its entries are about to revoke.
     pub fn flush(&mut self, reason: Reason) -> Vec<Dispatch> {
-        let refusal = Refusal::retry(reason, LEAST_RETRY_AFTER);
+        let refusal = Refusal::retry(reason, MIN_RETRY_AFTER);
         let refused = |ask: Ask| Dispatch::Refused(ask.attempt, refusal);
         self.waiting.drain(..).map(refused).collect()
     }
@@ -143,19 +145,19 @@
             .unwrap_or_default()
     }
 
-    /// An idle executor takes a call whatever the estimate says. Refusing all of
-    /// them would leave the estimate as it is for ever: one slow minute of the
-    /// target, and its daemon never sends it a call again.
+    /// An idle executor admits a call whatever the run-time estimate says. The estimate
+    /// only changes when calls run: if all were refused after one slow minute of the
+    /// target, it would never get a call again.
     fn may_probe(&self, ask: &Ask, now: Time) -> bool {
         self.running.is_empty() && self.waiting.is_empty() && now < ask.expires
     }
 
     fn may_run(&self, ask: &Ask) -> bool {
         let free = self.running.len() < self.cfg.slots as usize;
-        free && self.below_concurrency(ask)
+        free && self.is_below_concurrency(ask)
     }
 
-    fn below_concurrency(&self, ask: &Ask) -> bool {
+    fn is_below_concurrency(&self, ask: &Ask) -> bool {
         let Some(limit) = ask.concurrency else {
             return true;
         };
@@ -173,15 +175,15 @@
         self.running.insert(ask.attempt, run);
     }
 
-    /// The waiting attempt that is next: the class that is furthest behind its
-    /// share, in it the tenant furthest behind its own, and of that tenant's
-    /// calls the one with the earliest deadline.
-    fn choose(&self) -> Option<usize> {
+    /// The waiting attempt to start next: from the class that is furthest behind its
+    /// share, in it the tenant that is furthest behind its own, and of that tenant the
+    /// attempt with the earliest deadline.
+    fn next_index(&self) -> Option<usize> {
         if self.running.len() >= self.cfg.slots as usize {
             return None;
         }
         let indexed = self.waiting.iter().enumerate();
-        let eligible = indexed.filter(|(_, ask)| self.below_concurrency(ask));
+        let eligible = indexed.filter(|(_, ask)| self.is_below_concurrency(ask));
         let next = eligible.min_by_key(|(_, ask)| {
             let (class, tenant) = self.shares.position(ask.class, &ask.tenant);
             (class, ask.class, tenant, &ask.tenant, ask.expires)
@@ -189,7 +191,7 @@
         next.map(|(index, _)| index)
     }
 
-    fn refuse_late(&mut self, now: Time) -> Vec<Dispatch> {
+    fn refuse_expired(&mut self, now: Time) -> Vec<Dispatch> {
         let service = &self.service;
         let late = |ask: &mut Ask| {
             let needed = service.get(&ask.class).map(Estimate::mean);
@@ -200,29 +202,28 @@
         self.waiting.extract_if(.., late).map(refused).collect()
     }
 
-    /// Time until `ask` would start: either all that waits in its class and
-    /// above goes first, or its own tenant's share brings it forward.
+    /// Estimated time until `ask` starts. It goes after all that waits in its class and in
+    /// more urgent ones, unless its tenant's share lets it start earlier.
     fn expected_wait(&self, ask: &Ask) -> Duration {
         let ahead = self.waiting.iter().filter(|it| it.class <= ask.class);
         let all = ahead.count();
         let own = self.waiting.iter().filter(|it| it.tenant == ask.tenant);
         let own = own.count() + 1;
-        let fair = own * self.active_weight(ask) / ask.weight.max(1) as usize;
+        let fair = own * self.queued_weight(ask) / ask.weight.max(1) as usize;
         let turns = u32::try_from((all + 1).min(fair)).unwrap_or(u32::MAX);
         self.service_time(ask.class) * turns / self.cfg.slots.max(1)
     }
 
-    /// Whether the tenant holds all of the queue that is its share among those
-    /// that were here lately. Calls that it would only lose its places with, as
-    /// soon as the others come back, are better refused at the door than after
-    /// they waited.
-    fn holds_its_share(&self, ask: &Ask) -> bool {
+    /// Whether the tenant already uses its whole share of the queue, among the recently
+    /// active tenants. A call beyond the share would be evicted as soon as the other
+    /// tenants send calls again; it is better refused on arrival than after a wait.
+    fn has_used_queue_share(&self, ask: &Ask) -> bool {
         let same = |it: &&Ask| it.tenant == ask.tenant;
         let held = self.waiting.iter().filter(same).count();
-        held >= self.active.places(ask.weight, self.cfg.queue)
+        held >= self.active_tenants.queue_places(ask.weight, self.cfg.queue)
     }
 
-    fn active_weight(&self, ask: &Ask) -> usize {
+    fn queued_weight(&self, ask: &Ask) -> usize {
         let mut weights: BTreeMap<&CustomerName, u32> = BTreeMap::new();
         for it in &self.waiting {
             weights.insert(&it.tenant, it.weight);
@@ -237,20 +238,20 @@
             return (Verdict::Wait, Vec::new());
         }
         let refusal = overload(wait);
-        // Without this, one tenant's flood fills the queue and every call of the
-        // others is refused at the door, whatever their shares are.
-        let Some(index) = self.worse_than(&ask) else {
+        // Without eviction, a tenant that floods the queue would cause every call of the
+        // others to be refused on arrival, whatever their shares are.
+        let Some(index) = self.eviction_candidate(&ask) else {
             return (Verdict::Refused(refusal), Vec::new());
         };
-        let pushed_out = std::mem::replace(&mut self.waiting[index], ask);
-        let out = Dispatch::Refused(pushed_out.attempt, refusal);
+        let evicted = std::mem::replace(&mut self.waiting[index], ask);
+        let out = Dispatch::Refused(evicted.attempt, refusal);
         (Verdict::Wait, vec![out])
     }
 
-    /// A waiting attempt that should make room: of the least urgent class, then
-    /// of the tenant that holds the most of the queue for its weight, and of
-    /// that tenant's the one with the latest deadline.
-    fn worse_than(&self, ask: &Ask) -> Option<usize> {
+    /// The waiting attempt to evict for `ask`, if there is one: from the least urgent
+    /// class, in it the tenant that uses most of the queue for its weight, and of that
+    /// tenant the attempt with the latest deadline.
+    fn eviction_candidate(&self, ask: &Ask) -> Option<usize> {
         let indexed = self.waiting.iter().enumerate();
         let rank = |it: &Ask, extra: usize| (it.class, self.queue_share(it, extra));
         let worst = indexed.max_by_key(|(_, it)| (rank(it, 0), it.expires))?;
@@ -259,7 +260,8 @@
         (!same && rank(victim, 0) > rank(ask, 1)).then_some(index)
     }
 
-    /// The tenant's part of the queue for its weight, in thousandths of a call.
+    /// Places of the queue that the tenant uses, divided by its weight, in thousandths.
+    /// `extra` is added to the places.
     fn queue_share(&self, ask: &Ask, extra: usize) -> usize {
         let same = |it: &&Ask| it.tenant == ask.tenant;
         let held = self.waiting.iter().filter(same).count() + extra;
@@ -268,5 +270,5 @@
 }
 
 fn overload(wait: Duration) -> Refusal {
-    Refusal::retry(Reason::Overload, wait.max(LEAST_RETRY_AFTER))
+    Refusal::retry(Reason::Overload, wait.max(MIN_RETRY_AFTER))
 }
--- a/crates/calls/src/admission/shares.rs
+++ b/crates/calls/src/admission/shares.rs
@@ -1,4 +1,4 @@
-//! Start-time fair queueing over classes and, inside a class, over tenants.
+//! Start-time fair queueing over classes and, within a class, over tenants.
 
 use std::collections::BTreeMap;
 
@@ -7,13 +7,13 @@
 use crate::class::Class;
 
 /// Virtual time that one start costs at weight 1.
-const ONE_START: u64 = 1 << 20;
+const START_COST: u64 = 1 << 20;
 
-/// Tenants remembered before idle ones are dropped.
-const TENANTS_KEPT: usize = 4096;
+/// Number of tenants above which idle ones are dropped.
+const IDLE_DROP_THRESHOLD: usize = 4096;
 
-/// Virtual start times. Whoever is furthest behind goes first, and each start
-/// moves its class and tenant forward by the inverse of their weight.
+/// Virtual start times. The class and tenant with the smallest time go first, and each
+/// start advances the times of its class and tenant by the inverse of their weights.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Shares {
     clock: u64,
@@ -23,8 +23,8 @@
 }
 
 impl Shares {
-    /// Where a class and a tenant in it stand. Never before the virtual clock:
-    /// a tenant that was idle for an hour must not be owed that hour.
+    /// Virtual times of a class and of a tenant in it. They are never before the virtual
+    /// clock: a tenant that was idle for an hour must not get that hour back.
     pub(super) fn position(&self, class: Class, tenant: &CustomerName) -> (u64, u64) {
         let at = self.classes.get(&class).copied().unwrap_or_default();
         let clock = self.class_clock(class);
@@ -33,13 +33,13 @@
         (at.max(self.clock), tenant_at.max(clock))
     }
 
-    /// Counts a start.
+    /// Takes in a start.
     pub(super) fn charge(&mut self, class: Class, tenant: &CustomerName, weight: u32) {
         let (class_at, tenant_at) = self.position(class, tenant);
         self.clock = class_at;
         self.class_clocks.insert(class, tenant_at);
-        let class_next = class_at + ONE_START / u64::from(class.weight());
-        let tenant_next = tenant_at + ONE_START / u64::from(weight.max(1));
+        let class_next = class_at + START_COST / u64::from(class.weight());
+        let tenant_next = tenant_at + START_COST / u64::from(weight.max(1));
         self.classes.insert(class, class_next);
         self.tenants.insert((class, tenant.clone()), tenant_next);
         self.drop_idle();
@@ -49,10 +49,11 @@
         self.class_clocks.get(&class).copied().unwrap_or_default()
     }
 
-    /// Tenant names come from callers, so the table must not grow with them. One
-    /// that is not ahead of its class's clock stands where a new one would.
+    /// Drops idle tenants, because tenant names come from callers and the table must not
+    /// grow with them. A tenant that is not ahead of its class's clock would get the same
+    /// virtual time as a new one, so it need not be kept.
     fn drop_idle(&mut self) {
-        if self.tenants.len() <= TENANTS_KEPT {
+        if self.tenants.len() <= IDLE_DROP_THRESHOLD {
             return;
         }
         let clocks = &self.class_clocks;
--- a/crates/calls/src/admission/types.rs
+++ b/crates/calls/src/admission/types.rs
@@ -1,4 +1,4 @@
-//! What goes into an [`Admission`](super::Admission) and what comes out.
+//! Inputs and results of [`Admission`](super::Admission).
 
 use serde::{Deserialize, Serialize};
 use stoatstep_resource::CustomerName;
@@ -7,69 +7,69 @@
 use crate::ids::{AttemptId, Time};
 use crate::refusal::Refusal;
 
-/// Bounds of an [`Admission`](super::Admission).
+/// Limits of an [`Admission`](super::Admission).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AdmissionConfig {
-    /// Calls that the target runs at a time.
+    /// Calls that the target can run at a time.
     pub slots: u32,
-    /// Calls that wait at a time.
+    /// Calls that can wait at a time.
     pub queue: usize,
 }
 
 impl AdmissionConfig {
-    /// Bounds for an upstream with `slots`: room for four rounds of waiting.
+    /// Limits for an upstream with `slots`, and a queue of four times as many places.
     #[must_use]
     pub fn for_slots(slots: u32) -> Self {
-        const ROUNDS: usize = 4;
-        let queue = slots as usize * ROUNDS;
+        const QUEUE_PER_SLOT: usize = 4;
+        let queue = slots as usize * QUEUE_PER_SLOT;
         Self { slots, queue }
     }
 }
 
-/// An attempt that asks for a slot.
+/// An attempt that requests a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ask {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Whose call it is.
+    /// The tenant that the call belongs to.
     pub tenant: CustomerName,
     /// The call's class.
     pub class: Class,
     /// The tenant's share relative to the others'.
     pub weight: u32,
-    /// Calls that the tenant may run here at a time.
+    /// Calls that the tenant may run at this executor at a time; `None` for no limit.
     pub concurrency: Option<u32>,
-    /// When its caller stops waiting.
+    /// Deadline: when its caller stops waiting.
     pub expires: Time,
 }
 
-/// What becomes of an attempt that asks.
+/// Decision about an attempt that requests a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Verdict {
-    /// It has a slot; [`Admission::release`](super::Admission::release) gives it back.
+    /// It has a slot, until [`Admission::release`](super::Admission::release) frees it.
     Run,
-    /// It waits; [`Admission::next`](super::Admission::next) will name it.
+    /// It waits until [`Admission::next`](super::Admission::next) returns it.
     Wait,
-    /// It does not run here.
+    /// It does not run at this executor.
     Refused(Refusal),
 }
 
-/// What becomes of an attempt that waited.
+/// Decision about an attempt that waited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Dispatch {
-    /// It has a slot now.
+    /// It got a slot.
     Run(AttemptId),
-    /// It leaves the queue without having run.
+    /// It was removed from the queue without having run.
     Refused(AttemptId, Refusal),
 }
 
-/// Load of an executor, as its answers carry it to the entries.
+/// Load of an executor whose calls have classes, which its answers report to the entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Load {
     /// Calls that have a slot.
     pub running: u32,
     /// Calls that wait.
     pub queued: u32,
-    /// Slots.
+    /// Calls that the target can run at a time.
     pub slots: u32,
 }
--- a/crates/calls/src/candidates.rs
+++ b/crates/calls/src/candidates.rs
@@ -1,7 +1,7 @@
-//! The upstreams of every service, as one entry sees them: what membership says
-//! of each, and what this entry saw itself.
+//! The upstreams of every service that one entry may send attempts to, with their state
+//! according to membership and the entry's own observations.
 //!
-//! Whoever chooses among them keeps records of its own in [`Row::seen`].
+//! The router and the placement keep their statistics of an upstream in [`Row::stats`].
 
 mod ejection;
 
@@ -13,55 +13,55 @@
 use stoatstep_resource::{ServiceName, UpstreamName, ZoneName};
 
 use crate::ids::{Incarnation, Time};
-pub(crate) use ejection::{Ejection, Lengths};
+pub(crate) use ejection::{Ejection, EjectionDurations};
 
-/// Time for which an upstream's own word that it is leaving counts, unless
-/// membership says so too. Its daemon may have been replaced meanwhile.
-const LEAVING_LIFE: Duration = Duration::from_secs(5);
+/// Time for which an upstream counts as leaving after it refused an attempt for that
+/// reason, unless membership reports it too. Its daemon may be replaced in the meantime.
+const LEAVING_TIME: Duration = Duration::from_secs(5);
 
-/// What membership knows about an upstream's instance.
+/// State of an upstream's instance according to membership.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CandidateState {
-    /// It announced itself and takes work.
+    /// It announced itself and accepts calls.
     Ready,
-    /// It does not take work yet, or peers suspect it.
+    /// It does not accept calls yet, or peers suspect that it has failed.
     Doubtful,
-    /// It is leaving: it must get no new work.
+    /// It is leaving and must get no new calls.
     Leaving,
 }
 
-/// One upstream of a service, as configuration and membership have it.
+/// One upstream of a service, according to configuration and membership.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
     /// The upstream.
     pub upstream: UpstreamName,
     /// Availability zone of its instance.
     pub zone: ZoneName,
-    /// Life of its daemon; a new one starts slowly.
+    /// Incarnation of its daemon; a new one gets its full share of calls gradually.
     pub incarnation: Incarnation,
-    /// What membership says.
+    /// State according to membership.
     pub state: CandidateState,
-    /// Slots that it has.
+    /// Calls that it can run at a time.
     pub slots: u32,
-    /// Version of its software; empty where nobody tells.
+    /// Version of its software; empty if unknown.
     pub software: SmolStr,
 }
 
 /// Which targets of a service a call may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Among<'a> {
-    /// Any.
+    /// All targets.
     All,
-    /// Those of this version.
+    /// Targets that run this version.
     Software(&'a str),
-    /// Those of every version but this one.
+    /// Targets that run any other version.
     OtherSoftware(&'a str),
-    /// These.
+    /// The listed targets.
     Named(&'a [UpstreamName]),
 }
 
 impl Among<'_> {
-    fn has<S>(self, row: &Row<S>) -> bool {
+    fn matches<S>(self, row: &Row<S>) -> bool {
         match self {
             Self::All => true,
             Self::Software(software) => row.software == software,
@@ -71,16 +71,16 @@
     }
 }
 
-/// The chosen upstream.
+/// The upstream selected for an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Pick {
     /// The upstream.
     pub upstream: UpstreamName,
-    /// Whether it lies in another availability zone.
+    /// Whether it is in another availability zone than the entry.
     pub spilled: bool,
 }
 
-/// One upstream. `S` is what whoever chooses has seen of it.
+/// State of one upstream. `S` holds the statistics of the router or the placement.
 #[derive(Clone, Debug)]
 pub(crate) struct Row<S> {
     pub(crate) name: UpstreamName,
@@ -89,10 +89,10 @@
     pub(crate) software: SmolStr,
     /// Attempts of this entry that have not ended.
     pub(crate) in_flight: u32,
-    /// When this life of its daemon was first heard of.
+    /// When this incarnation of its daemon first became known.
     pub(crate) since: Time,
     pub(crate) ejection: Ejection,
-    pub(crate) seen: S,
+    pub(crate) stats: S,
     incarnation: Incarnation,
     state: CandidateState,
     leaving_until: Time,
@@ -108,7 +108,7 @@
             in_flight: 0,
             since: now,
             ejection: Ejection::default(),
-            seen: S::default(),
+            stats: S::default(),
             incarnation: candidate.incarnation,
             state: candidate.state,
             leaving_until: Time::ZERO,
@@ -117,7 +117,7 @@
 
     fn update(&mut self, candidate: &Candidate, now: Time) {
         if self.incarnation != candidate.incarnation {
-            // Failures, load and pauses were those of another process.
+            // Failures, load and pauses belong to the previous process.
             let in_flight = self.in_flight;
             *self = Self::new(candidate, now);
             self.in_flight = in_flight;
@@ -129,33 +129,33 @@
         self.software = candidate.software.clone();
     }
 
-    /// It said itself that it is leaving.
-    pub(crate) fn leaves(&mut self, now: Time) {
-        self.leaving_until = now + LEAVING_LIFE;
+    /// It refused an attempt because it is leaving.
+    pub(crate) fn mark_leaving(&mut self, now: Time) {
+        self.leaving_until = now + LEAVING_TIME;
     }
 
     fn is_leaving(&self, now: Time) -> bool {
         self.state == CandidateState::Leaving || now < self.leaving_until
     }
 
-    fn is_sound(&self, now: Time) -> bool {
+    fn is_healthy(&self, now: Time) -> bool {
         self.state == CandidateState::Ready && !self.ejection.is_ejected(now)
     }
 }
 
-/// The upstreams of every service, for an entry in one availability zone.
+/// The upstreams of every service, as seen by an entry in one availability zone.
 #[derive(Clone, Debug)]
 pub(crate) struct Candidates<S> {
     zone: ZoneName,
     services: BTreeMap<ServiceName, BTreeMap<UpstreamName, Row<S>>>,
 }
 
-/// Those among which an attempt's upstream is chosen.
-pub(crate) struct Open<'a, S> {
-    /// Of the entry's own zone.
-    pub(crate) near: Vec<&'a Row<S>>,
-    /// Of the others.
-    pub(crate) far: Vec<&'a Row<S>>,
+/// The upstreams that an attempt may be sent to.
+pub(crate) struct Eligible<'a, S> {
+    /// Upstreams in the entry's own zone.
+    pub(crate) local: Vec<&'a Row<S>>,
+    /// Upstreams in other zones.
+    pub(crate) remote: Vec<&'a Row<S>>,
 }
 
 impl<S: Default> Candidates<S> {
@@ -164,8 +164,7 @@
         Self { zone, services }
     }
 
-    /// Replaces the candidates of a service. What was seen of those that stay is
-    /// kept.
+    /// Replaces the candidates of a service. The statistics of those that remain are kept.
     pub(crate) fn set(&mut self, service: &ServiceName, list: &[Candidate], now: Time) {
         let rows = self.services.entry(service.clone()).or_default();
         rows.retain(|name, _| list.iter().any(|it| it.upstream == *name));
@@ -176,33 +175,38 @@
         }
     }
 
-    /// Forgets services that are not in `keep`.
+    /// Removes the services for which `keep` returns false.
     pub(crate) fn retain_services(&mut self, keep: impl Fn(&ServiceName) -> bool) {
         self.services.retain(|name, _| keep(name));
     }
 
-    /// Those of `among` that are not in `tried` and do not leave. What is believed of all of
-    /// them may be wrong, and must not stop the service: with no sound one left,
-    /// the doubtful ones are open as well.
-    pub(crate) fn open(
+    /// Upstreams matched by `among` that are not in `tried` and not leaving. Unhealthy ones
+    /// are included only if there is no healthy one: health information about all of them
+    /// may be wrong and must not stop the service.
+    pub(crate) fn eligible(
         &self,
         service: &ServiceName,
         tried: &[UpstreamName],
         among: Among<'_>,
         now: Time,
-    ) -> Option<Open<'_, S>> {
+    ) -> Option<Eligible<'_, S>> {
         let rows = self.services.get(service)?.values();
-        let is_open =
-            |row: &&Row<S>| !row.is_leaving(now) && !tried.contains(&row.name) && among.has(row);
-        let open: Vec<_> = rows.filter(is_open).collect();
-        let sound = open.iter().copied().filter(|row| row.is_sound(now));
-        let sound: Vec<_> = sound.collect();
-        let from = if sound.is_empty() { open } else { sound };
-        let (near, far) = from.into_iter().partition(|row| row.zone == self.zone);
-        Some(Open { near, far })
+        let is_eligible = |row: &&Row<S>| {
+            !row.is_leaving(now) && !tried.contains(&row.name) && among.matches(row)
+        };
+        let eligible: Vec<_> = rows.filter(is_eligible).collect();
+        let healthy = eligible.iter().copied().filter(|row| row.is_healthy(now));
+        let healthy: Vec<_> = healthy.collect();
+        let from = if healthy.is_empty() {
+            eligible
+        } else {
+            healthy
+        };
+        let (local, remote) = from.into_iter().partition(|row| row.zone == self.zone);
+        Some(Eligible { local, remote })
     }
 
-    /// What is told of the chosen one.
+    /// Describes the upstream that was selected.
     pub(crate) fn pick(&self, chosen: &Row<S>) -> Pick {
         Pick {
             upstream: chosen.name.clone(),
@@ -210,7 +214,7 @@
         }
     }
 
-    /// The row of one upstream.
+    /// The state of one upstream.
     pub(crate) fn row(
         &mut self,
         service: &ServiceName,
@@ -219,7 +223,7 @@
         self.services.get_mut(service)?.get_mut(upstream)
     }
 
-    /// An attempt was sent to this one.
+    /// An attempt was sent to this upstream.
     pub(crate) fn started(
         &mut self,
         service: &ServiceName,
@@ -230,8 +234,8 @@
         Some(row)
     }
 
-    /// An attempt at this one ended. Also tells whether one more of the service may
-    /// be ejected.
+    /// An attempt at this upstream ended. Also returns whether one more upstream of the
+    /// service may be ejected.
     pub(crate) fn finished(
         &mut self,
         service: &ServiceName,
@@ -246,7 +250,7 @@
         Some((row, may_eject))
     }
 
-    /// Upstreams of a service that are ejected now.
+    /// Upstreams of a service that are currently ejected.
     pub(crate) fn ejected(&self, service: &ServiceName, now: Time) -> Vec<UpstreamName> {
         let rows = self.services.get(service).into_iter();
         let rows = rows.flat_map(|it| it.values());
--- a/crates/calls/src/candidates/ejection.rs
+++ b/crates/calls/src/candidates/ejection.rs
@@ -1,30 +1,30 @@
-//! For how long an upstream is left out after failures.
+//! Ejection of upstreams after failures, and its duration.
 
 use std::time::Duration;
 
 use crate::ids::Time;
 
-/// Calls in a row without a failure after which earlier ejections are forgotten.
-const FORGIVEN_AFTER: u32 = 20;
+/// Successes in a row after which earlier ejections no longer count.
+const RESET_AFTER: u32 = 20;
 
-/// Doublings after which a length no longer grows; all longest ones are reached
-/// sooner, and the shift stays inside its type.
+/// Upper bound on the doublings, which keeps the shift inside its type. Every longest
+/// duration is reached with fewer.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// How long ejections last.
+/// Range of the durations of ejections.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Lengths {
-    /// The first; each further one doubles it.
+pub(crate) struct EjectionDurations {
+    /// Duration of the first ejection; each further one doubles it.
     pub(crate) first: Duration,
-    /// The longest.
+    /// Upper bound of the duration.
     pub(crate) longest: Duration,
 }
 
-/// One upstream's record. When to eject is up to whoever saw the failures.
+/// Ejections of one upstream. The router or the placement decides when to eject it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Ejection {
     successes: u32,
-    times: u32,
+    count: u32,
     until: Option<Time>,
 }
 
@@ -33,15 +33,15 @@
         self.until.is_some_and(|until| now < until)
     }
 
-    /// When the last ejection ended, for the slow start after it.
+    /// When the last ejection ends or ended, for the slow start after it.
     pub(crate) fn ended(&self) -> Option<Time> {
         self.until
     }
 
     pub(crate) fn succeeded(&mut self) {
         self.successes = self.successes.saturating_add(1);
-        if self.successes >= FORGIVEN_AFTER {
-            self.times = 0;
+        if self.successes >= RESET_AFTER {
+            self.count = 0;
         }
     }
 
@@ -49,19 +49,19 @@
         self.successes = 0;
     }
 
-    /// Leaves it out from now on, and gives the time for which.
-    pub(crate) fn eject(&mut self, lengths: Lengths, now: Time) -> Duration {
-        let doublings = self.times.min(MAX_DOUBLINGS);
-        let length = (lengths.first * (1 << doublings)).min(lengths.longest);
-        self.until = Some(now + length);
-        self.times += 1;
-        length
+    /// Ejects the upstream from now on, and returns the duration.
+    pub(crate) fn eject(&mut self, durations: EjectionDurations, now: Time) -> Duration {
+        let doublings = self.count.min(MAX_DOUBLINGS);
+        let duration = (durations.first * (1 << doublings)).min(durations.longest);
+        self.until = Some(now + duration);
+        self.count += 1;
+        duration
     }
 }
 
-/// Whether one more of these may be ejected: at most half are. A signal that is
-/// wrong for all of them (a bad network card of our own, a poisonous request)
-/// would otherwise eject everyone and turn into an outage.
+/// Whether one more of these upstreams may be ejected: at most half may be. If the failures
+/// have a common cause, such as a faulty network card of the entry's own host or a request
+/// that crashes targets, ejecting all upstreams would cause an outage.
 pub(super) fn may_eject(are_ejected: impl Iterator<Item = bool>) -> bool {
     let (mut all, mut ejected) = (0_usize, 0_usize);
     for is_ejected in are_ejected {
--- a/crates/calls/src/placement.rs
+++ b/crates/calls/src/placement.rs
@@ -1,15 +1,14 @@
-//! Which target takes a call, by the time to its answer.
+//! Selects the target of a call by the estimated time to its answer.
 //!
-//! Every executor's answers say how occupied it is and how long its runs take.
-//! From that, and from what this entry has sent since, follows the time that an
-//! answer from it would take. The targets of a service differ in speed by
-//! several times, so an equal share for each makes the slow ones queue while the
-//! fast ones idle.
+//! The answers of every executor report its occupancy and its mean run time. The time
+//! that an answer would take is estimated from this report and from the attempts that
+//! this entry has sent since. The targets of a service differ in speed by several times,
+//! so equal shares would make the slow ones queue while the fast ones idle.
 //!
-//! Calls stay in the availability zone of their entry as long as they most likely
-//! meet their latency objective there, or another zone would not answer much
-//! sooner: bytes between zones are dear, and an answer that meets the objective is
-//! as good as one that beats it.
+//! Calls stay in the availability zone of their entry as long as they most likely meet
+//! their latency objective there, or another zone would not answer much sooner: traffic
+//! between zones is expensive, and an answer that meets the objective is as good as one
+//! that beats it.
 
 mod seen;
 
@@ -18,93 +17,95 @@
 use rand::{Rng, RngExt};
 use stoatstep_resource::{ServiceName, UpstreamName, ZoneName};
 
-use crate::candidates::{Among, Candidate, Candidates, Open, Pick};
+use crate::candidates::{Among, Candidate, Candidates, Eligible, Pick};
 use crate::ids::Time;
 use crate::queue::Occupancy;
-use seen::{Record, Row, Typical, run_life, time_to_answer};
+use seen::{EstimateInputs, Row, TargetStats, run_max_age, time_to_answer};
 
-/// Share of the time to the objective that an answer may take, on average, while
-/// the call stays in its zone. Run times of twice their mean are common enough
-/// that with more of it too many answers would be late.
+/// Share of the time to the objective that an answer may take on average for its call to
+/// stay in its zone. Run times of twice the mean are common enough that with a larger
+/// share too many answers would be late.
 const STAY_SHARE: f64 = 0.6;
 
-/// Share of the time to the objective that another zone has to save before a call
-/// with a small answer goes there: some milliseconds, or a gain of nothing would cost
-/// bytes. What it leaves makes room for the large answers of its zone.
+/// Share of the time to the objective that another zone must save before a call with a
+/// small answer goes there. It amounts to some milliseconds, so that calls don't cause
+/// traffic between zones for no gain. Calls that leave make room for the large answers
+/// of their zone.
 const SPILL_SHARE: f64 = 0.05;
 
-/// Bytes of an answer for which another zone has to save the whole time to the
-/// objective. It lies between the answers that leave first, of a few KB, and downloads
-/// of some 90 KB. Over five days with trouble and three seeds each, placing by bytes
-/// raised the mean worth from 0.555 to 0.561; see `docs/design/further.md`.
+/// Answer size for which another zone must save the whole time to the objective. It lies
+/// between small answers of a few KB, whose calls leave first, and downloads of some
+/// 90 KB. Taking the size into account improves the value of the answers as a whole; see
+/// `docs/design/further.md`.
 const SPILL_BYTES: f64 = 32_768.0;
 
-/// The same as `STAY_SHARE`, for a call whose answer is this large or larger. One that
-/// most likely meets its objective in its zone has nothing to gain elsewhere.
+/// Value that replaces `STAY_SHARE` for answers of `SPILL_BYTES` or more. A large answer
+/// that most likely meets its objective in its zone has nothing to gain elsewhere.
 const STAY_SHARE_LARGE: f64 = 1.0;
 
-/// A call that is to be placed.
+/// A call to select a target for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wish<'a> {
     /// Time left to its latency objective.
     pub objective: Duration,
-    /// Mean bytes of the answers of its route.
+    /// Mean size of the answers of its route.
     pub answer_bytes: f64,
-    /// Mean time of a run of its route, where one was seen.
+    /// Mean run time of its route; `None` before the first run.
     pub run: Option<Duration>,
     /// Targets that it may go to.
     pub among: Among<'a>,
 }
 
 impl Wish<'_> {
-    /// Part of the time to the objective for which its answer's bytes count.
-    fn weight(&self) -> f64 {
+    /// Size of its answer relative to `SPILL_BYTES`.
+    fn relative_size(&self) -> f64 {
         self.answer_bytes / SPILL_BYTES
     }
 
-    /// Whether an answer from its own zone in `here` is worth one from elsewhere in
-    /// `there`.
+    /// Whether the call leaves its zone, if an answer takes `here` in its own zone and
+    /// `there` in another one.
     fn spills(&self, here: Duration, there: Duration) -> bool {
-        let stay = STAY_SHARE + (STAY_SHARE_LARGE - STAY_SHARE) * self.weight().min(1.0);
-        let spill = SPILL_SHARE + self.weight();
+        let stay = STAY_SHARE + (STAY_SHARE_LARGE - STAY_SHARE) * self.relative_size().min(1.0);
+        let spill = SPILL_SHARE + self.relative_size();
         let saved = here.saturating_sub(there);
         let is_late = here > self.objective.mul_f64(stay);
         is_late && saved > self.objective.mul_f64(spill)
     }
 }
 
-/// Share of the time to the objective by which answers may differ and count as equally
-/// soon. Callers don't notice, and a target that is a little slower than the fastest one,
-/// or has just joined, would else stand idle while all are.
-const EVEN_SHARE: f64 = 0.05;
+/// Share of the time to the objective by which the times to two answers may differ and
+/// still count as equal. Callers don't notice the difference. Without the tolerance, a
+/// target that is slightly slower than the fastest one, or has just joined, would get no
+/// calls while all are idle.
+const TOLERANCE_SHARE: f64 = 0.05;
 
-/// Candidates of a zone that are looked at. The best of all would draw every
-/// entry to the same target until its next answer.
+/// Number of random candidates of a zone that are compared. If all were compared, every
+/// entry would choose the same target until its next answer.
 const SAMPLES: usize = 2;
 
-/// How an attempt ended, as far as it tells about the target.
+/// How an attempt ended, as far as it says something about the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Seen {
     /// It answered.
     Answered,
-    /// It is too occupied.
+    /// It refused because its slots and queue are full.
     Full,
-    /// It answered with a failure, broke the connection or fell silent.
+    /// It answered with a failure, broke the connection or stopped responding.
     Failed,
     /// It refused because it is leaving.
     Leaving,
-    /// Nothing: the attempt ended for reasons of the caller's.
+    /// The attempt ended because of its caller, which says nothing about the target.
     Nothing,
 }
 
-/// Tables of the targets of every service, as one entry sees them.
+/// Selects targets for the calls of one entry, with statistics of every target.
 #[derive(Clone, Debug)]
 pub struct Placement {
-    candidates: Candidates<Record>,
+    candidates: Candidates<TargetStats>,
 }
 
 impl Placement {
-    /// For an entry in `zone`.
+    /// Creates the placement of an entry in `zone`.
     #[must_use]
     pub fn new(zone: ZoneName) -> Self {
         Self {
@@ -112,18 +113,17 @@
         }
     }
 
-    /// Replaces the candidates of a service. What was seen of those that stay is
-    /// kept.
+    /// Replaces the candidates of a service. The statistics of those that remain are kept.
     pub fn set_candidates(&mut self, service: &ServiceName, list: &[Candidate], now: Time) {
         self.candidates.set(service, list, now);
     }
 
-    /// Forgets services that are not in `keep`.
+    /// Removes the services for which `keep` returns false.
     pub fn retain_services(&mut self, keep: impl Fn(&ServiceName) -> bool) {
         self.candidates.retain_services(keep);
     }
 
-    /// Chooses a target, none of `tried`. `None` where no one is left.
+    /// Selects a target that is not in `tried`. Returns `None` if there is none.
     pub fn pick(
         &self,
         service: &ServiceName,
@@ -132,14 +132,14 @@
         now: Time,
         rng: &mut dyn Rng,
     ) -> Option<Pick> {
-        let open = self.candidates.open(service, tried, wish.among, now)?;
-        let chosen = choose(&open, wish, now, rng)?;
+        let eligible = self.candidates.eligible(service, tried, wish.among, now)?;
+        let chosen = choose(&eligible, wish, now, rng)?;
         Some(self.candidates.pick(chosen))
     }
 
-    /// Targets of the own zone that are worth asking how occupied they are: up to
-    /// `count`, drawn from those of which nothing was heard in the last moments. They
-    /// count as asked from now on.
+    /// Selects targets of the own zone to probe for their occupancy: up to `count` random
+    /// ones among those without a recent report or probe. They count as probed from now
+    /// on.
     pub fn to_ask(
         &mut self,
         service: &ServiceName,
@@ -148,23 +148,23 @@
         now: Time,
         rng: &mut dyn Rng,
     ) -> Vec<UpstreamName> {
-        let Some(open) = self.candidates.open(service, &[], among, now) else {
+        let Some(eligible) = self.candidates.eligible(service, &[], among, now) else {
             return Vec::new();
         };
-        let near = open.near.iter().filter(|it| it.seen.is_worth_asking(now));
-        let mut names: Vec<UpstreamName> = near.map(|it| it.name.clone()).collect();
+        let local = eligible.local.iter().filter(|it| it.stats.needs_probe(now));
+        let mut names: Vec<UpstreamName> = local.map(|it| it.name.clone()).collect();
         while names.len() > count {
             names.swap_remove(rng.random_range(0..names.len()));
         }
         for name in &names {
             if let Some(row) = self.candidates.row(service, name) {
-                row.seen.asked(now);
+                row.stats.record_probe(now);
             }
         }
         names
     }
 
-    /// An executor said, asked beside calls, how occupied it is.
+    /// Takes in the occupancy that an executor reported in answer to a probe.
     pub fn told(
         &mut self,
         service: &ServiceName,
@@ -173,19 +173,19 @@
         now: Time,
     ) {
         if let Some(row) = self.candidates.row(service, upstream) {
-            row.seen.told(occupancy, now);
+            row.stats.record_occupancy(occupancy, now);
         }
     }
 
-    /// An attempt was sent.
+    /// An attempt was sent to this target.
     pub fn started(&mut self, service: &ServiceName, upstream: &UpstreamName) {
         if let Some(row) = self.candidates.started(service, upstream) {
-            row.seen.sent();
+            row.stats.record_sent();
         }
     }
 
-    /// An attempt ended; `occupancy` is what the executor's answer said of it. Gives
-    /// the time for which the target is left out, where this is what ejected it.
+    /// An attempt ended; `occupancy` is what the executor's answer reported. If this
+    /// ejects the target, returns the duration of the ejection.
     pub fn finished(
         &mut self,
         service: &ServiceName,
@@ -198,7 +198,7 @@
         seen::finished(row, seen, occupancy, may_eject, now)
     }
 
-    /// Targets of a service that are ejected now.
+    /// Targets of a service that are currently ejected.
     #[must_use]
     pub fn ejected(&self, service: &ServiceName, now: Time) -> Vec<UpstreamName> {
         self.candidates.ejected(service, now)
@@ -206,70 +206,75 @@
 }
 
 fn choose<'a>(
-    open: &Open<'a, Record>,
+    eligible: &Eligible<'a, TargetStats>,
     wish: Wish<'_>,
     now: Time,
     rng: &mut dyn Rng,
 ) -> Option<&'a Row> {
-    let life = run_life(open.near.len());
-    let typical = Typical {
-        service: typical_service(open, life, now),
-        life,
+    let max_age = run_max_age(eligible.local.len());
+    let inputs = EstimateInputs {
+        service: assumed_service(eligible, max_age, now),
+        max_age,
         run: wish.run,
         bytes: wish.answer_bytes,
     };
-    let even = wish.objective.mul_f64(EVEN_SHARE);
-    let Some(near) = soonest_known(&open.near, typical, even, now, rng) else {
-        return soonest(&open.far, typical, now, rng);
+    let tolerance = wish.objective.mul_f64(TOLERANCE_SHARE);
+    let Some(local) = soonest_reported(&eligible.local, inputs, tolerance, now, rng) else {
+        return soonest_sampled(&eligible.remote, inputs, now, rng);
     };
-    let Some(far) = soonest(&open.far, typical, now, rng) else {
-        return Some(near);
+    let Some(remote) = soonest_sampled(&eligible.remote, inputs, now, rng) else {
+        return Some(local);
     };
-    let here = time_to_answer(near, typical, now);
-    let there = time_to_answer(far, typical, now);
-    Some(if wish.spills(here, there) { far } else { near })
+    let here = time_to_answer(local, inputs, now);
+    let there = time_to_answer(remote, inputs, now);
+    Some(if wish.spills(here, there) {
+        remote
+    } else {
+        local
+    })
 }
 
-/// What a run takes at a target of which nothing recent is known: the mean of
-/// the others.
-fn typical_service(open: &Open<'_, Record>, life: Duration, now: Time) -> Duration {
-    let rows = open.near.iter().chain(&open.far);
-    let known: Vec<Duration> = rows.filter_map(|it| it.seen.service(life, now)).collect();
+/// Run time that is assumed for a target without a recent report: the mean of the others.
+fn assumed_service(eligible: &Eligible<'_, TargetStats>, max_age: Duration, now: Time) -> Duration {
+    let rows = eligible.local.iter().chain(&eligible.remote);
+    let known: Vec<Duration> = rows
+        .filter_map(|it| it.stats.service(max_age, now))
+        .collect();
     let sum: Duration = known.iter().sum();
     sum / u32::try_from(known.len().max(1)).unwrap_or(1)
 }
 
-/// The one that would answer soonest among all of which something was heard in the last
-/// moments, or among a few random ones where that is hardly any.
+/// The target with the soonest answer among all with a fresh report, or among a few
+/// random ones if there are hardly any fresh reports.
 ///
-/// Without fresh words an entry that meets each of its 17 targets once a second chooses
-/// as good as blindly: with 6 slots a target and four fifths of them in use, calls wait at
-/// one while slots idle at the next.
-fn soonest_known<'a>(
+/// An entry that calls each of its 17 targets once a second has hardly any information
+/// without fresh reports: with 6 slots for each target and four fifths of them in use,
+/// calls wait at one target while slots are free at another.
+fn soonest_reported<'a>(
     rows: &[&'a Row],
-    typical: Typical,
-    even: Duration,
+    inputs: EstimateInputs,
+    tolerance: Duration,
     now: Time,
     rng: &mut dyn Rng,
 ) -> Option<&'a Row> {
-    let known = rows.iter().copied().filter(|it| it.seen.is_fresh(now));
+    let known = rows.iter().copied().filter(|it| it.stats.is_fresh(now));
     let known: Vec<_> = known.collect();
     if known.len() < SAMPLES {
-        return soonest(rows, typical, now, rng);
+        return soonest_sampled(rows, inputs, now, rng);
     }
     let timed = known
         .into_iter()
-        .map(|row| (time_to_answer(row, typical, now), row));
+        .map(|row| (time_to_answer(row, inputs, now), row));
     let mut timed: Vec<_> = timed.collect();
     let best = timed.iter().map(|(time, _)| *time).min()?;
-    timed.retain(|(time, _)| *time <= best + even);
+    timed.retain(|(time, _)| *time <= best + tolerance);
     Some(timed[rng.random_range(0..timed.len())].1)
 }
 
-/// The one of a few random candidates that would answer soonest.
-fn soonest<'a>(
+/// The target with the soonest answer among a few random ones.
+fn soonest_sampled<'a>(
     rows: &[&'a Row],
-    typical: Typical,
+    inputs: EstimateInputs,
     now: Time,
     rng: &mut dyn Rng,
 ) -> Option<&'a Row> {
@@ -279,5 +284,5 @@
         len => rng.random_range(1..len),
     };
     let drawn = (0..SAMPLES).map(|it| rows[(first + it * step) % rows.len()]);
-    drawn.min_by_key(|row| time_to_answer(row, typical, now))
+    drawn.min_by_key(|row| time_to_answer(row, inputs, now))
 }
--- a/crates/calls/src/queue.rs
+++ b/crates/calls/src/queue.rs
@@ -1,17 +1,16 @@
-//! The queue of an executor whose calls have ranks and latency objectives.
+//! Priority queue of an executor whose calls have ranks and latency objectives.
 //!
-//! It answers the load that asks for more than the target has: there, whatever
-//! waits makes something else wait. Three things follow.
+//! It is designed for overload, where each call that is admitted delays others:
 //!
-//! * A call is worth its full price until its objective and a fraction of it
-//!   afterwards, while its run costs the same. So a call is only taken where it
-//!   would most likely still meet its objective; otherwise it is refused when it
-//!   comes, and its caller can come back when there is room.
-//! * The more urgent rank goes first. Within a rank, those that can still meet
-//!   their objective go before those that can't, then the kind of which least
-//!   was taken lately, and then the earlier deadline.
-//! * What a call costs is told by its kind: kinds of calls to one target differ
-//!   several times in their run times.
+//! * An answer has its full value until the call's objective and a fraction of it
+//!   afterwards, while the run costs the same. A call is therefore admitted only if it
+//!   will most likely meet its objective. Otherwise it is refused on arrival, and its
+//!   caller can retry when there is room.
+//! * The more urgent rank goes first. Within a rank, calls that can still meet their
+//!   objective go before those that can't, then the kind with the smallest admitted
+//!   share of its recent calls, then the earlier deadline.
+//! * Run times are estimated for each kind of call, because the kinds of calls to one
+//!   target differ several times in their run times.
 //!
 //! See `docs/design/platform.md`.
 
@@ -31,41 +30,41 @@
 /// Share of the time to its objective that a call may spend waiting. Run times
 /// vary by more than their mean: at a third, a call whose run takes twice its
 /// mean still meets an objective of three times the mean.
-const WAIT_SHARE: f64 = 0.3;
+const MAX_WAIT_SHARE: f64 = 0.3;
 
-/// Least time after which coming back is worthwhile.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(10);
+/// Lower bound of the retry delay that a refusal states.
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
 
-/// A call that asks for a slot.
+/// A call that requests a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QueueAsk {
     /// The attempt.
     pub attempt: AttemptId,
-    /// What it is a call of; calls of one kind take about the same time.
+    /// Kind of the call; calls of one kind have similar run times.
     pub kind: SmolStr,
     /// Rank among other calls, 0 the most urgent.
     pub rank: u8,
-    /// Until when an answer is worth its full price; the deadline where the
-    /// operator states no objective.
+    /// Time until which an answer has its full value; the deadline if the operator
+    /// states no objective.
     pub objective: Time,
-    /// When its caller stops waiting.
+    /// Deadline: when its caller stops waiting.
     pub expires: Time,
 }
 
-/// How occupied an executor is, as its answers carry it to the entries.
+/// Load of an executor, which its answers report to the entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Occupancy {
     /// Calls that have a slot.
     pub running: u32,
     /// Calls that wait.
     pub queued: u32,
-    /// Slots.
+    /// Calls that the target can run at a time.
     pub slots: u32,
-    /// Mean time of a run, over all kinds; zero before the first.
+    /// Mean run time over all kinds; zero before the first run.
     pub service: Duration,
-    /// Time in which the large answers that are under way from there leave its link.
+    /// Time that its link needs to send the pending large answers.
     pub link_backlog: Duration,
-    /// Bytes a second that its link carries; zero where nothing holds answers up.
+    /// Rate of its link in bytes per second; zero if the link does not limit answers.
     pub link_bytes_per_s: u32,
 }
 
@@ -85,7 +84,7 @@
 }
 
 impl Queue {
-    /// An idle executor of a target with `slots`.
+    /// Creates the queue of an idle executor whose target has `slots`.
     #[must_use]
     pub fn new(slots: u32) -> Self {
         Self {
@@ -96,12 +95,12 @@
         }
     }
 
-    /// The target has another number of slots; what runs and waits stays.
+    /// Changes the number of slots. Running and waiting calls are kept.
     pub fn set_slots(&mut self, slots: u32) {
         self.slots = slots;
     }
 
-    /// How occupied it is.
+    /// Returns the current load. The fields about the link are zero.
     #[must_use]
     pub fn occupancy(&self) -> Occupancy {
         Occupancy {
@@ -114,12 +113,13 @@
         }
     }
 
-    /// Decides about a call at once. Others that wait may have to make room.
+    /// Decides about a call at once. Also returns the waiting calls that are refused
+    /// because this one goes before them.
     pub fn offer(&mut self, ask: QueueAsk, now: Time) -> (Verdict, Vec<Dispatch>) {
-        self.kinds.asked(&ask.kind, now);
+        self.kinds.record_request(&ask.kind, now);
         let service = self.service(&ask.kind);
         if now + service >= ask.expires && !self.is_idle() {
-            let refusal = Refusal::retry(Reason::Deadline, LEAST_RETRY_AFTER);
+            let refusal = Refusal::retry(Reason::Deadline, MIN_RETRY_AFTER);
             return (Verdict::Refused(refusal), Vec::new());
         }
         if self.waiting.is_empty() && self.has_free_slot() {
@@ -129,37 +129,37 @@
         let ahead = self
             .waiting
             .iter()
-            .filter(|it| self.goes_first(it, &ask, now));
-        let wait = self.wait_behind(ahead);
-        if !self.is_in_time(&ask, wait, now) {
+            .filter(|it| self.precedes(it, &ask, now));
+        let wait = self.queue_wait(ahead);
+        if !self.is_worth_queueing(&ask, wait, now) {
             return (Verdict::Refused(overload(wait)), Vec::new());
         }
         self.waiting.push(ask);
-        (Verdict::Wait, self.refuse_crowded_out(now))
+        (Verdict::Wait, self.refuse_displaced(now))
     }
 
-    /// The attempt's run ended by itself: its time counts.
+    /// The attempt's run ended by itself. Records its run time and frees its slot.
     pub fn release(&mut self, attempt: AttemptId, now: Time) {
         if let Some(run) = self.running.remove(&attempt) {
             let took = now.saturating_sub(run.started);
-            self.kinds.ran(&run.kind, took);
+            self.kinds.record_run(&run.kind, took);
         }
         self.cancel(attempt);
     }
 
-    /// The attempt's run ended without telling how long a run takes, or it left
-    /// before it ran.
+    /// The attempt ended before it ran, or in a way that says nothing about run times.
+    /// Frees its slot without recording a run time.
     pub fn release_unmeasured(&mut self, attempt: AttemptId) {
         self.running.remove(&attempt);
         self.cancel(attempt);
     }
 
-    /// Fills free slots and refuses what can no longer finish in time. To be
-    /// called after each release and on each tick.
+    /// Fills free slots and refuses calls that can no longer finish before their
+    /// deadline. Must be called after each release and on each tick.
     pub fn next(&mut self, now: Time) -> Vec<Dispatch> {
-        let mut out = self.refuse_late(now);
+        let mut out = self.refuse_expired(now);
         while self.has_free_slot()
-            && let Some(index) = self.first(now)
+            && let Some(index) = self.next_index(now)
         {
             let ask = self.waiting.swap_remove(index);
             out.push(Dispatch::Run(ask.attempt));
@@ -168,9 +168,9 @@
         out
     }
 
-    /// Empties the queue.
+    /// Refuses all waiting calls with `reason`.
     pub fn flush(&mut self, reason: Reason) -> Vec<Dispatch> {
-        let refusal = Refusal::retry(reason, LEAST_RETRY_AFTER);
+        let refusal = Refusal::retry(reason, MIN_RETRY_AFTER);
         let refused = |ask: QueueAsk| Dispatch::Refused(ask.attempt, refusal);
         self.waiting.drain(..).map(refused).collect()
     }
@@ -183,9 +183,9 @@
         self.kinds.service(kind)
     }
 
-    /// An idle executor takes a call whatever the estimate says. Refusing all of
-    /// them would leave the estimate as it is for ever: one slow minute of the
-    /// target, and its daemon never sends it a call again.
+    /// An idle executor admits a call whatever the run-time estimate says. The estimate
+    /// only changes when calls run: if all were refused after one slow minute of the
+    /// target, it would never get a call again.
     fn is_idle(&self) -> bool {
         self.running.is_empty() && self.waiting.is_empty()
     }
@@ -195,7 +195,7 @@
     }
 
     fn start(&mut self, ask: &QueueAsk, now: Time) {
-        self.kinds.taken(&ask.kind);
+        self.kinds.record_start(&ask.kind);
         let run = Running {
             kind: ask.kind.clone(),
             started: now,
@@ -203,7 +203,7 @@
         self.running.insert(ask.attempt, run);
     }
 
-    fn goes_first(&self, one: &QueueAsk, other: &QueueAsk, now: Time) -> bool {
+    fn precedes(&self, one: &QueueAsk, other: &QueueAsk, now: Time) -> bool {
         self.position(one, now) <= self.position(other, now)
     }
 
@@ -213,33 +213,34 @@
         (ask.rank, is_late, share, ask.expires)
     }
 
-    fn first(&self, now: Time) -> Option<usize> {
+    fn next_index(&self, now: Time) -> Option<usize> {
         let indexed = self.waiting.iter().enumerate();
         let first = indexed.min_by_key(|(_, ask)| self.position(ask, now));
         first.map(|(index, _)| index)
     }
 
-    /// Time until a slot is free for a call behind `ahead`.
-    fn wait_behind<'a>(&self, ahead: impl Iterator<Item = &'a QueueAsk>) -> Duration {
+    /// Estimated time until a slot is free for a call that goes after `ahead`.
+    fn queue_wait<'a>(&self, ahead: impl Iterator<Item = &'a QueueAsk>) -> Duration {
         let ahead: Duration = ahead.map(|it| self.service(&it.kind)).sum();
         let first = self.kinds.mean();
         (ahead + first) / self.slots.max(1)
     }
 
-    /// Whether a call that waits for so long is worth waiting. One that can't
-    /// meet its objective any more only has its deadline left to meet.
-    fn is_in_time(&self, ask: &QueueAsk, wait: Duration, now: Time) -> bool {
+    /// Whether a call should be queued if it has to wait for `wait`. A call whose
+    /// objective has passed only has to meet its deadline.
+    fn is_worth_queueing(&self, ask: &QueueAsk, wait: Duration, now: Time) -> bool {
         let done = now + wait + self.service(&ask.kind);
         if now >= ask.objective {
             return done < ask.expires;
         }
-        let room = ask.objective.saturating_sub(now).mul_f64(WAIT_SHARE);
+        let room = ask.objective.saturating_sub(now).mul_f64(MAX_WAIT_SHARE);
         done < ask.expires && wait <= room
     }
 
-    /// Refuses those that a newcomer of a more urgent rank leaves without a
-    /// chance, now and not once their time has passed.
-    fn refuse_crowded_out(&mut self, now: Time) -> Vec<Dispatch> {
+    /// Refuses the calls that can no longer meet their deadline after a more urgent call
+    /// was queued. They are refused now rather than when their deadline has passed, so
+    /// that their callers can still retry elsewhere.
+    fn refuse_displaced(&mut self, now: Time) -> Vec<Dispatch> {
         let mut order: Vec<usize> = (0..self.waiting.len()).collect();
         order.sort_by_key(|index| self.position(&self.waiting[*index], now));
         let mut ahead = Duration::ZERO;
@@ -255,13 +256,13 @@
                 out.push((ask.attempt, wait));
             }
         }
-        let crowded_out = |ask: &QueueAsk| out.iter().any(|it| it.0 == ask.attempt);
-        self.waiting.retain(|ask| !crowded_out(ask));
+        let displaced = |ask: &QueueAsk| out.iter().any(|it| it.0 == ask.attempt);
+        self.waiting.retain(|ask| !displaced(ask));
         let refused = |(attempt, wait)| Dispatch::Refused(attempt, overload(wait));
         out.into_iter().map(refused).collect()
     }
 
-    fn refuse_late(&mut self, now: Time) -> Vec<Dispatch> {
+    fn refuse_expired(&mut self, now: Time) -> Vec<Dispatch> {
         let late: Vec<_> = self
             .waiting
             .iter()
@@ -269,14 +270,14 @@
             .map(|ask| ask.attempt)
             .collect();
         self.waiting.retain(|ask| !late.contains(&ask.attempt));
-        let refusal = Refusal::retry(Reason::Deadline, LEAST_RETRY_AFTER);
+        let refusal = Refusal::retry(Reason::Deadline, MIN_RETRY_AFTER);
         let refused = |attempt| Dispatch::Refused(attempt, refusal);
         late.into_iter().map(refused).collect()
     }
 }
 
 fn overload(wait: Duration) -> Refusal {
-    Refusal::retry(Reason::Overload, wait.max(LEAST_RETRY_AFTER))
+    Refusal::retry(Reason::Overload, wait.max(MIN_RETRY_AFTER))
 }
 
 fn count(len: usize) -> u32 {
--- a/crates/calls/src/queue/kinds.rs
+++ b/crates/calls/src/queue/kinds.rs
@@ -1,4 +1,4 @@
-//! What is known of the calls of each kind.
+//! Run times and admitted shares of the calls of each kind.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,19 +9,19 @@
 
 /// Weight of a new sample in the mean run time, once there are enough. A kind
 /// gets tens of samples a second, so a change shows within a second.
-const GAIN: f64 = 1.0 / 16.0;
+const MEAN_GAIN: f64 = 1.0 / 16.0;
 
-/// Kinds whose run times are kept; the others go by the mean of all.
+/// Number of kinds with statistics of their own; the others use the mean over all kinds.
 const MAX_KINDS: usize = 256;
 
-/// Time in which the share of a kind that was taken loses most of its weight.
-const SHARE_MEMORY: Duration = Duration::from_secs(2);
+/// Time constant with which requested and admitted calls of a kind decay.
+const SHARE_DECAY: Duration = Duration::from_secs(2);
 
-/// Steps in which shares are compared. Within one step the earlier deadline
-/// decides, which would otherwise hardly ever do.
+/// Steps to which shares are rounded before they are compared. With exact shares, the
+/// deadline, which decides between equal shares, would hardly ever be compared.
 const SHARE_STEPS: u8 = 10;
 
-/// Mean of run times, which follows changes.
+/// Exponentially weighted mean of run times.
 #[derive(Clone, Copy, Debug, Default)]
 struct Mean {
     seconds: f64,
@@ -31,7 +31,7 @@
 impl Mean {
     fn record(&mut self, sample: Duration) {
         self.samples = self.samples.saturating_add(1);
-        let gain = GAIN.max(1.0 / f64::from(self.samples));
+        let gain = MEAN_GAIN.max(1.0 / f64::from(self.samples));
         self.seconds += (sample.as_secs_f64() - self.seconds) * gain;
     }
 
@@ -40,29 +40,29 @@
     }
 }
 
-/// What is known of the calls of one kind.
+/// Statistics of the calls of one kind.
 #[derive(Clone, Copy, Debug, Default)]
 struct Kind {
     service: Mean,
-    asked: f64,
-    taken: f64,
-    at: Time,
+    requested: f64,
+    started: f64,
+    updated_at: Time,
 }
 
 impl Kind {
-    fn forget(&mut self, now: Time) {
-        let passed = now.saturating_sub(self.at);
-        let kept = (-passed.as_secs_f64() / SHARE_MEMORY.as_secs_f64()).exp();
-        self.asked *= kept;
-        self.taken *= kept;
-        self.at = now;
+    fn decay(&mut self, now: Time) {
+        let passed = now.saturating_sub(self.updated_at);
+        let kept = (-passed.as_secs_f64() / SHARE_DECAY.as_secs_f64()).exp();
+        self.requested *= kept;
+        self.started *= kept;
+        self.updated_at = now;
     }
 
-    /// Tenths of the calls of this kind that were taken lately. Without it the
-    /// kind with the shortest deadlines would get all that its rank is left
-    /// with, and the others of the rank nothing.
+    /// Share of the recent calls of this kind that were admitted, in tenths. Without it
+    /// the kind with the shortest deadlines would get all the slots that are left for its
+    /// rank, and the other kinds of the rank none.
     fn share(&self) -> u8 {
-        let steps = self.taken / self.asked.max(1.0) * f64::from(SHARE_STEPS);
+        let steps = self.started / self.requested.max(1.0) * f64::from(SHARE_STEPS);
         let mut reached = 1..=SHARE_STEPS;
         reached
             .rfind(|step| steps >= f64::from(*step))
@@ -70,7 +70,7 @@
     }
 }
 
-/// The kinds of calls that came here.
+/// Statistics of all kinds of calls at one executor.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Kinds {
     kinds: HashMap<SmolStr, Kind>,
@@ -78,31 +78,31 @@
 }
 
 impl Kinds {
-    /// A call of this kind came.
-    pub(super) fn asked(&mut self, kind: &SmolStr, now: Time) {
+    /// Counts a call of this kind that requests a slot.
+    pub(super) fn record_request(&mut self, kind: &SmolStr, now: Time) {
         if let Some(kind) = self.get_mut(kind) {
-            kind.forget(now);
-            kind.asked += 1.0;
+            kind.decay(now);
+            kind.requested += 1.0;
         }
     }
 
-    /// A call of this kind got a slot.
-    pub(super) fn taken(&mut self, kind: &SmolStr) {
+    /// Counts a call of this kind that got a slot.
+    pub(super) fn record_start(&mut self, kind: &SmolStr) {
         if let Some(kind) = self.get_mut(kind) {
-            kind.taken += 1.0;
+            kind.started += 1.0;
         }
     }
 
-    /// A run of this kind took so long.
-    pub(super) fn ran(&mut self, kind: &SmolStr, took: Duration) {
+    /// Takes in the run time of a call of this kind.
+    pub(super) fn record_run(&mut self, kind: &SmolStr, took: Duration) {
         self.all.record(took);
         if let Some(kind) = self.get_mut(kind) {
             kind.service.record(took);
         }
     }
 
-    /// Mean run time of a kind; of all kinds before its first run, and zero
-    /// before any, so that nothing is refused on a guess.
+    /// Mean run time of a kind, or over all kinds before its first run. It is zero before
+    /// the first run of any kind, so that no call is refused without a measurement.
     pub(super) fn service(&self, kind: &str) -> Duration {
         let own = self.kinds.get(kind).and_then(|it| it.service.get());
         own.unwrap_or_else(|| self.mean())
@@ -113,7 +113,7 @@
         self.all.get().unwrap_or_default()
     }
 
-    /// Tenths of the calls of a kind that were taken lately.
+    /// Share of the recent calls of a kind that were admitted, in tenths.
     pub(super) fn share(&self, kind: &str) -> u8 {
         self.kinds.get(kind).map_or(0, Kind::share)
     }
--- a/crates/calls/src/router/mod.rs
+++ b/crates/calls/src/router/mod.rs
@@ -1,10 +1,9 @@
-//! Which upstream takes an attempt.
+//! Selects the upstream of an attempt by load.
 //!
-//! The choice rests on what this daemon saw itself: its own calls in flight,
-//! and the load that executors put on their answers. Health and load endpoints
-//! lag or mislead, so what membership says about an upstream only decides
-//! which candidates are preferred, never that there are none. See
-//! `docs/design/calls.md`.
+//! The load of an upstream is estimated from this daemon's own calls in flight and from
+//! the load that executors report with their answers. Health and load endpoints can be
+//! late or wrong, so the state of an upstream in membership only decides which candidates
+//! are preferred, and never excludes all of them. See `docs/design/calls.md`.
 
 mod seen;
 
@@ -14,41 +13,41 @@
 use stoatstep_resource::{ServiceName, UpstreamName, ZoneName};
 
 use crate::admission::Load;
-use crate::candidates::{Among, Candidate, Candidates, Open, Pick};
+use crate::candidates::{Among, Candidate, Candidates, Eligible, Pick};
 use crate::ids::Time;
-use seen::{Record, Row};
+use seen::{Row, TargetStats};
 
 /// Score from which calls may leave the availability zone: nearly every slot is
-/// taken, so a wait here is likely to cost more than the way to another zone.
+/// taken, so a wait in this zone is likely to cost more than the latency to another one.
 const SPILL_SCORE: f64 = 0.8;
 
-/// What another zone's score must be below ours before calls go there. Without
+/// Amount by which another zone's score must be lower before calls go there. Without
 /// it two equally loaded zones would swap their calls.
 const ZONE_PENALTY: f64 = 0.2;
 
-/// How an attempt ended, as far as it tells about the upstream.
+/// How an attempt ended, as far as it says something about the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Report {
-    /// It answered; the executor's load at that time, if the answer had it.
+    /// It answered, with the executor's load if the answer reported it.
     Answered(Option<Load>),
-    /// It refused, and asks for a pause.
+    /// It refused, with the executor's load if reported, and requested this pause.
     Refused(Option<Load>, Duration),
-    /// No connection, no whole answer, or silence.
+    /// There was no connection, no complete answer or no response at all.
     Failed,
     /// It refused because it is leaving.
     Leaving,
-    /// Ended for reasons of the caller's.
+    /// The attempt ended because of its caller.
     Cancelled,
 }
 
-/// Tables of the upstreams of every service, as one entry sees them.
+/// Selects upstreams for the attempts of one entry, with statistics of every upstream.
 #[derive(Clone, Debug)]
 pub struct Router {
-    candidates: Candidates<Record>,
+    candidates: Candidates<TargetStats>,
 }
 
 impl Router {
-    /// A router for an entry in `zone`.
+    /// Creates the router of an entry in `zone`.
     #[must_use]
     pub fn new(zone: ZoneName) -> Self {
         Self {
@@ -56,18 +55,17 @@
         }
     }
 
-    /// Replaces the candidates of a service. What was seen of those that stay is
-    /// kept.
+    /// Replaces the candidates of a service. The statistics of those that remain are kept.
     pub fn set_candidates(&mut self, service: &ServiceName, list: &[Candidate], now: Time) {
         self.candidates.set(service, list, now);
     }
 
-    /// Forgets services that are not in `keep`.
+    /// Removes the services for which `keep` returns false.
     pub fn retain_services(&mut self, keep: impl Fn(&ServiceName) -> bool) {
         self.candidates.retain_services(keep);
     }
 
-    /// Chooses an upstream, none of `tried`; `None` where no one is left.
+    /// Selects an upstream that is not in `tried`. Returns `None` if there is none.
     pub fn pick(
         &self,
         service: &ServiceName,
@@ -75,17 +73,17 @@
         now: Time,
         rng: &mut dyn Rng,
     ) -> Option<Pick> {
-        let open = self.candidates.open(service, tried, Among::All, now)?;
-        let chosen = choose(&open, now, rng)?;
+        let eligible = self.candidates.eligible(service, tried, Among::All, now)?;
+        let chosen = choose(&eligible, now, rng)?;
         Some(self.candidates.pick(chosen))
     }
 
-    /// An attempt was sent.
+    /// An attempt was sent to this upstream.
     pub fn started(&mut self, service: &ServiceName, upstream: &UpstreamName) {
         self.candidates.started(service, upstream);
     }
 
-    /// An attempt ended.
+    /// An attempt at this upstream ended.
     pub fn finished(
         &mut self,
         service: &ServiceName,
@@ -95,34 +93,38 @@
     ) {
         let finished = self.candidates.finished(service, upstream, now);
         if let Some((row, may_eject)) = finished {
-            seen::report(row, report, may_eject, now);
+            seen::record_report(row, report, may_eject, now);
         }
     }
 
-    /// Upstreams of a service that are ejected now.
+    /// Upstreams of a service that are currently ejected.
     #[must_use]
     pub fn ejected(&self, service: &ServiceName, now: Time) -> Vec<UpstreamName> {
         self.candidates.ejected(service, now)
     }
 }
 
-fn choose<'a>(open: &Open<'a, Record>, now: Time, rng: &mut dyn Rng) -> Option<&'a Row> {
-    let Some(near) = better_of_two(&open.near, now, rng) else {
-        return better_of_two(&open.far, now, rng);
+fn choose<'a>(
+    eligible: &Eligible<'a, TargetStats>,
+    now: Time,
+    rng: &mut dyn Rng,
+) -> Option<&'a Row> {
+    let Some(local) = better_of_two(&eligible.local, now, rng) else {
+        return better_of_two(&eligible.remote, now, rng);
     };
-    let near_score = seen::score(near, now);
-    if near_score < SPILL_SCORE {
-        return Some(near);
+    let local_score = seen::score(local, now);
+    if local_score < SPILL_SCORE {
+        return Some(local);
     }
-    let Some(far) = better_of_two(&open.far, now, rng) else {
-        return Some(near);
+    let Some(remote) = better_of_two(&eligible.remote, now, rng) else {
+        return Some(local);
     };
-    let spills = seen::score(far, now) + ZONE_PENALTY < near_score;
-    Some(if spills { far } else { near })
+    let spills = seen::score(remote, now) + ZONE_PENALTY < local_score;
+    Some(if spills { remote } else { local })
 }
 
-/// Two random candidates, the less loaded of them. The least loaded of all would
-/// draw every entry to the same upstream until its next answer.
+/// The less loaded of two random candidates. If all were compared, every entry would
+/// choose the same upstream until its next answer.
 fn better_of_two<'a>(rows: &[&'a Row], now: Time, rng: &mut dyn Rng) -> Option<&'a Row> {
     if rows.len() < 2 {
         return rows.first().copied();
