--- a/crates/calls/src/class.rs
+++ b/crates/calls/src/class.rs
@@ -1,21 +1,21 @@
-//! Classes of calls.
+//! Classes of calls, which state how urgent a call is.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// How urgent a call is, as its caller states it.
+/// How urgent a call is, according to its caller.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// A person waits and a late answer is worthless.
+    /// A person waits for the answer, and a late answer is worthless.
     Urgent,
-    /// The ordinary case.
+    /// The default.
     #[default]
     Standard,
-    /// Nobody waits.
+    /// Nobody waits for the answer.
     Batch,
 }
 
@@ -33,8 +33,9 @@
         }
     }
 
-    /// Share of starts while every class waits. Strict priority would let a
-    /// rush of urgent calls hold back batch calls until all of them expire.
+    /// Weight of the class in the shares of starts when calls of every class wait. With
+    /// strict priority, a rush of urgent calls would delay batch calls until all of them
+    /// expire.
     pub(crate) fn weight(self) -> u32 {
         match self {
             Self::Urgent => 16,
@@ -50,7 +51,7 @@
     }
 }
 
-/// A header named a class that does not exist.
+/// Error for a header that names a class that does not exist.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownClass;
 
--- a/crates/calls/src/estimate.rs
+++ b/crates/calls/src/estimate.rs
@@ -1,12 +1,12 @@
-//! Running estimate of a duration.
+//! Exponentially weighted estimate of a duration.
 
 use std::time::Duration;
 
-/// Share of a new sample in the mean, as a divisor (the smoothing of TCP's
-/// round-trip estimate).
+/// Divisor that gives the weight of a new sample in the mean, as in TCP's round-trip
+/// time estimate.
 const MEAN_GAIN: u32 = 8;
 
-/// Share of a new sample in the deviation, as a divisor.
+/// Divisor that gives the weight of a new sample in the deviation.
 const DEVIATION_GAIN: u32 = 4;
 
 /// Exponentially weighted mean and mean deviation of the samples.
@@ -17,33 +17,33 @@
 }
 
 impl Estimate {
-    /// Takes in one sample.
+    /// Adds one sample.
     pub fn record(&mut self, sample: Duration) {
         let Some(mean) = self.mean else {
             self.mean = Some(sample);
             self.deviation = sample / 2;
             return;
         };
-        let off = mean.abs_diff(sample);
+        let difference = mean.abs_diff(sample);
         if sample < mean / 2 {
-            // A target that was frozen and is well again must not be judged by
-            // the freeze for long: it would get no calls to show that by.
-            self.deviation = blend(self.deviation, off, DEVIATION_GAIN);
+            // The mean falls quickly, because a target that has recovered from a freeze
+            // would otherwise get no calls that could correct the estimate.
+            self.deviation = blend(self.deviation, difference, DEVIATION_GAIN);
             self.mean = Some((mean + sample) / 2);
             return;
         }
-        self.deviation = blend(self.deviation, off, DEVIATION_GAIN);
+        self.deviation = blend(self.deviation, difference, DEVIATION_GAIN);
         self.mean = Some(blend(mean, sample, MEAN_GAIN));
     }
 
-    /// The mean; zero before the first sample, so that nothing is refused on a
-    /// guess.
+    /// The mean. It is zero before the first sample, so that no call is refused without a
+    /// measurement.
     #[must_use]
     pub fn mean(&self) -> Duration {
         self.mean.unwrap_or_default()
     }
 
-    /// A value that few samples exceed.
+    /// The mean plus four deviations, which few samples exceed.
     #[must_use]
     pub fn high(&self) -> Duration {
         self.mean() + self.deviation * 4
--- a/crates/calls/src/placement/seen.rs
+++ b/crates/calls/src/placement/seen.rs
@@ -55,7 +55,7 @@
 
 /// Share of failures from which a target is ejected: four failures in a row, or
 /// about every third call over a longer time. Single failures are normal.
-const EJECTION_THRESHOLD: f64 = 0.4;
+const EJECTION_FAILURE_SHARE: f64 = 0.4;
 
 /// Share of failures that is assumed after an ejection: two more failures eject the
 /// target again.
@@ -217,7 +217,7 @@
 fn failed(row: &mut Row, may_eject: bool, now: Time) -> Option<Duration> {
     row.ejection.failed();
     row.stats.failures += (1.0 - row.stats.failures) * FAILURE_GAIN;
-    if row.stats.failures < EJECTION_THRESHOLD || !may_eject || row.ejection.is_ejected(now) {
+    if row.stats.failures < EJECTION_FAILURE_SHARE || !may_eject || row.ejection.is_ejected(now) {
         return None;
     }
     row.stats.failures = SHARE_AFTER_EJECTION;
--- a/crates/calls/src/refusal.rs
+++ b/crates/calls/src/refusal.rs
@@ -1,17 +1,17 @@
-//! How a call ended, in the words that callers and programs read.
+//! Outcomes of calls and reasons of refusals, with the names that callers and programs read.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// What is known about whether the call ran.
+/// Whether a call was answered, and otherwise whether it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The target's own whole answer.
+    /// The target answered, and its answer is complete.
     Answered,
-    /// It did not run and never will: safe to send again.
+    /// It did not run and never will, so it is safe to send it again.
     NotRun,
     /// It may have run.
     Unknown,
@@ -37,7 +37,7 @@
 
 macro_rules! reasons {
     ($($(#[$doc:meta])* $name:ident => $text:literal, $outcome:ident;)+) => {
-        /// Why a call was not answered by its target.
+        /// Reason for which a call was not answered by its target.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
         #[serde(rename_all = "kebab-case")]
         pub enum Reason {
@@ -56,9 +56,9 @@
                 }
             }
 
-            /// What the reason says about the run. Fixed for each reason, so
-            /// that no code path can pair "not run" with a reason that leaves
-            /// the run open.
+            /// The outcome that the reason implies. It is fixed for each reason, so that
+            /// no code path can state "not run" with a reason for which the call may
+            /// have run.
             #[must_use]
             pub fn outcome(self) -> Outcome {
                 match self {
@@ -70,25 +70,25 @@
 }
 
 reasons! {
-    /// Slots and queue are taken, or the tenant's share is.
+    /// Slots and queue are full, or the tenant has used its share of them.
     Overload => "overload", NotRun;
-    /// Most calls like it fail, for want of something that they need.
+    /// Most recent calls of its route failed.
     Throttled => "throttled", NotRun;
     /// The instance is leaving.
     Draining => "draining", NotRun;
-    /// The target's version gets no calls, or no more of them, at this step of a roll-out.
+    /// The target's version gets no calls, or no more of them, at this step of a rollout.
     Held => "held", NotRun;
-    /// Targets end whenever they run it.
+    /// Targets terminate when they run the request.
     Quarantined => "quarantined", NotRun;
-    /// The daemon has just started and may not serve by any version yet.
+    /// The daemon has just started and has no confirmed version of the configuration yet.
     NotReady => "not-ready", NotRun;
-    /// No customer holds the caller's key, or there is none.
+    /// The caller sent no API key, or one that belongs to no customer.
     Unauthenticated => "unauthenticated", NotRun;
-    /// The daemon has been cut off, and the key may have been taken away meanwhile.
+    /// The daemon is cut off, and the API key may have been revoked in the meantime.
     Unconfirmed => "unconfirmed", NotRun;
     /// The customer's quota is used up.
     OverQuota => "over-quota", NotRun;
-    /// Nobody can tell what is left of the customer's quota.
+    /// What is left of the customer's quota is unknown.
     QuotaUnknown => "quota-unknown", NotRun;
     /// No route matches the path.
     NoRoute => "no-route", NotRun;
@@ -98,44 +98,44 @@
     Deadline => "deadline", NotRun;
     /// The request is malformed or over a limit.
     BadRequest => "bad-request", NotRun;
-    /// The body is larger than what is kept for another try.
+    /// The body is larger than the limit for bodies that are kept for a retry.
     TooLarge => "too-large", NotRun;
-    /// The target refused without running.
+    /// The target refused the call without running it.
     Shed => "shed", NotRun;
     /// The attempt was revoked before it started.
     Revoked => "revoked", NotRun;
-    /// The attempt's ticket is too old or of another process.
+    /// The attempt's ticket is too old or was issued by another process.
     StaleTicket => "stale-ticket", NotRun;
     /// Entry and executor hold different sets of upstreams.
     StaleConfig => "stale-config", NotRun;
-    /// The key's previous home has not confirmed the change of homes.
+    /// The idempotency key's previous home has not confirmed the change of homes.
     HomeMoving => "home-moving", NotRun;
-    /// The executor that owns the key cannot be reached.
+    /// The executor that owns the idempotency key cannot be reached.
     HomeUnreachable => "home-unreachable", NotRun;
-    /// The executor remembers all that it can.
+    /// The executor already remembers as many calls as its limits allow.
     MemoryFull => "memory-full", NotRun;
-    /// The platform, which has to record the key, is not available.
+    /// The platform, which must record the idempotency key, is not available.
     PlatformDown => "platform-down", NotRun;
-    /// The executor woke from a freeze and emptied its queue.
+    /// The executor resumed after a freeze and emptied its queue.
     Woke => "woke", NotRun;
-    /// The key was used with another request.
+    /// The idempotency key was used with another request.
     KeyReused => "key-reused", NotRun;
-    /// The key states a time in the future.
+    /// The idempotency key states a time in the future.
     KeyFromFuture => "key-from-future", NotRun;
-    /// The key is older than what is remembered: it may have run long ago.
+    /// The idempotency key is older than the retention time, so its call may have run.
     KeyExpired => "key-expired", Unknown;
-    /// The key may have run where no memory of it is left.
+    /// The call of the idempotency key may have run, with no record of it left.
     KeyUnsettled => "key-unsettled", Unknown;
-    /// It ran or may have run, and the answer cannot be had.
+    /// It ran or may have run, and its answer is lost.
     LostAnswer => "lost-answer", Unknown;
     /// The deadline passed while it ran.
     TimedOut => "timed-out", Unknown;
-    /// It ran, and the answer was too large to keep.
+    /// It ran, and its answer was too large to keep.
     AnswerTooLarge => "answer-too-large", Unknown;
 }
 
 impl Reason {
-    /// Whether another attempt of the same call can end otherwise.
+    /// Whether another attempt of the same call can have a different result.
     #[must_use]
     pub fn allows_retry(self) -> bool {
         !matches!(
@@ -159,17 +159,17 @@
     }
 }
 
-/// An ending without the target's answer.
+/// The end of a call or attempt without the target's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Why it was not answered.
     pub reason: Reason,
-    /// When it is worth coming back; `None` where another try cannot help.
+    /// Time after which a retry can succeed; `None` if no retry can.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal that another try may get past after `retry_after`.
+    /// Creates a refusal after which a retry can succeed once `retry_after` has passed.
     #[must_use]
     pub fn retry(reason: Reason, retry_after: Duration) -> Self {
         let retry_after = Some(retry_after);
@@ -179,7 +179,7 @@
         }
     }
 
-    /// A refusal that holds for every further try.
+    /// Creates a refusal that holds for every retry.
     #[must_use]
     pub fn permanent(reason: Reason) -> Self {
         let retry_after = None;
@@ -189,7 +189,7 @@
         }
     }
 
-    /// What it says about the run.
+    /// The outcome that its reason implies.
     #[must_use]
     pub fn outcome(&self) -> Outcome {
         self.reason.outcome()
--- a/crates/calls/src/retry.rs
+++ b/crates/calls/src/retry.rs
@@ -1,4 +1,4 @@
-//! What is tried again, how often and when.
+//! Retry rules: which attempts are retried, how often and when.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 
 use crate::refusal::{Outcome, Refusal};
 
-/// Retries that a service may use before it has earned any, and the most that
-/// it can save up. Lets a service with few calls be retried at all.
+/// Retries that a service may use before it has earned any, and the most that it can save
+/// up. Without them, a service with few calls could hardly be retried.
 const RESERVE_MILLI: u64 = 10_000;
 
 /// One retry, in thousandths.
 const ONE_MILLI: u64 = 1_000;
 
-/// Retries as a share of first attempts, one bucket for each service.
+/// Limits the retries of one service to a share of its first attempts.
 ///
-/// Without it, refusals under overload turn into more attempts, these into more
-/// refusals, and the overload outlives its cause. With a share of `p` percent
-/// the attempts are at most `1 + p/100` times the calls over any long stretch.
+/// Without a budget, refusals under overload cause more attempts and these more refusals,
+/// so the overload outlasts its cause. With a share of `p` percent, the number of attempts
+/// is at most `1 + p/100` times the number of calls in the long run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RetryBudget {
     milli: u64,
@@ -34,9 +34,9 @@
 }
 
 impl RetryBudget {
-    /// A budget that saves up at most `retries`. Where all daemons
-    /// together are held to one reserve, each gets its part of it: with a
-    /// reserve of its own in each, a fleet of 12 would use 12 of them at once.
+    /// Creates a budget that saves up at most `retries`. If one reserve is shared by all
+    /// daemons, each must get its part of it: with a full reserve in each, a fleet of 12
+    /// could use 12 reserves at once.
     #[must_use]
     pub fn with_reserve(retries: u32) -> Self {
         let reserve_milli = u64::from(retries.max(1)) * ONE_MILLI;
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Takes another reserve; what is saved beyond it is dropped.
+    /// Changes the reserve. Saved retries above the new reserve are dropped.
     pub fn set_reserve(&mut self, retries: u32) {
         self.reserve_milli = u64::from(retries.max(1)) * ONE_MILLI;
         self.milli = self.milli.min(self.reserve_milli);
@@ -58,7 +58,7 @@
         self.milli = (self.milli + earned).min(self.reserve_milli);
     }
 
-    /// Takes one retry, or says that none is left.
+    /// Takes one retry from the budget. Returns false if none is left.
     pub fn take(&mut self) -> bool {
         let Some(rest) = self.milli.checked_sub(ONE_MILLI) else {
             return false;
@@ -68,7 +68,7 @@
     }
 }
 
-/// What is known about an attempt that brought no answer.
+/// Whether an attempt without an answer may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Settlement {
     /// It did not run and never will.
@@ -77,11 +77,11 @@
     Unknown,
 }
 
-/// Whether another attempt may follow.
+/// Whether another attempt may follow after `made` of `allowed` attempts.
 ///
-/// Only the entry of a chain retries (`depth` 0). If each of 8 hops tried three
-/// times, one failing target at the end would see 3^8 attempts for one call.
-/// The hops below pass the refusal up, where the one budget is.
+/// Only the first entry of a chain of calls (`depth` 0) retries. If each of 8 hops made
+/// three attempts, a failing target at the end of the chain would get 3^8 attempts for one
+/// call. The other hops pass the refusal up to the first entry, which has the retry budget.
 #[must_use]
 pub fn may_retry(
     settlement: Settlement,
@@ -99,19 +99,19 @@
     }
 }
 
-/// What the refused attempts of one call add up to.
+/// Combines the refusals of the attempts of one call.
 ///
-/// An idempotent call is tried again although an attempt of it may have run. If
-/// the last attempt finds nobody, its own refusal says "not run", which holds for
-/// that attempt alone: the caller would take a call that ran for one that did not.
+/// An idempotent call is retried even if an earlier attempt may have run. If the last
+/// attempt then finds no upstream, its refusal states "not run", which is true of that
+/// attempt only. Passed on alone, it would tell the caller that the call did not run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Attempts {
     may_have_run: Option<Refusal>,
 }
 
 impl Attempts {
-    /// Takes in how an attempt was refused and returns how the call ends if no
-    /// other one follows: as not run only where every attempt did not run.
+    /// Takes in the refusal of an attempt, and returns the refusal of the call if no other
+    /// attempt follows. It states "not run" only if no attempt may have run.
     pub fn refused(&mut self, refusal: Refusal) -> Refusal {
         if refusal.outcome() != Outcome::NotRun {
             self.may_have_run = Some(refusal);
@@ -126,7 +126,7 @@
     }
 }
 
-/// Exponential back-off with full jitter, inside the deadline.
+/// Exponential backoff with full jitter, bounded by the deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Backoff {
     base: Duration,
@@ -143,15 +143,15 @@
 }
 
 impl Backoff {
-    /// Doubles from `base` up to `longest`.
+    /// Creates a backoff whose upper bound doubles from `base` to `longest`.
     #[must_use]
     pub fn new(base: Duration, longest: Duration) -> Self {
         Self { base, longest }
     }
 
-    /// Pause before the attempt after `made`, at least `floor`. `None` where the
-    /// deadline would leave less than `needed` for the attempt itself: the
-    /// refusal then goes out now instead of after a pointless wait.
+    /// Pause before the next attempt after `made` attempts, at least `floor`. `None` if less
+    /// than `needed` of the time `left` would remain for the attempt; the caller is then
+    /// refused now instead of after a useless wait.
     pub fn pause(
         &self,
         made: u32,
--- a/crates/calls/src/router/seen.rs
+++ b/crates/calls/src/router/seen.rs
@@ -24,7 +24,7 @@
 const REFUSED_SCORE: f64 = 1.0;
 
 /// Failures in a row after which an upstream is ejected.
-const EJECTION_THRESHOLD: u32 = 3;
+const EJECTION_FAILURES: u32 = 3;
 
 /// Durations of ejections.
 const EJECTIONS: EjectionDurations = EjectionDurations {
@@ -104,7 +104,7 @@
 fn failed(row: &mut Row, may_eject: bool, now: Time) {
     row.ejection.failed();
     row.stats.failures = row.stats.failures.saturating_add(1);
-    if row.stats.failures < EJECTION_THRESHOLD || !may_eject || row.ejection.is_ejected(now) {
+    if row.stats.failures < EJECTION_FAILURES || !may_eject || row.ejection.is_ejected(now) {
         return;
     }
     row.ejection.eject(EJECTIONS, now);
--- a/crates/calls/src/routes.rs
+++ b/crates/calls/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and which service of it.
+//! Lookup of the route of a request, and selection of the service of a split route.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -9,26 +9,26 @@
     Key, Kind, Policy, PolicyName, Resource, Retry, Route, ServiceName, State,
 };
 
-/// What a call gets where neither its route nor its service names a policy.
+/// Policy of a call if neither its route nor its service names one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(2);
 const DEFAULT_RETRY: Retry = Retry {
     attempts: 3,
     budget_percent: 20,
 };
 
-/// A route together with all that it needs, resolved once for each version.
+/// A route with its policy, resolved once for each version of the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResolvedRoute {
     /// The route.
     pub route: Route,
-    /// Its policy, or that of its service, or the built-in one.
+    /// Policy of the route, or else of its service, or else the built-in one.
     pub policy: Arc<Policy>,
 }
 
 impl ResolvedRoute {
-    /// The service that a call goes to, by a number drawn for it. Calls of a
-    /// split route are dealt out by weight. The draw is random, but for a call
-    /// with an idempotency key, which always has to meet the same service.
+    /// The service that a call goes to. Calls of a split route are distributed by weight
+    /// according to `draw`. It is random, except for a call with an idempotency key, which
+    /// must always reach the same service.
     #[must_use]
     pub fn service(&self, draw: u32) -> &ServiceName {
         let split = &self.route.split;
@@ -47,15 +47,15 @@
     }
 }
 
-/// The routes of one version, by host and prefix.
+/// The routes of one version of the configuration, by host and prefix.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteTable {
-    /// Routes for any host stand under the empty name.
+    /// Routes for any host have the empty host name.
     hosts: HashMap<SmolStr, HashMap<SmolStr, Arc<ResolvedRoute>>>,
 }
 
 impl RouteTable {
-    /// Compiles the routes of `state`, whose references have been checked.
+    /// Compiles the routes of `state`, whose references must have been validated.
     #[must_use]
     pub fn new(state: &State) -> Self {
         let mut table = Self::default();
@@ -67,30 +67,30 @@
         table
     }
 
-    /// The route for a request: of those of its host, or else of those for any
-    /// host, the one with the longest prefix that the path begins with.
+    /// The route of a request: the one with the longest matching prefix among the routes
+    /// of its host, or else among those for any host.
     ///
-    /// A prefix without a slash at its end stands for whole path segments. One
-    /// with a slash at its end does not match the path without it.
+    /// A prefix without a slash at its end matches whole path segments. A prefix with a
+    /// slash at its end does not match the same path without the slash.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<ResolvedRoute>> {
-        let host = host_name(host);
+        let host = normalize_host(host);
         let named = self.hosts.get(host.as_str());
         let any = self.hosts.get("");
         named
-            .and_then(|routes| longest(routes, path))
-            .or_else(|| any.and_then(|routes| longest(routes, path)))
+            .and_then(|routes| longest_match(routes, path))
+            .or_else(|| any.and_then(|routes| longest_match(routes, path)))
     }
 
     fn add(&mut self, resolved: ResolvedRoute) {
         let host = resolved.route.host.as_deref().unwrap_or_default();
-        let routes = self.hosts.entry(host_name(host)).or_default();
+        let routes = self.hosts.entry(normalize_host(host)).or_default();
         routes.insert(resolved.route.prefix.clone(), Arc::new(resolved));
     }
 }
 
-/// Host names are compared without their port and regardless of case.
-fn host_name(host: &str) -> SmolStr {
+/// Normalizes a host name, which is compared without its port and regardless of case.
+fn normalize_host(host: &str) -> SmolStr {
     let name = host.split(':').next().unwrap_or_default();
     if name.bytes().any(|it| it.is_ascii_uppercase()) {
         return name.to_ascii_lowercase().into();
@@ -98,16 +98,15 @@
     name.into()
 }
 
-fn longest<'a>(
+fn longest_match<'a>(
     routes: &'a HashMap<SmolStr, Arc<ResolvedRoute>>,
     path: &str,
 ) -> Option<&'a Arc<ResolvedRoute>> {
     prefixes(path).find_map(|prefix| routes.get(prefix))
 }
 
-/// Every prefix of whole segments, the longest first. Looking each up costs as
-/// many steps as the path has segments; going through all routes would cost a
-/// comparison for each of hundreds.
+/// Every prefix of whole segments, the longest first. Looking them up takes as many steps
+/// as the path has segments, whereas a scan would compare hundreds of routes.
 fn prefixes(path: &str) -> impl Iterator<Item = &str> {
     let slashes = path.match_indices('/').map(|(at, _)| at).rev();
     let cut = slashes.flat_map(|at| [&path[..=at], &path[..at]]);
--- a/crates/calls/src/silence.rs
+++ b/crates/calls/src/silence.rs
@@ -1,9 +1,9 @@
-//! Finds attempts whose connection went silent for good.
+//! Detects attempts whose connection is dead without an error.
 //!
-//! A connection can lose its state somewhere between the two ends: nothing
-//! comes back and no error does either. A slow call looks the same from here,
-//! so the watch asks the executor's ledger over a *fresh* connection and lets
-//! the ledger tell the two apart. See `docs/design/calls.md`.
+//! A device between the two ends of a connection can lose its state, after which neither
+//! data nor an error arrives. To the entry this looks like a slow call. The detector
+//! therefore queries the executor's ledger over a *new* connection, which distinguishes
+//! the two cases. See `docs/design/calls.md`.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::ids::{AttemptId, Time};
 use crate::ledger::Settled;
 
-/// How patient the watch is.
+/// Timing of the queries, and when to give up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SilenceConfig {
-    /// Silence after which the executor is asked.
+    /// Time without a response after which the executor is queried.
     pub first_ask: Duration,
-    /// Longest pause between two questions about an attempt that runs.
+    /// Upper bound on the pause between two queries about an attempt that runs.
     pub longest_pause: Duration,
-    /// Questions without an answer after which the executor counts as gone.
+    /// Unanswered queries after which the executor counts as gone.
     pub unanswered: u32,
 }
 
@@ -32,38 +32,38 @@
     }
 }
 
-/// What the daemon does about one attempt.
+/// What the daemon must do about one attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum SilenceAction {
-    /// Ask the ledger over a fresh connection, without touching the attempt.
+    /// Query the ledger over a new connection, without affecting the attempt.
     Ask(AttemptId),
-    /// Close the silent connection and revoke over a fresh one.
+    /// Close the silent connection and revoke the attempt over a new one.
     Retire(AttemptId),
-    /// Nobody answers on fresh connections either.
+    /// Stop waiting: the executor does not answer on new connections either.
     GiveUp(AttemptId),
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Watch {
-    ask_at: Time,
+    query_at: Time,
     pause: Duration,
     unanswered: u32,
-    unseen: u32,
+    never_seen: u32,
 }
 
-/// Watch over the attempts that an entry has outstanding.
+/// Tracks the outstanding attempts of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Silence {
     cfg: SilenceConfig,
     watches: BTreeMap<AttemptId, Watch>,
 }
 
-/// "Never seen" twice, a pause apart, before the connection is retired: the
-/// first may only mean that the attempt is still on its way.
-const UNSEEN_TO_RETIRE: u32 = 2;
+/// Number of `NeverSeen` answers, a pause apart, after which the connection is retired.
+/// After the first one the attempt may still be on its way.
+const NEVER_SEEN_TO_RETIRE: u32 = 2;
 
 impl Silence {
-    /// An empty watch.
+    /// Creates a detector without outstanding attempts.
     #[must_use]
     pub fn new(cfg: SilenceConfig) -> Self {
         let watches = BTreeMap::new();
@@ -73,33 +73,33 @@
     /// The attempt was sent.
     pub fn sent(&mut self, attempt: AttemptId, now: Time) {
         let watch = Watch {
-            ask_at: now + self.cfg.first_ask,
+            query_at: now + self.cfg.first_ask,
             pause: self.cfg.first_ask,
             unanswered: 0,
-            unseen: 0,
+            never_seen: 0,
         };
         self.watches.insert(attempt, watch);
     }
 
-    /// The attempt ended, however it did.
+    /// The attempt ended, with or without an answer.
     pub fn ended(&mut self, attempt: AttemptId) {
         self.watches.remove(&attempt);
     }
 
-    /// When the next question is due.
+    /// When the next query about the attempt is due.
     #[must_use]
     pub fn due(&self, attempt: AttemptId) -> Option<Time> {
-        self.watches.get(&attempt).map(|it| it.ask_at)
+        self.watches.get(&attempt).map(|it| it.query_at)
     }
 
-    /// Questions that are due.
+    /// Returns the actions that are due.
     pub fn tick(&mut self, now: Time) -> Vec<SilenceAction> {
         let mut actions = Vec::new();
         for (attempt, watch) in &mut self.watches {
-            if watch.ask_at > now {
+            if watch.query_at > now {
                 continue;
             }
-            watch.ask_at = now + self.cfg.first_ask;
+            watch.query_at = now + self.cfg.first_ask;
             watch.unanswered += 1;
             if watch.unanswered > self.cfg.unanswered {
                 actions.push(SilenceAction::GiveUp(*attempt));
@@ -110,9 +110,9 @@
         actions
     }
 
-    /// The ledger's answer over the fresh connection. A run that is still going
-    /// on keeps its connection; anything else says that the answer, or the
-    /// attempt itself, was lost on the old one.
+    /// Takes in the ledger's answer to a query. An attempt that is queued or running keeps
+    /// its connection. Any other state means that the answer, or the attempt itself, was
+    /// lost on the old connection.
     pub fn heard(
         &mut self,
         attempt: AttemptId,
@@ -123,14 +123,14 @@
         watch.unanswered = 0;
         let retire = match settled {
             Settled::Queued | Settled::Running => {
-                watch.unseen = 0;
+                watch.never_seen = 0;
                 watch.pause = (watch.pause * 2).min(self.cfg.longest_pause);
-                watch.ask_at = now + watch.pause;
+                watch.query_at = now + watch.pause;
                 false
             }
             Settled::NeverSeen => {
-                watch.unseen += 1;
-                watch.unseen >= UNSEEN_TO_RETIRE
+                watch.never_seen += 1;
+                watch.never_seen >= NEVER_SEEN_TO_RETIRE
             }
             Settled::NotRun | Settled::Done(_) | Settled::DoneWithoutAnswer | Settled::Unknown => {
                 true
--- a/crates/calls/src/uplink.rs
+++ b/crates/calls/src/uplink.rs
@@ -1,15 +1,15 @@
-//! What an instance's link can carry, as a resource beside the target's slots.
+//! The capacity of an instance's uplink, as a resource beside the target's slots.
 //!
-//! It answers the load of large answers over a thin link: a target completes them in a
-//! tenth of a second, the link takes a second for each, and behind them every small
-//! answer is late as well. Three things follow.
+//! It is designed for large answers over a slow link: a target completes each in a tenth
+//! of a second, the link takes a second to send it, and every small answer behind it is
+//! late as well.
 //!
-//! * Small messages go at once; large ones go in pieces, at the pace of the link, so that
-//!   a small one never waits for more than a piece.
-//! * A large answer that the link cannot deliver in time is refused before its target
-//!   works for it.
-//! * Entries are told how long the link is taken, and place large answers where there is
-//!   room.
+//! * Small messages are sent at once. Large ones are sent in pieces at the rate of the
+//!   link, so that a small one never waits for more than one piece.
+//! * A call whose large answer the link cannot deliver in time is refused before its
+//!   target works on it.
+//! * The backlog of the link is reported to the entries, which place calls with large
+//!   answers where the link has capacity.
 //!
 //! See `docs/design/further.md`.
 
@@ -18,130 +18,131 @@
 
 use crate::ids::{AttemptId, Time};
 
-/// Share of the stated rate that messages may fill. Headers of packets, and what else
-/// runs on the instance, take the rest; a link that is filled queues, and its queue
-/// delays every message.
-const USABLE: f64 = 0.9;
+/// Share of the stated rate that messages may use. Packet headers and other traffic of the
+/// instance need the rest. A saturated link builds up a queue that delays every message.
+const USABLE_SHARE: f64 = 0.9;
 
-/// Time that one piece of a large message takes. A small message waits for one piece at
-/// most, and an objective of some 100 ms does not notice 8 of them.
+/// Time that the link needs for one piece of a large message. A small message waits for
+/// one piece at most, and 8 ms matter little for an objective of some 100 ms.
 const PIECE_TIME: Duration = Duration::from_millis(8);
 
-/// Bounds on a piece: below, the system calls for it cost more than its bytes; above, an
-/// answer that is hardly large would still go as one.
-const LEAST_PIECE: usize = 4 << 10;
-const LARGEST_PIECE: usize = 64 << 10;
+/// Bounds on the size of a piece. The system calls for a smaller piece would cost more
+/// than its bytes; with larger ones, answers that are not small would still be sent whole.
+const MIN_PIECE_BYTES: usize = 4 << 10;
+const MAX_PIECE_BYTES: usize = 64 << 10;
 
-/// How far ahead of the pace pieces may go, which makes up for timers that fire late.
-const AHEAD: Duration = Duration::from_millis(2);
+/// How far pieces may be sent ahead of the link's rate, which compensates for timers that
+/// fire late.
+const MAX_AHEAD: Duration = Duration::from_millis(2);
 
-/// The link of one instance.
+/// The uplink of one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Uplink {
-    /// Bytes a second; absent where nothing is known of the link.
+    /// Usable bytes per second; `None` if the rate of the link is unknown.
     rate: Option<f64>,
-    /// When all that was sent so far has left.
+    /// When the link will have sent everything handed to it so far.
     free_at: Time,
-    /// Large answers that targets still work on, by the bytes expected of them.
+    /// Expected sizes of the large answers that the target still works on.
     expected: BTreeMap<AttemptId, f64>,
-    /// Bytes of large messages that wait to be sent.
-    waiting: f64,
+    /// Bytes of large messages that are queued for the link.
+    queued_bytes: f64,
 }
 
 impl Uplink {
-    /// A link that carries so many bytes a second.
+    /// Creates a link with this rate; `None` if it is unknown.
     #[must_use]
     pub fn new(bytes_per_s: Option<f64>) -> Self {
         Self {
-            rate: bytes_per_s.map(|it| it * USABLE),
+            rate: bytes_per_s.map(|it| it * USABLE_SHARE),
             free_at: Time::ZERO,
             expected: BTreeMap::new(),
-            waiting: 0.0,
+            queued_bytes: 0.0,
         }
     }
 
-    /// Bytes that go as one frame; what is larger goes in pieces of this size.
+    /// Maximum size of a frame; larger messages are sent in pieces of this size.
     #[must_use]
     pub fn piece_bytes(&self) -> usize {
         let Some(rate) = self.rate else {
-            return LARGEST_PIECE;
+            return MAX_PIECE_BYTES;
         };
-        let of_time = whole(rate * PIECE_TIME.as_secs_f64());
-        of_time.clamp(LEAST_PIECE, LARGEST_PIECE)
+        let bytes = round_down(rate * PIECE_TIME.as_secs_f64());
+        bytes.clamp(MIN_PIECE_BYTES, MAX_PIECE_BYTES)
     }
 
-    /// Whether answers of a route with this mean count as large.
+    /// Whether an answer of this size counts as large.
     #[must_use]
     pub fn is_large(&self, bytes: f64) -> bool {
-        whole(bytes) > self.piece_bytes()
+        round_down(bytes) > self.piece_bytes()
     }
 
-    /// Time until the next piece may go.
+    /// Time until the next piece may be sent.
     #[must_use]
     pub fn until_free(&self, now: Time) -> Duration {
-        self.free_at.saturating_sub(now + AHEAD)
+        self.free_at.saturating_sub(now + MAX_AHEAD)
     }
 
     /// A frame was handed to a connection.
     pub fn sent(&mut self, bytes: usize, now: Time) {
         if let Some(rate) = self.rate {
-            self.free_at = self.free_at.max(now) + seconds(count(bytes) / rate);
+            self.free_at = self.free_at.max(now) + seconds(to_f64(bytes) / rate);
         }
     }
 
-    /// Time in which the large answers that are under way leave, one after the other.
+    /// Time that the link needs to send the expected large answers and the queued bytes.
     #[must_use]
     pub fn backlog(&self) -> Duration {
-        let bytes = self.expected.values().sum::<f64>() + self.waiting;
+        let bytes = self.expected.values().sum::<f64>() + self.queued_bytes;
         self.rate
             .map_or(Duration::ZERO, |rate| seconds(bytes / rate))
     }
 
-    /// Bytes a second for large answers, zero where nothing is known of the link.
+    /// Usable bytes per second; zero if the rate of the link is unknown.
     #[must_use]
     pub fn bytes_per_s(&self) -> u32 {
-        let rate = self.rate.map_or(0, whole);
+        let rate = self.rate.map_or(0, round_down);
         u32::try_from(rate).unwrap_or(u32::MAX)
     }
 
-    /// Whether an answer of `bytes` that its target completes in `run` would arrive
-    /// `within` this time. Otherwise the time after which another try is worthwhile.
+    /// Checks whether the link can deliver an answer of `bytes`, which its target completes
+    /// in `run`, within the time `within`. Nothing is reserved. An idle link accepts any
+    /// answer.
     ///
     /// # Errors
     ///
-    /// Where it would not; nothing is taken.
+    /// Returns the time after which a retry can succeed if the answer would be late.
     pub fn takes(&self, bytes: f64, run: Duration, within: Duration) -> Result<(), Duration> {
         let Some(rate) = self.rate.filter(|_| self.is_large(bytes)) else {
             return Ok(());
         };
         let own = seconds(bytes / rate);
         let needed = run.max(self.backlog()) + own;
-        if needed <= within || (self.expected.is_empty() && self.waiting <= 0.0) {
+        if needed <= within || (self.expected.is_empty() && self.queued_bytes <= 0.0) {
             return Ok(());
         }
         Err(needed.saturating_sub(within))
     }
 
-    /// A target works on an answer of which so many bytes are expected.
+    /// The target works on an answer of this expected size.
     pub fn expects(&mut self, attempt: AttemptId, bytes: f64) {
         if self.rate.is_some() && self.is_large(bytes) {
             self.expected.insert(attempt, bytes);
         }
     }
 
-    /// The target's work has ended; what is to be sent of it is counted as waiting.
+    /// The target has completed the answer, whose bytes are counted when they are queued.
     pub fn ended(&mut self, attempt: AttemptId) {
         self.expected.remove(&attempt);
     }
 
-    /// A large message waits to be sent.
+    /// A large message was queued for the link.
     pub fn waits(&mut self, bytes: usize) {
-        self.waiting += count(bytes);
+        self.queued_bytes += to_f64(bytes);
     }
 
-    /// So much of what waited was sent, or is not sent any more.
+    /// Queued bytes were sent or dropped.
     pub fn waits_no_more(&mut self, bytes: usize) {
-        self.waiting = (self.waiting - count(bytes)).max(0.0);
+        self.queued_bytes = (self.queued_bytes - to_f64(bytes)).max(0.0);
     }
 }
 
@@ -149,11 +150,11 @@
     Duration::try_from_secs_f64(time).unwrap_or(Duration::MAX / 4)
 }
 
-fn count(bytes: usize) -> f64 {
+fn to_f64(bytes: usize) -> f64 {
     f64::from(u32::try_from(bytes).unwrap_or(u32::MAX))
 }
 
-/// Rounded down; a duration does it without a cast that could lose its sign.
-fn whole(value: f64) -> usize {
+/// Rounds down. The conversion goes through a duration because a cast could lose the sign.
+fn round_down(value: f64) -> usize {
     usize::try_from(seconds(value).as_secs()).unwrap_or(usize::MAX)
 }
