--- a/crates/calls/src/admission/mod.rs
+++ b/crates/calls/src/admission/mod.rs
@@ -6,7 +6,7 @@
 //! its deadline is therefore refused on arrival, when another executor may still have
 //! time for it. See `docs/design/calls.md`.
 
-mod active;
+mod active_tenants;
 mod shares;
 mod types;
 
@@ -19,7 +19,7 @@
 use crate::estimate::Estimate;
 use crate::ids::{AttemptId, Time};
 use crate::refusal::{Reason, Refusal};
-use active::ActiveTenants;
+use active_tenants::ActiveTenants;
 use shares::Shares;
 
 pub use types::{AdmissionConfig, Ask, Dispatch, Load, Verdict};
--- a/crates/calls/src/placement.rs
+++ b/crates/calls/src/placement.rs
@@ -10,7 +10,7 @@
 //! between zones is expensive, and an answer that meets the objective is as good as one
 //! that beats it.
 
-mod seen;
+mod stats;
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 use crate::candidates::{Among, Candidate, Candidates, Eligible, Pick};
 use crate::ids::Time;
 use crate::queue::Occupancy;
-use seen::{EstimateInputs, Row, TargetStats, run_max_age, time_to_answer};
+use stats::{EstimateInputs, Row, TargetStats, run_max_age, time_to_answer};
 
 /// Share of the time to the objective that an answer may take on average for its call to
 /// stay in its zone. Run times of twice the mean are common enough that with a larger
@@ -195,7 +195,7 @@
         now: Time,
     ) -> Option<Duration> {
         let (row, may_eject) = self.candidates.finished(service, upstream, now)?;
-        seen::finished(row, seen, occupancy, may_eject, now)
+        stats::finished(row, seen, occupancy, may_eject, now)
     }
 
     /// Targets of a service that are currently ejected.
--- a/crates/calls/src/router/mod.rs
+++ b/crates/calls/src/router/mod.rs
@@ -5,7 +5,7 @@
 //! late or wrong, so the state of an upstream in membership only decides which candidates
 //! are preferred, and never excludes all of them. See `docs/design/calls.md`.
 
-mod seen;
+mod stats;
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::admission::Load;
 use crate::candidates::{Among, Candidate, Candidates, Eligible, Pick};
 use crate::ids::Time;
-use seen::{Row, TargetStats};
+use stats::{Row, TargetStats};
 
 /// Score from which calls may leave the availability zone: nearly every slot is
 /// taken, so a wait in this zone is likely to cost more than the latency to another one.
@@ -93,7 +93,7 @@
     ) {
         let finished = self.candidates.finished(service, upstream, now);
         if let Some((row, may_eject)) = finished {
-            seen::record_report(row, report, may_eject, now);
+            stats::record_report(row, report, may_eject, now);
         }
     }
 
@@ -112,14 +112,14 @@
     let Some(local) = better_of_two(&eligible.local, now, rng) else {
         return better_of_two(&eligible.remote, now, rng);
     };
-    let local_score = seen::score(local, now);
+    let local_score = stats::score(local, now);
     if local_score < SPILL_SCORE {
         return Some(local);
     }
     let Some(remote) = better_of_two(&eligible.remote, now, rng) else {
         return Some(local);
     };
-    let spills = seen::score(remote, now) + ZONE_PENALTY < local_score;
+    let spills = stats::score(remote, now) + ZONE_PENALTY < local_score;
     Some(if spills { remote } else { local })
 }
 
@@ -133,7 +133,7 @@
     let step = rng.random_range(1..rows.len());
     let second = (first + step) % rows.len();
     let (first, second) = (rows[first], rows[second]);
-    Some(if seen::score(second, now) < seen::score(first, now) {
+    Some(if stats::score(second, now) < stats::score(first, now) {
         second
     } else {
         first
