--- a/crates/calls/src/router/mod.rs
+++ b/crates/calls/src/router/mod.rs
@@ -15,7 +15,7 @@
 use crate::admission::Load;
 use crate::candidates::{Among, Candidate, Candidates, Eligible, Pick};
 use crate::ids::Time;
-use stats::{Row, TargetStats};
+use stats::{Row, UpstreamStats};
 
 /// Score from which calls may leave the availability zone: nearly every slot is
 /// taken, so a wait in this zone is likely to cost more than the latency to another one.
@@ -43,7 +43,7 @@
 /// Selects upstreams for the attempts of one entry, with statistics of every upstream.
 #[derive(Clone, Debug)]
 pub struct Router {
-    candidates: Candidates<TargetStats>,
+    candidates: Candidates<UpstreamStats>,
 }
 
 impl Router {
@@ -105,7 +105,7 @@
 }
 
 fn choose<'a>(
-    eligible: &Eligible<'a, TargetStats>,
+    eligible: &Eligible<'a, UpstreamStats>,
     now: Time,
     rng: &mut dyn Rng,
 ) -> Option<&'a Row> {
--- a/crates/calls/src/router/stats.rs
+++ b/crates/calls/src/router/stats.rs
@@ -32,10 +32,10 @@
     longest: Duration::from_secs(30),
 };
 
-pub(super) type Row = candidates::Row<TargetStats>;
+pub(super) type Row = candidates::Row<UpstreamStats>;
 
 #[derive(Clone, Debug, Default)]
-pub(super) struct TargetStats {
+pub(super) struct UpstreamStats {
     reported: Load,
     reported_at: Time,
     paused_until: Time,
@@ -89,7 +89,7 @@
     }
 }
 
-fn record_load(stats: &mut TargetStats, load: Option<Load>, now: Time) {
+fn record_load(stats: &mut UpstreamStats, load: Option<Load>, now: Time) {
     if let Some(load) = load {
         stats.reported = load;
         stats.reported_at = now;
