--- a/crates/calls/tests/all/admission.rs
+++ b/crates/calls/tests/all/admission.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// An executor that knows that a run takes `SERVICE`.
+/// An idle executor whose run-time estimate is `SERVICE`.
 fn measured(slots: u32, queue: usize) -> Admission {
     let mut admission = Admission::new(AdmissionConfig { slots, queue });
     let (verdict, _) = admission.offer(ask(AttemptId::MAX, "warm-up"), Duration::ZERO);
@@ -35,7 +35,7 @@
     }
 }
 
-/// Runs one slot until the queue is empty; gives the order of starts.
+/// Runs one slot until the queue is empty and returns the order of starts.
 fn starts(admission: &mut Admission, mut running: AttemptId) -> Vec<AttemptId> {
     let mut order = Vec::new();
     loop {
@@ -49,8 +49,8 @@
     }
 }
 
-// The queue is too long for the caller's deadline. It is told at once instead of
-// after its deadline, while another executor may still have time.
+// The queue is too long for the caller's deadline. The call must be refused on arrival
+// rather than after its deadline, when no other executor would have time for it.
 #[test]
 fn call_that_cannot_finish_in_time_is_refused_at_once() {
     let mut admission = measured(1, 100);
@@ -65,16 +65,16 @@
     assert_eq!(admission.offer(late, SERVICE).0, Verdict::Wait);
 }
 
-// The target freezes for a while and is well again. Its runs took longer than
-// any deadline, so by the estimate every call is hopeless. Were all refused, no
-// run could ever mend the estimate, and the target would stay idle for good.
+// A target recovers from a freeze during which its runs took longer than any deadline.
+// By the estimate no call can meet its deadline, and if all were refused, no run could
+// correct the estimate and the target would stay idle for good.
 #[test]
-fn slow_spell_of_the_target_does_not_shut_it_out() {
+fn slow_period_of_a_target_does_not_exclude_it_for_good() {
     let mut admission = measured(2, 8);
-    let spell = Duration::from_secs(20);
+    let slow_period = Duration::from_secs(20);
     admission.offer(ask(0, "elm"), SERVICE);
-    admission.release(0, spell);
-    let mut now = spell;
+    admission.release(0, slow_period);
+    let mut now = slow_period;
     let mut ran = 0;
     for attempt in 1..20 {
         let mut call = ask(attempt, "elm");
@@ -87,17 +87,17 @@
         }
     }
     assert_eq!(ran, 19);
-    let hopeful = |attempt| {
+    let call_in_time = |attempt| {
         let mut call = ask(attempt, "elm");
         call.expires = now + 10 * SERVICE;
         call
     };
-    assert_eq!(admission.offer(hopeful(100), now).0, Verdict::Run);
-    assert_eq!(admission.offer(hopeful(101), now).0, Verdict::Run);
+    assert_eq!(admission.offer(call_in_time(100), now).0, Verdict::Run);
+    assert_eq!(admission.offer(call_in_time(101), now).0, Verdict::Run);
 }
 
-// A call's deadline passes while it waits. It is refused as not run; starting
-// it would spend a slot on an answer that nobody reads.
+// A call's deadline passes while it waits. It must be refused as not run, because nobody
+// would read the answer of its run.
 #[test]
 fn call_that_became_late_in_the_queue_does_not_run() {
     let mut admission = measured(1, 100);
@@ -112,8 +112,7 @@
     assert_eq!(refusal.reason, Reason::Deadline);
 }
 
-// One tenant floods the queue. A second tenant's calls still get every other
-// slot: the flood costs its own tenant only.
+// One tenant floods the queue. A second tenant's calls must still get every other slot.
 #[test]
 fn flood_of_one_tenant_does_not_starve_another() {
     let mut admission = measured(1, 12);
@@ -133,11 +132,11 @@
     );
 }
 
-// A tenant that was away comes to a queue that another one fills. One of the
-// other's calls makes room; without that all of its calls would be refused until
-// the flood ends.
+// An idle tenant sends a call to a queue that another tenant has filled. One of the other
+// tenant's calls must be evicted; otherwise the tenant would get nothing until the flood
+// ends.
 #[test]
-fn newcomer_pushes_out_a_call_of_the_flood() {
+fn call_of_an_idle_tenant_evicts_one_of_the_flood() {
     let mut admission = measured(1, 8);
     let late = 2 * Duration::from_secs(1);
     let patient = |attempt, tenant| {
@@ -155,23 +154,23 @@
     assert_eq!(out.len(), 1, "one of the flood makes room");
 }
 
-// A flood meets a second tenant all the time. It is refused at the door: a call
-// that waits first and is pushed out then is refused late.
+// A tenant floods the queue while a second one is active. The excess calls must be refused
+// on arrival: a call that is queued first and evicted later is refused late.
 #[test]
-fn flood_is_refused_at_the_door() {
+fn flood_is_refused_on_arrival() {
     let mut admission = measured(1, 12);
     admission.offer(ask(0, "small"), SERVICE);
-    let mut pushed_out = 0;
+    let mut evicted = 0;
     for round in 0..20 {
         for attempt in 0..10 {
             let (_, out) = admission.offer(ask(1000 + round * 10 + attempt, "flood"), SERVICE);
-            pushed_out += out.len();
+            evicted += out.len();
         }
         let (_, out) = admission.offer(ask(100 + round, "small"), SERVICE);
-        pushed_out += out.len();
+        evicted += out.len();
     }
-    assert_eq!(pushed_out, 0);
-    // The tenant of the warm-up was here lately too: a third for each.
+    assert_eq!(evicted, 0);
+    // The tenant of the warm-up was recently active too, so each may use a third.
     assert_eq!(admission.load().queued, 8);
 }
 
@@ -190,8 +189,8 @@
     assert!((28..=32).contains(&heavy), "heavy got {heavy} of 40");
 }
 
-// Urgent calls fill the slots for long. Batch calls still get a small share and
-// do not all expire.
+// Urgent calls fill the slots for a long time. Batch calls must still get a small share
+// instead of expiring one after the other.
 #[test]
 fn urgent_goes_first_and_batch_is_not_starved() {
     let mut admission = measured(1, 200);
@@ -224,7 +223,7 @@
     assert_eq!(admission.next(SERVICE), [Dispatch::Run(2)]);
 }
 
-// The process was frozen and wakes with a full queue whose callers have gone.
+// The process resumes after a freeze with a full queue whose callers have given up.
 #[test]
 fn waking_empties_the_queue_as_not_run() {
     let mut admission = measured(1, 10);
@@ -236,8 +235,8 @@
     assert_eq!(admission.load().queued, 0);
 }
 
-// At twice the capacity with deadlines of ten runs: nearly every slot-time goes
-// into answers that are in time, and every tenant gets some.
+// At twice the capacity, with deadlines of ten run times, nearly all the time of the slots
+// must go into answers that are in time, and every tenant must get some of it.
 #[test]
 fn goodput_holds_at_twice_the_capacity() {
     const SLOTS: u32 = 13;
@@ -256,8 +255,7 @@
             *good.entry(id % tenants).or_default() += 1;
         }
         let mut started = admission.next(now);
-        // 13 slots at 10 ms are 1.3 calls a step; 13 calls in 5 steps are twice
-        // that.
+        // 13 slots at 10 ms run 1.3 calls per step; 13 calls in 5 steps are twice that.
         for _ in 0..(if step % 5 < 3 { 3 } else { 2 }) {
             attempt += 1;
             let mut ask = ask(attempt, &format!("tenant-{}", attempt % tenants));
--- a/crates/calls/tests/all/queue.rs
+++ b/crates/calls/tests/all/queue.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// A queue that knows that a run takes `SERVICE`, with every slot taken.
+/// A queue whose run-time estimate is `SERVICE`, with every slot taken.
 fn full(slots: u32) -> Queue {
     let mut queue = Queue::new(slots);
     for slot in 0..slots {
@@ -41,7 +41,7 @@
     }
 }
 
-/// Ends the runs of a full queue one by one and gives the order of starts.
+/// Ends the runs of a full queue one by one and returns the order of starts.
 fn starts(queue: &mut Queue, slots: u32, now: Duration) -> Vec<AttemptId> {
     let mut running: Vec<_> = (0..slots)
         .map(|slot| AttemptId::MAX - AttemptId::from(slot))
@@ -72,9 +72,9 @@
     assert_eq!(starts(&mut queue, 8, Duration::ZERO), [4, 3, 1, 2]);
 }
 
-/// A caller comes back after a refusal, past its objective: its answer is worth
-/// a third. Were it to go first for its earlier deadline, calls that are still
-/// in time would become late one after the other.
+/// A caller retries after a refusal when its objective has passed, so its answer has only a
+/// third of its value. If it went first for its earlier deadline, calls that are still in
+/// time would become late one after the other.
 #[test]
 fn a_call_that_is_late_already_goes_after_those_in_time() {
     let mut queue = full(8);
@@ -88,11 +88,11 @@
     assert_eq!(starts(&mut queue, 8, Duration::ZERO), [2, 1]);
 }
 
-/// With 4 slots of 100 ms each, the wait grows by 25 ms with each call in the
-/// queue. A call that would wait for more than its part of the 300 ms to its
-/// objective hears so at once, with the time after which there is room.
+/// With 4 slots and run times of 100 ms, the wait grows by 25 ms with each call in the
+/// queue. A call that would wait for more than its share of the 300 ms to its objective
+/// must be refused on arrival, with the time after which there is room.
 #[test]
-fn a_call_that_would_wait_past_its_objective_is_refused_when_it_comes() {
+fn a_call_that_would_wait_past_its_objective_is_refused_on_arrival() {
     let mut queue = full(4);
     let verdicts: Vec<_> = (0..6)
         .map(|attempt| queue.offer(ask(attempt, 0), Duration::ZERO).0)
@@ -106,10 +106,10 @@
     assert_eq!(refusal.retry_after, Some(ms(100)));
 }
 
-/// More urgent calls keep coming. One that waits behind them has no chance any
-/// more; it is refused now, so that its caller can still do something else.
+/// More urgent calls keep arriving. A call behind them that can no longer meet its deadline
+/// must be refused before the deadline, while its caller can still retry elsewhere.
 #[test]
-fn a_call_that_is_crowded_out_is_refused_before_its_time_has_passed() {
+fn a_call_that_is_displaced_is_refused_before_its_deadline() {
     let mut queue = full(1);
     let patient = QueueAsk {
         objective: Duration::ZERO,
@@ -151,8 +151,8 @@
     assert_eq!(queue.occupancy().queued, 0);
 }
 
-/// What callers get in 20 s of 1.6 times the load that the target carries, runs
-/// of uneven length: answers within the objective, and later ones.
+/// Results of calls during 20 s of 1.6 times the target's capacity, with uneven run times:
+/// answers within the objective, later answers, and refusals.
 #[derive(Debug, Default)]
 struct Outcome {
     in_time: u32,
@@ -169,15 +169,15 @@
     const OBJECTIVE: Duration = Duration::from_millis(300);
     const DEADLINE: Duration = Duration::from_secs(1);
 
-    /// Between a fifth and three times the mean, most of them below it.
+    /// Draws a run time of a fifth to some three times the mean, mostly below it.
     fn run_time(&mut self) -> Duration {
         let draw: f64 = self.rng.random();
         SERVICE.mul_f64(0.2 + 2.8 * draw * draw * draw * 1.14)
     }
 
-    /// Plays the load. `admits` puts a call into the queue or not, and `next`
-    /// names the one that starts when a slot is free.
-    fn play(
+    /// Simulates the load. `admits` decides about a call on arrival, and `next` about the
+    /// waiting calls after a run has ended.
+    fn simulate(
         &mut self,
         mut admits: impl FnMut(AttemptId, Duration) -> Verdict,
         mut next: impl FnMut(Option<AttemptId>, Duration) -> Vec<Dispatch>,
@@ -190,8 +190,8 @@
         while now < Duration::from_secs(20) {
             now += MS;
             let due: Vec<_> = ends.extract_if(.., |it| it.0 <= now).collect();
-            for (end, attempt, came) in due {
-                let took = end.saturating_sub(came);
+            for (end, attempt, arrived_at) in due {
+                let took = end.saturating_sub(arrived_at);
                 if took <= Self::OBJECTIVE {
                     outcome.in_time += 1;
                 } else if took <= Self::DEADLINE {
@@ -202,11 +202,11 @@
                 }
             }
             while gap * arrivals <= now {
-                let came = gap * arrivals;
+                let arrived_at = gap * arrivals;
                 arrivals += 1;
-                let attempt = came.as_nanos();
+                let attempt = arrived_at.as_nanos();
                 match admits(attempt, now) {
-                    Verdict::Run => ends.push((now + self.run_time(), attempt, came)),
+                    Verdict::Run => ends.push((now + self.run_time(), attempt, arrived_at)),
                     Verdict::Wait => {}
                     Verdict::Refused(_) => outcome.refused += 1,
                 }
@@ -225,8 +225,8 @@
         match dispatch {
             Dispatch::Run(attempt) => {
                 let nanos = u64::try_from(attempt).expect("a time of this run");
-                let came = Duration::from_nanos(nanos);
-                ends.push((now + self.run_time(), attempt, came));
+                let arrived_at = Duration::from_nanos(nanos);
+                ends.push((now + self.run_time(), attempt, arrived_at));
             }
             Dispatch::Refused(..) => outcome.refused += 1,
         }
@@ -240,7 +240,7 @@
     }
 }
 
-fn with_queue() -> Outcome {
+fn with_priority_queue() -> Outcome {
     let queue = std::cell::RefCell::new(Queue::new(13));
     let offer = |attempt, now| {
         let ask = QueueAsk {
@@ -257,11 +257,11 @@
         }
         queue.next(now)
     };
-    load().play(offer, next)
+    load().simulate(offer, next)
 }
 
-/// First in, first out, for as long as the caller waits.
-fn with_plain_queue() -> Outcome {
+/// A first-in, first-out queue, from which calls are removed at their deadline.
+fn with_fifo_queue() -> Outcome {
     use std::cell::RefCell;
     use std::collections::VecDeque;
     let free = RefCell::new(13_u32);
@@ -280,26 +280,29 @@
         waiting.retain(still_waits);
         waiting.pop_front().map(Dispatch::Run).into_iter().collect()
     };
-    load().play(offer, next)
+    load().simulate(offer, next)
 }
 
-/// Callers ask for 1.6 times what the target can do. Taken in order, every call
-/// waits until nearly all answers are late, and the target is as busy as ever.
-/// Refusing what would be late leaves those that are taken in time.
+/// The load is 1.6 times the target's capacity. With a first-in, first-out queue the waits
+/// grow until nearly all answers are late, while the target is as busy as before. The
+/// priority queue must keep most answers in time by refusing calls that would be late.
 #[test]
 fn under_overload_most_of_what_is_taken_is_answered_in_time() {
-    let (ours, plain) = (with_queue(), with_plain_queue());
+    let (priority, fifo) = (with_priority_queue(), with_fifo_queue());
     let share = |it: &Outcome| f64::from(it.in_time) / f64::from(it.in_time + it.late);
-    // A run in twelve takes longer than the objective by itself.
-    assert!(share(&ours) > 0.8, "{ours:?}");
-    assert!(ours.in_time > plain.in_time * 5, "{ours:?} {plain:?}");
-    // Nothing is lost by refusing: the slots are as busy as before.
+    // One run in twelve alone takes longer than the objective.
+    assert!(share(&priority) > 0.8, "{priority:?}");
+    assert!(priority.in_time > fifo.in_time * 5, "{priority:?} {fifo:?}");
+    // The refusals must not leave slots idle.
     let done = |it: &Outcome| f64::from(it.in_time + it.late);
-    assert!(done(&ours) > done(&plain) * 0.95, "{ours:?} {plain:?}");
+    assert!(
+        done(&priority) > done(&fifo) * 0.95,
+        "{priority:?} {fifo:?}"
+    );
 }
 
-/// Two kinds of one rank ask for more than there is. By deadline alone the one
-/// with the shorter deadlines gets everything and the other one starves.
+/// Two kinds of calls of one rank exceed the capacity. If only deadlines counted, the kind
+/// with the shorter deadlines would get every slot and the other one would starve.
 #[test]
 fn kinds_of_one_rank_get_like_shares() {
     let mut queue = full(1);
--- a/crates/calls/tests/all/retry.rs
+++ b/crates/calls/tests/all/retry.rs
@@ -10,8 +10,8 @@
 const MS: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
 
-// Every attempt of a service fails. Retries stay at the budget's share of first
-// attempts, so that they cannot keep the overload alive.
+// Every attempt of a service fails. Retries must stay at the budget's share of first
+// attempts, so that they cannot prolong an overload.
 #[test]
 fn retries_stay_within_their_share() {
     let mut budget = RetryBudget::default();
@@ -22,22 +22,22 @@
             retries += 1;
         }
     }
-    // A reserve of 10 and a fifth of 1,000, less one: the first call finds the
-    // reserve full and earns nothing.
+    // A reserve of 10 and a fifth of 1,000, less one: the first call earns nothing because
+    // the reserve is full.
     assert_eq!(retries, 209);
 }
 
-// A chain 8 deep whose last target fails. Only the first daemon tries again.
+// The last target of a chain of 8 hops fails. Only the first daemon may retry.
 #[test]
-fn chain_does_not_multiply() {
+fn chain_does_not_multiply_attempts() {
     assert!(may_retry(Settlement::NotRun, false, 0, 1, 3));
     for depth in 1..8 {
         assert!(!may_retry(Settlement::NotRun, true, depth, 1, 3));
     }
 }
 
-// A read ran and its executor died; the next attempt finds nobody. The caller is
-// told "unknown", since "not run" would hold for the last attempt only.
+// An idempotent call ran and its executor died, and the next attempt finds no upstream. The
+// call must end as "unknown", because "not run" is only true of the last attempt.
 #[test]
 fn call_is_not_run_only_if_no_attempt_may_have_run() {
     let nobody = Refusal::retry(Reason::NoUpstream, MS);
@@ -50,9 +50,9 @@
     assert_eq!(end.outcome(), Outcome::Unknown);
 }
 
-// The outcome of a claim is unknown. Another attempt could post it twice.
+// A call that posts a claim ends as unknown. Another attempt could post the claim twice.
 #[test]
-fn unknown_is_tried_again_only_if_idempotent() {
+fn unknown_is_retried_only_if_idempotent() {
     assert!(!may_retry(Settlement::Unknown, false, 0, 1, 3));
     assert!(may_retry(Settlement::Unknown, true, 0, 1, 3));
     assert!(!may_retry(Settlement::Unknown, true, 0, 3, 3));
@@ -69,8 +69,8 @@
     assert_eq!(backoff.pause(1, 5 * MS, 5 * MS, 9 * MS, &mut rng), None);
 }
 
-// Each of 8 hops holds something back for the way home, and the last one still
-// gets most of a short deadline.
+// Each of 8 hops reserves some time for the answer's way back, and the last one must still
+// get a usable part of a short deadline.
 #[test]
 fn deadline_shrinks_hop_by_hop() {
     let mut left = 20 * MS;
@@ -85,8 +85,8 @@
     assert_eq!(passed, None);
 }
 
-// A target leaves with calls in flight. It announces itself first, lingers for
-// entries that have not heard, and leaves when the last answer is out.
+// A target leaves with calls in flight. It must announce that first, wait for entries that
+// have not received the announcement, and leave when the last answer was sent.
 #[test]
 fn drain_answers_all_before_it_leaves() {
     let mut drain = Drain::new(30 * SECOND);
@@ -108,8 +108,8 @@
     assert_eq!(drain.tick(2, 31 * SECOND), DrainStep::LeaveUnfinished(2));
 }
 
-/// Twelve daemons that each saved up ten retries send 120 at once, where the
-/// fleet as a whole is allowed 60. Each gets its part of the reserve instead.
+/// Twelve daemons that each saved up ten retries would send 120 at once, where 60 are
+/// allowed for the whole fleet. Each must only save up its part of the reserve.
 #[test]
 fn a_budget_saves_up_no_more_than_its_reserve() {
     let mut budget = RetryBudget::with_reserve(3);
--- a/crates/calls/tests/all/router.rs
+++ b/crates/calls/tests/all/router.rs
@@ -21,7 +21,7 @@
     }
 }
 
-/// Two upstreams in our zone `n1` (a0, a1) and two in `n2` (b0, b1).
+/// Two upstreams in the entry's zone `n1` (a0, a1) and two in `n2` (b0, b1).
 fn candidates(state: CandidateState) -> Vec<Candidate> {
     let of = |zone: &'static str, letter: &'static str| {
         (0..2).map(move |n| candidate(&format_smolstr!("{letter}{n}"), zone, state))
@@ -69,8 +69,8 @@
     assert_eq!(names(&picks(&router, WARM)), ["b0", "b1"]);
 }
 
-// Other entries load an upstream that this one sends nothing to. Its answers
-// tell; and when they are old the upstream is tried again.
+// Other entries load an upstream. The load that it reports must keep this entry's calls
+// away, and when the report is old the upstream must be tried again.
 #[test]
 fn load_on_answers_counts_and_ages() {
     let mut router = router(&candidates(CandidateState::Ready));
@@ -86,9 +86,9 @@
     assert_eq!(names(&picks(&router, later)), ["a0", "a1"]);
 }
 
-// Health says that nobody is ready, which is a lie. Callers still get answers.
+// Membership wrongly reports that no upstream is ready. Calls must still be sent.
 #[test]
-fn health_that_lies_about_everyone_does_not_stop_the_service() {
+fn wrong_health_of_all_upstreams_does_not_stop_the_service() {
     let router = router(&candidates(CandidateState::Doubtful));
     assert_eq!(picks(&router, WARM).values().sum::<u32>(), 1_000);
 }
@@ -106,8 +106,8 @@
     assert!(picks(&router, WARM).is_empty());
 }
 
-// An upstream drains before membership has told anyone. Its first refusal is
-// enough: no further call goes there only to be refused.
+// An upstream drains before the entry has learned it from membership. After its first
+// refusal no further call may be sent there.
 #[test]
 fn upstream_that_says_it_is_leaving_gets_no_new_work() {
     let mut router = router(&candidates(CandidateState::Ready));
@@ -117,8 +117,8 @@
     assert_eq!(names(&picks(&router, WARM)), ["a1"]);
 }
 
-// An upstream breaks every connection. It is left out, comes back, breaks again
-// and is left out for longer.
+// An upstream breaks every connection. After each ejection it fails again, and the next
+// ejection must last longer.
 #[test]
 fn failing_upstream_is_ejected_for_longer_each_time() {
     let mut router = router(&candidates(CandidateState::Ready));
@@ -131,8 +131,8 @@
     assert!(router.ejected(&SERVICE, back + 1_000 * MS).is_empty());
 }
 
-// Our own network card drops packets, so that everyone seems to fail. At most
-// half are ejected: ejecting all would make an outage out of a bad signal.
+// The entry's own network card drops packets, so that all upstreams seem to fail. At most
+// half may be ejected, because ejecting all of them would cause an outage.
 #[test]
 fn at_most_half_are_ejected() {
     let mut router = router(&candidates(CandidateState::Ready));
@@ -143,8 +143,8 @@
     assert_eq!(names(&picks(&router, WARM)), ["b0", "b1"]);
 }
 
-// A target restarts with empty caches. It gets a small share first; a full one
-// would make all of it slow.
+// A target restarts with empty caches. It must get a small share of calls first, because
+// with a full share all its answers would be slow.
 #[test]
 fn new_upstream_starts_slowly() {
     let mut list = candidates(CandidateState::Ready);
--- a/crates/calls/tests/all/routes.rs
+++ b/crates/calls/tests/all/routes.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_prefix_with_a_slash_at_its_end_is_taken_to_the_letter() {
+fn a_prefix_with_a_slash_at_its_end_does_not_match_without_it() {
     let table = table(&[route("floats", None, "/floats/")]);
     assert_eq!(found(&table, "a", "/floats/7").as_deref(), Some("floats"));
     assert_eq!(found(&table, "a", "/floats/").as_deref(), Some("floats"));
@@ -66,10 +66,10 @@
     assert_eq!(name("there.example"), "anywhere");
 }
 
-/// The parts of a split are judged by their shares of the calls. A daemon sees
-/// few calls of a route, so they are dealt out by draw and not in turn.
+/// The services of a split are compared by their results for their shares of the calls. A
+/// daemon gets few calls of a route, so calls are distributed at random and not in turn.
 #[test]
-fn a_split_deals_calls_out_by_weight() {
+fn a_split_distributes_calls_by_weight() {
     let mut split = route("floats", None, "/");
     split.split = [("old", 90), ("new", 10)]
         .map(|(service, weight)| Share {
--- a/crates/calls/tests/all/silence.rs
+++ b/crates/calls/tests/all/silence.rs
@@ -8,10 +8,10 @@
     Silence::new(SilenceConfig::default())
 }
 
-// A connection lost its state in the middle: the request never came through and
-// no error comes back. The ledger, asked afresh, has never seen the attempt.
+// A device on the way lost the state of a connection, so the request never arrived and no
+// error is returned. The ledger, queried over a new connection, has never seen the attempt.
 #[test]
-fn attempt_that_never_came_through_is_retired() {
+fn attempt_that_never_arrived_is_retired() {
     let mut silence = silence();
     silence.sent(1, Duration::ZERO);
     assert!(silence.tick(199 * MS).is_empty());
@@ -22,8 +22,8 @@
     assert_eq!(action, Some(SilenceAction::Retire(1)));
 }
 
-// A slow call looks like a silent connection. It must not be given up: the
-// ledger says that it runs.
+// A slow call looks like a silent connection. It must not be given up while the ledger
+// reports that it runs.
 #[test]
 fn slow_call_is_left_alone() {
     let mut silence = silence();
@@ -36,7 +36,7 @@
     }
 }
 
-// The call ended, and its answer was lost with the connection.
+// The call ended, but its answer was lost with the connection.
 #[test]
 fn finished_call_on_a_silent_connection_is_retired() {
     let mut silence = silence();
@@ -46,8 +46,8 @@
     assert_eq!(action, Some(SilenceAction::Retire(1)));
 }
 
-// Fresh connections bring no answer either: the executor is gone, and the call
-// ends as unknown instead of at its deadline.
+// Queries over new connections get no answer either, so the executor is gone. The call
+// must end as unknown now rather than at its deadline.
 #[test]
 fn executor_that_answers_nobody_is_given_up() {
     let mut silence = silence();
--- a/crates/calls/tests/all/throttle.rs
+++ b/crates/calls/tests/all/throttle.rs
@@ -21,54 +21,54 @@
         }
     }
 
-    /// A thousand calls, of which `succeeds` says how they end; gives how many
-    /// were let through and how many of those succeeded.
-    fn play(&mut self, mut succeeds: impl FnMut(f64) -> bool) -> (u32, u32) {
-        let (mut through, mut good) = (0, 0);
+    /// Offers a thousand calls, of which those succeed for which `succeeds` returns true.
+    /// Returns how many were admitted and how many of those succeeded.
+    fn simulate(&mut self, mut succeeds: impl FnMut(f64) -> bool) -> (u32, u32) {
+        let (mut admitted, mut succeeded) = (0, 0);
         for _ in 0..1_000 {
             self.now += GAP;
             if !self.throttle.admits(self.rng.random(), self.now) {
                 continue;
             }
-            through += 1;
+            admitted += 1;
             if succeeds(self.rng.random()) {
-                good += 1;
+                succeeded += 1;
                 self.throttle.good(self.now);
             }
         }
-        (through, good)
+        (admitted, succeeded)
     }
 }
 
 #[test]
 fn ordinary_failures_refuse_nothing() {
     let mut route = Route::new();
-    let (through, _) = route.play(|draw| draw > 0.3);
-    assert_eq!(through, 1_000);
+    let (admitted, _) = route.simulate(|draw| draw > 0.3);
+    assert_eq!(admitted, 1_000);
 }
 
-/// The target needs another service, which carries 20 of 100 calls. Each call
-/// beyond that fails after it has taken a slot and part of that service.
+/// The target calls another service, which has capacity for 20 of 100 calls. Each call
+/// above that fails after it has used a slot and part of that capacity.
 #[test]
-fn what_mostly_fails_is_let_through_little_more_often_than_it_succeeds() {
+fn admitted_calls_are_bounded_by_a_multiple_of_the_successes() {
     let mut route = Route::new();
-    route.play(|draw| draw < 0.2);
-    let (through, _) = route.play(|draw| draw < 0.2);
-    assert!(through < 400, "{through}");
+    route.simulate(|draw| draw < 0.2);
+    let (admitted, _) = route.simulate(|draw| draw < 0.2);
+    assert!(admitted < 400, "{admitted}");
 }
 
 #[test]
 fn a_route_that_fails_wholly_is_still_tried_and_recovers() {
     let mut route = Route::new();
-    let (through, _) = route.play(|_| false);
-    assert!((5..200).contains(&through), "{through}");
-    route.play(|_| true);
-    let (through, _) = route.play(|_| true);
-    assert_eq!(through, 1_000);
+    let (admitted, _) = route.simulate(|_| false);
+    assert!((5..200).contains(&admitted), "{admitted}");
+    route.simulate(|_| true);
+    let (admitted, _) = route.simulate(|_| true);
+    assert_eq!(admitted, 1_000);
 }
 
 #[test]
-fn calls_that_tell_nothing_refuse_nothing() {
+fn calls_without_information_refuse_nothing() {
     let mut throttle = Throttle::default();
     for step in 0..1_000 {
         assert!(throttle.admits(0.0, GAP * step));
