--- a/crates/calls/src/admission/active_tenants.rs
+++ b/crates/calls/src/admission/active_tenants.rs
@@ -32,7 +32,7 @@
 }
 
 impl ActiveTenants {
-    /// Takes in a call of a tenant.
+    /// Records a call of a tenant.
     pub(super) fn record(&mut self, tenant: &CustomerName, weight: u32, now: Time) {
         let activity = Activity { at: now, weight };
         if let Some(known) = self.tenants.get_mut(tenant) {
--- a/crates/calls/src/admission/shares.rs
+++ b/crates/calls/src/admission/shares.rs
@@ -33,7 +33,7 @@
         (at.max(self.clock), tenant_at.max(clock))
     }
 
-    /// Takes in a start.
+    /// Records a start.
     pub(super) fn charge(&mut self, class: Class, tenant: &CustomerName, weight: u32) {
         let (class_at, tenant_at) = self.position(class, tenant);
         self.clock = class_at;
--- a/crates/calls/src/candidates.rs
+++ b/crates/calls/src/candidates.rs
@@ -117,7 +117,7 @@
 
     fn update(&mut self, candidate: &Candidate, now: Time) {
         if self.incarnation != candidate.incarnation {
-            // Failures, load and pauses belong to the previous process.
+            // Failures, load and retry delays belong to the previous process.
             let in_flight = self.in_flight;
             *self = Self::new(candidate, now);
             self.in_flight = in_flight;
--- a/crates/calls/src/placement.rs
+++ b/crates/calls/src/placement.rs
@@ -164,7 +164,7 @@
         names
     }
 
-    /// Takes in the occupancy that an executor reported in answer to a probe.
+    /// Records the occupancy that an executor reported in answer to a probe.
     pub fn told(
         &mut self,
         service: &ServiceName,
--- a/crates/calls/src/placement/stats.rs
+++ b/crates/calls/src/placement/stats.rs
@@ -8,7 +8,7 @@
 use crate::queue::Occupancy;
 
 /// Mean size of a route's answers from which they count as large. Smaller answers are
-/// sent between the pieces of large ones.
+/// sent between the chunks of large ones.
 const LARGE_ANSWER_BYTES: f64 = 16_384.0;
 
 /// Age at which a reported occupancy expires: a few run times.
@@ -187,7 +187,7 @@
     wait.max(full) + inputs.run_at(service) + row.stats.time_on_link(inputs.bytes, now)
 }
 
-/// Takes in how an attempt ended. If this ejects the target, returns the duration of the
+/// Records how an attempt ended. If this ejects the target, returns the duration of the
 /// ejection.
 pub(super) fn finished(
     row: &mut Row,
--- a/crates/calls/src/queue/kinds.rs
+++ b/crates/calls/src/queue/kinds.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes in the run time of a call of this kind.
+    /// Records the run time of a call of this kind.
     pub(super) fn record_run(&mut self, kind: &SmolStr, took: Duration) {
         self.all.record(took);
         if let Some(kind) = self.get_mut(kind) {
--- a/crates/calls/src/retry.rs
+++ b/crates/calls/src/retry.rs
@@ -110,7 +110,7 @@
 }
 
 impl Attempts {
-    /// Takes in the refusal of an attempt, and returns the refusal of the call if no other
+    /// Records the refusal of an attempt, and returns the refusal of the call if no other
     /// attempt follows. It states "not run" only if no attempt may have run.
     pub fn refused(&mut self, refusal: Refusal) -> Refusal {
         if refusal.outcome() != Outcome::NotRun {
@@ -149,7 +149,7 @@
         Self { base, longest }
     }
 
-    /// Pause before the next attempt after `made` attempts, at least `floor`. `None` if less
+    /// Delay before the next attempt after `made` attempts, at least `floor`. `None` if less
     /// than `needed` of the time `left` would remain for the attempt; the caller is then
     /// refused now instead of after a useless wait.
     pub fn pause(
@@ -162,7 +162,7 @@
     ) -> Option<Duration> {
         let doublings = made.saturating_sub(1).min(16);
         let ceiling = (self.base * (1 << doublings)).min(self.longest);
-        let pause = floor + ceiling.mul_f64(rng.random::<f64>());
-        (pause + needed < left).then_some(pause)
+        let delay = floor + ceiling.mul_f64(rng.random::<f64>());
+        (delay + needed < left).then_some(delay)
     }
 }
--- a/crates/calls/src/router/mod.rs
+++ b/crates/calls/src/router/mod.rs
@@ -30,7 +30,7 @@
 pub enum Report {
     /// It answered, with the executor's load if the answer reported it.
     Answered(Option<Load>),
-    /// It refused, with the executor's load if reported, and requested this pause.
+    /// It refused, with the executor's load if reported, and requested this delay.
     Refused(Option<Load>, Duration),
     /// There was no connection, no complete answer or no response at all.
     Failed,
--- a/crates/calls/src/router/stats.rs
+++ b/crates/calls/src/router/stats.rs
@@ -17,10 +17,10 @@
 /// Age at which a reported load expires.
 const LOAD_MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Upper bound on the pause after a refusal, whatever the upstream requested.
-const MAX_PAUSE: Duration = Duration::from_secs(1);
+/// Upper bound on the delay after a refusal, whatever the upstream requested.
+const MAX_DELAY: Duration = Duration::from_secs(1);
 
-/// Score added during the pause that an upstream requested.
+/// Score added during the delay that an upstream requested.
 const REFUSED_SCORE: f64 = 1.0;
 
 /// Failures in a row after which an upstream is ejected.
@@ -38,7 +38,7 @@
 pub(super) struct UpstreamStats {
     reported: Load,
     reported_at: Time,
-    paused_until: Time,
+    delayed_until: Time,
     failures: u32,
 }
 
@@ -52,7 +52,7 @@
     let reported = f64::from(stats.reported.running + stats.reported.queued) * fresh;
     let own = f64::from(row.in_flight);
     let slots = f64::from(row.slots.max(1)) * share(row, now);
-    let paused = if now < stats.paused_until {
+    let delay_score = if now < stats.delayed_until {
         REFUSED_SCORE
     } else {
         0.0
@@ -60,7 +60,7 @@
     // The executor's count includes our own calls, so the larger of the two is more
     // accurate than the sum. Adding one gives an idle cold upstream a higher score than
     // an idle warm one.
-    (own.max(reported) + 1.0) / slots + paused
+    (own.max(reported) + 1.0) / slots + delay_score
 }
 
 fn share(row: &Row, now: Time) -> f64 {
@@ -71,17 +71,17 @@
     INITIAL_SHARE + (1.0 - INITIAL_SHARE) * ramp
 }
 
-/// Takes in how an attempt ended.
+/// Records how an attempt ended.
 pub(super) fn record_report(row: &mut Row, report: Report, may_eject: bool, now: Time) {
     match report {
         Report::Answered(load) => {
             record_load(&mut row.stats, load, now);
             succeeded(row);
         }
-        Report::Refused(load, pause) => {
+        Report::Refused(load, delay) => {
             record_load(&mut row.stats, load, now);
             succeeded(row);
-            row.stats.paused_until = now + pause.min(MAX_PAUSE);
+            row.stats.delayed_until = now + delay.min(MAX_DELAY);
         }
         Report::Failed => failed(row, may_eject, now),
         Report::Leaving => row.mark_leaving(now),
--- a/crates/calls/src/silence.rs
+++ b/crates/calls/src/silence.rs
@@ -11,13 +11,13 @@
 use crate::ids::{AttemptId, Time};
 use crate::ledger::Settled;
 
-/// Timing of the queries, and when to give up.
+/// Timing of the queries, and the number after which an attempt is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct SilenceConfig {
     /// Time without a response after which the executor is queried.
     pub first_ask: Duration,
-    /// Upper bound on the pause between two queries about an attempt that runs.
-    pub longest_pause: Duration,
+    /// Upper bound on the interval between two queries about an attempt that runs.
+    pub max_interval: Duration,
     /// Unanswered queries after which the executor counts as gone.
     pub unanswered: u32,
 }
@@ -26,7 +26,7 @@
     fn default() -> Self {
         Self {
             first_ask: Duration::from_millis(200),
-            longest_pause: Duration::from_secs(2),
+            max_interval: Duration::from_secs(2),
             unanswered: 3,
         }
     }
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Watch {
     query_at: Time,
-    pause: Duration,
+    interval: Duration,
     unanswered: u32,
     never_seen: u32,
 }
@@ -58,7 +58,8 @@
     watches: BTreeMap<AttemptId, Watch>,
 }
 
-/// Number of `NeverSeen` answers, a pause apart, after which the connection is retired.
+/// Number of successive `NeverSeen` answers, one interval apart, after which the connection is
+/// retired.
 /// After the first one the attempt may still be on its way.
 const NEVER_SEEN_TO_RETIRE: u32 = 2;
 
@@ -74,7 +75,7 @@
     pub fn sent(&mut self, attempt: AttemptId, now: Time) {
         let watch = Watch {
             query_at: now + self.cfg.first_ask,
-            pause: self.cfg.first_ask,
+            interval: self.cfg.first_ask,
             unanswered: 0,
             never_seen: 0,
         };
@@ -110,7 +111,7 @@
         actions
     }
 
-    /// Takes in the ledger's answer to a query. An attempt that is queued or running keeps
+    /// Handles the ledger's answer to a query. An attempt that is queued or running keeps
     /// its connection. Any other state means that the answer, or the attempt itself, was
     /// lost on the old connection.
     pub fn heard(
@@ -124,8 +125,8 @@
         let retire = match settled {
             Settled::Queued | Settled::Running => {
                 watch.never_seen = 0;
-                watch.pause = (watch.pause * 2).min(self.cfg.longest_pause);
-                watch.query_at = now + watch.pause;
+                watch.interval = (watch.interval * 2).min(self.cfg.max_interval);
+                watch.query_at = now + watch.interval;
                 false
             }
             Settled::NeverSeen => {
--- a/crates/calls/src/uplink.rs
+++ b/crates/calls/src/uplink.rs
@@ -4,8 +4,8 @@
 //! of a second, the link takes a second to send it, and every small answer behind it is
 //! late as well.
 //!
-//! * Small messages are sent at once. Large ones are sent in pieces at the rate of the
-//!   link, so that a small one never waits for more than one piece.
+//! * Small messages are sent at once. Large ones are sent in chunks at the rate of the
+//!   link, so that a small one never waits for more than one chunk.
 //! * A call whose large answer the link cannot deliver in time is refused before its
 //!   target works on it.
 //! * The backlog of the link is reported to the entries, which place calls with large
@@ -22,16 +22,16 @@
 /// instance need the rest. A saturated link builds up a queue that delays every message.
 const USABLE_SHARE: f64 = 0.9;
 
-/// Time that the link needs for one piece of a large message. A small message waits for
-/// one piece at most, and 8 ms matter little for an objective of some 100 ms.
-const PIECE_TIME: Duration = Duration::from_millis(8);
+/// Time that the link needs for one chunk of a large message. A small message waits for
+/// one chunk at most, and 8 ms matter little for an objective of some 100 ms.
+const CHUNK_TIME: Duration = Duration::from_millis(8);
 
-/// Bounds on the size of a piece. The system calls for a smaller piece would cost more
+/// Bounds on the size of a chunk. The system calls for a smaller chunk would cost more
 /// than its bytes; with larger ones, answers that are not small would still be sent whole.
-const MIN_PIECE_BYTES: usize = 4 << 10;
-const MAX_PIECE_BYTES: usize = 64 << 10;
+const MIN_CHUNK_BYTES: usize = 4 << 10;
+const MAX_CHUNK_BYTES: usize = 64 << 10;
 
-/// How far pieces may be sent ahead of the link's rate, which compensates for timers that
+/// How far chunks may be sent ahead of the link's rate, which compensates for timers that
 /// fire late.
 const MAX_AHEAD: Duration = Duration::from_millis(2);
 
@@ -60,14 +60,14 @@
         }
     }
 
-    /// Maximum size of a frame; larger messages are sent in pieces of this size.
+    /// Maximum size of a frame; larger messages are sent in chunks of this size.
     #[must_use]
     pub fn piece_bytes(&self) -> usize {
         let Some(rate) = self.rate else {
-            return MAX_PIECE_BYTES;
+            return MAX_CHUNK_BYTES;
         };
-        let bytes = round_down(rate * PIECE_TIME.as_secs_f64());
-        bytes.clamp(MIN_PIECE_BYTES, MAX_PIECE_BYTES)
+        let bytes = round_down(rate * CHUNK_TIME.as_secs_f64());
+        bytes.clamp(MIN_CHUNK_BYTES, MAX_CHUNK_BYTES)
     }
 
     /// Whether an answer of this size counts as large.
@@ -76,7 +76,7 @@
         round_down(bytes) > self.piece_bytes()
     }
 
-    /// Time until the next piece may be sent.
+    /// Time until the next chunk may be sent.
     #[must_use]
     pub fn until_free(&self, now: Time) -> Duration {
         self.free_at.saturating_sub(now + MAX_AHEAD)
--- a/crates/calls/tests/all/silence.rs
+++ b/crates/calls/tests/all/silence.rs
@@ -22,7 +22,7 @@
     assert_eq!(action, Some(SilenceAction::Retire(1)));
 }
 
-// A slow call looks like a silent connection. It must not be given up while the ledger
+// A slow call looks like a silent connection. It must not be abandoned while the ledger
 // reports that it runs.
 #[test]
 fn slow_call_is_left_alone() {
--- a/crates/calls/tests/all/uplink.rs
+++ b/crates/calls/tests/all/uplink.rs
@@ -10,13 +10,13 @@
 }
 
 #[test]
-fn pieces_follow_the_rate_of_the_link() {
+fn chunks_follow_the_rate_of_the_link() {
     let mut link = slow_link();
-    let piece = link.piece_bytes();
-    assert!((8_000..8_200).contains(&piece), "{piece}");
+    let chunk = link.piece_bytes();
+    assert!((8_000..8_200).contains(&chunk), "{chunk}");
     let now = MS * 1_000;
     assert_eq!(link.until_free(now), Duration::ZERO);
-    link.sent(piece, now);
+    link.sent(chunk, now);
     let wait = link.until_free(now);
     assert!(wait > MS * 5 && wait < MS * 8, "{wait:?}");
     assert_eq!(link.until_free(now + MS * 8), Duration::ZERO);
