--- a/crates/calls/src/admission/mod.rs
+++ b/crates/calls/src/admission/mod.rs
@@ -76,23 +76,24 @@
 
     /// Decides about an attempt at once. Also returns the waiting attempt that is refused
     /// to make room for it, if any.
-    pub fn offer(&mut self, ask: Ask, now: Time) -> (Verdict, Vec<Dispatch>) {
-        self.active_tenants.record(&ask.tenant, ask.weight, now);
-        let service = self.service_time(ask.class);
-        if now + service >= ask.expires && !self.may_probe(&ask, now) {
+    pub fn offer(&mut self, request: Ask, now: Time) -> (Verdict, Vec<Dispatch>) {
+        self.active_tenants
+            .record(&request.tenant, request.weight, now);
+        let service = self.service_time(request.class);
+        if now + service >= request.expires && !self.may_probe(&request, now) {
             let refusal = Refusal::retry(Reason::Deadline, MIN_RETRY_AFTER);
             return (Verdict::Refused(refusal), Vec::new());
         }
-        if self.waiting.is_empty() && self.may_run(&ask) {
-            self.start(ask, now);
+        if self.waiting.is_empty() && self.may_run(&request) {
+            self.start(request, now);
             return (Verdict::Run, Vec::new());
         }
-        let wait = self.expected_wait(&ask);
-        if now + wait + service >= ask.expires || self.has_used_queue_share(&ask) {
+        let wait = self.expected_wait(&request);
+        if now + wait + service >= request.expires || self.has_used_queue_share(&request) {
             let refusal = overload(wait);
             return (Verdict::Refused(refusal), Vec::new());
         }
-        self.enqueue(ask, wait)
+        self.enqueue(request, wait)
     }
 
     /// The attempt ended. If it had a slot, records its run time and frees the slot;
@@ -122,9 +123,9 @@
     pub fn next(&mut self, now: Time) -> Vec<Dispatch> {
         let mut out = self.refuse_expired(now);
         while let Some(index) = self.next_index() {
-            let ask = self.waiting.swap_remove(index);
-            out.push(Dispatch::Run(ask.attempt));
-            self.start(ask, now);
+            let request = self.waiting.swap_remove(index);
+            out.push(Dispatch::Run(request.attempt));
+            self.start(request, now);
         }
         out
     }
@@ -134,7 +135,7 @@
     /// the whole queue would run work that its entries are about to revoke.
     pub fn flush(&mut self, reason: Reason) -> Vec<Dispatch> {
         let refusal = Refusal::retry(reason, MIN_RETRY_AFTER);
-        let refused = |ask: Ask| Dispatch::Refused(ask.attempt, refusal);
+        let refused = |request: Ask| Dispatch::Refused(request.attempt, refusal);
         self.waiting.drain(..).map(refused).collect()
     }
 
@@ -148,31 +149,32 @@
     /// An idle executor admits a call whatever the run-time estimate says. The estimate
     /// only changes when calls run: if all were refused after one slow minute of the
     /// target, it would never get a call again.
-    fn may_probe(&self, ask: &Ask, now: Time) -> bool {
-        self.running.is_empty() && self.waiting.is_empty() && now < ask.expires
+    fn may_probe(&self, request: &Ask, now: Time) -> bool {
+        self.running.is_empty() && self.waiting.is_empty() && now < request.expires
     }
 
-    fn may_run(&self, ask: &Ask) -> bool {
+    fn may_run(&self, request: &Ask) -> bool {
         let free = self.running.len() < self.cfg.slots as usize;
-        free && self.is_below_concurrency(ask)
+        free && self.is_below_concurrency(request)
     }
 
-    fn is_below_concurrency(&self, ask: &Ask) -> bool {
-        let Some(limit) = ask.concurrency else {
+    fn is_below_concurrency(&self, request: &Ask) -> bool {
+        let Some(limit) = request.concurrency else {
             return true;
         };
-        let same = |run: &&Running| run.tenant == ask.tenant;
+        let same = |run: &&Running| run.tenant == request.tenant;
         self.running.values().filter(same).count() < limit as usize
     }
 
-    fn start(&mut self, ask: Ask, now: Time) {
-        self.shares.charge(ask.class, &ask.tenant, ask.weight);
+    fn start(&mut self, request: Ask, now: Time) {
+        self.shares
+            .charge(request.class, &request.tenant, request.weight);
         let run = Running {
-            tenant: ask.tenant,
-            class: ask.class,
+            tenant: request.tenant,
+            class: request.class,
             started: now,
         };
-        self.running.insert(ask.attempt, run);
+        self.running.insert(request.attempt, run);
     }
 
     /// The waiting attempt to start next: from the class that is furthest behind its
@@ -183,89 +185,97 @@
             return None;
         }
         let indexed = self.waiting.iter().enumerate();
-        let eligible = indexed.filter(|(_, ask)| self.is_below_concurrency(ask));
-        let next = eligible.min_by_key(|(_, ask)| {
-            let (class, tenant) = self.shares.position(ask.class, &ask.tenant);
-            (class, ask.class, tenant, &ask.tenant, ask.expires)
+        let eligible = indexed.filter(|(_, request)| self.is_below_concurrency(request));
+        let next = eligible.min_by_key(|(_, request)| {
+            let (class, tenant) = self.shares.position(request.class, &request.tenant);
+            (
+                class,
+                request.class,
+                tenant,
+                &request.tenant,
+                request.expires,
+            )
         });
         next.map(|(index, _)| index)
     }
 
     fn refuse_expired(&mut self, now: Time) -> Vec<Dispatch> {
         let service = &self.service;
-        let late = |ask: &mut Ask| {
-            let needed = service.get(&ask.class).map(Estimate::mean);
-            now + needed.unwrap_or_default() >= ask.expires
+        let late = |request: &mut Ask| {
+            let needed = service.get(&request.class).map(Estimate::mean);
+            now + needed.unwrap_or_default() >= request.expires
         };
         let refusal = Refusal::permanent(Reason::Deadline);
-        let refused = |ask: Ask| Dispatch::Refused(ask.attempt, refusal);
+        let refused = |request: Ask| Dispatch::Refused(request.attempt, refusal);
         self.waiting.extract_if(.., late).map(refused).collect()
     }
 
-    /// Estimated time until `ask` starts. It goes after all that waits in its class and in
+    /// Estimated time until `request` starts. It goes after all that waits in its class and in
     /// more urgent ones, unless its tenant's share lets it start earlier.
-    fn expected_wait(&self, ask: &Ask) -> Duration {
-        let ahead = self.waiting.iter().filter(|it| it.class <= ask.class);
+    fn expected_wait(&self, request: &Ask) -> Duration {
+        let ahead = self.waiting.iter().filter(|it| it.class <= request.class);
         let all = ahead.count();
-        let own = self.waiting.iter().filter(|it| it.tenant == ask.tenant);
+        let own = self.waiting.iter().filter(|it| it.tenant == request.tenant);
         let own = own.count() + 1;
-        let fair = own * self.queued_weight(ask) / ask.weight.max(1) as usize;
+        let fair = own * self.queued_weight(request) / request.weight.max(1) as usize;
         let turns = u32::try_from((all + 1).min(fair)).unwrap_or(u32::MAX);
-        self.service_time(ask.class) * turns / self.cfg.slots.max(1)
+        self.service_time(request.class) * turns / self.cfg.slots.max(1)
     }
 
     /// Whether the tenant already uses its whole share of the queue, among the recently
     /// active tenants. A call beyond the share would be evicted as soon as the other
     /// tenants send calls again; it is better refused on arrival than after a wait.
-    fn has_used_queue_share(&self, ask: &Ask) -> bool {
-        let same = |it: &&Ask| it.tenant == ask.tenant;
+    fn has_used_queue_share(&self, request: &Ask) -> bool {
+        let same = |it: &&Ask| it.tenant == request.tenant;
         let held = self.waiting.iter().filter(same).count();
-        held >= self.active_tenants.queue_places(ask.weight, self.cfg.queue)
+        held >= self
+            .active_tenants
+            .queue_places(request.weight, self.cfg.queue)
     }
 
-    fn queued_weight(&self, ask: &Ask) -> usize {
+    fn queued_weight(&self, request: &Ask) -> usize {
         let mut weights: BTreeMap<&CustomerName, u32> = BTreeMap::new();
         for it in &self.waiting {
             weights.insert(&it.tenant, it.weight);
         }
-        weights.insert(&ask.tenant, ask.weight);
+        weights.insert(&request.tenant, request.weight);
         weights.values().map(|&weight| weight.max(1) as usize).sum()
     }
 
-    fn enqueue(&mut self, ask: Ask, wait: Duration) -> (Verdict, Vec<Dispatch>) {
+    fn enqueue(&mut self, request: Ask, wait: Duration) -> (Verdict, Vec<Dispatch>) {
         if self.waiting.len() < self.cfg.queue {
-            self.waiting.push(ask);
+            self.waiting.push(request);
             return (Verdict::Wait, Vec::new());
         }
         let refusal = overload(wait);
         // Without eviction, a tenant that floods the queue would cause every call of the
         // others to be refused on arrival, whatever their shares are.
-        let Some(index) = self.eviction_candidate(&ask) else {
+        let Some(index) = self.eviction_candidate(&request) else {
             return (Verdict::Refused(refusal), Vec::new());
         };
-        let evicted = std::mem::replace(&mut self.waiting[index], ask);
+        let evicted = std::mem::replace(&mut self.waiting[index], request);
         let out = Dispatch::Refused(evicted.attempt, refusal);
         (Verdict::Wait, vec![out])
     }
 
-    /// The waiting attempt to evict for `ask`, if there is one: from the least urgent
+    /// The waiting attempt to evict for `request`, if there is one: from the least urgent
     /// class, in it the tenant that uses most of the queue for its weight, and of that
     /// tenant the attempt with the latest deadline.
-    fn eviction_candidate(&self, ask: &Ask) -> Option<usize> {
+    fn eviction_candidate(&self, request: &Ask) -> Option<usize> {
         let indexed = self.waiting.iter().enumerate();
         let rank = |it: &Ask, extra: usize| (it.class, self.queue_share(it, extra));
         let worst = indexed.max_by_key(|(_, it)| (rank(it, 0), it.expires))?;
         let (index, victim) = worst;
-        let same = victim.tenant == ask.tenant && victim.class == ask.class;
-        (!same && rank(victim, 0) > rank(ask, 1)).then_some(index)
+        let same = victim.tenant == request.tenant && victim.class == request.class;
+        (!same && rank(victim, 0) > rank(request, 1)).then_some(index)
     }
 
     /// Places of the queue that the tenant uses, divided by its weight, in thousandths.
     /// `extra` is added to the places.
-    fn queue_share(&self, ask: &Ask, extra: usize) -> usize {
-        let same = |it: &&Ask| it.tenant == ask.tenant;
+    fn queue_share(&self, request: &Ask, extra: usize) -> usize {
+        let same = |it: &&Ask| it.tenant == request.tenant;
         let held = self.waiting.iter().filter(same).count() + extra;
-        held * 1000 / ask.weight.max(1) as usize
+        held * 1000 / request.weight.max(1) as usize
     }
 }
 
--- a/crates/calls/src/queue.rs
+++ b/crates/calls/src/queue.rs
@@ -115,26 +115,26 @@
 
     /// Decides about a call at once. Also returns the waiting calls that are refused
     /// because this one goes before them.
-    pub fn offer(&mut self, ask: QueueAsk, now: Time) -> (Verdict, Vec<Dispatch>) {
-        self.kinds.record_request(&ask.kind, now);
-        let service = self.service(&ask.kind);
-        if now + service >= ask.expires && !self.is_idle() {
+    pub fn offer(&mut self, request: QueueAsk, now: Time) -> (Verdict, Vec<Dispatch>) {
+        self.kinds.record_request(&request.kind, now);
+        let service = self.service(&request.kind);
+        if now + service >= request.expires && !self.is_idle() {
             let refusal = Refusal::retry(Reason::Deadline, MIN_RETRY_AFTER);
             return (Verdict::Refused(refusal), Vec::new());
         }
         if self.waiting.is_empty() && self.has_free_slot() {
-            self.start(&ask, now);
+            self.start(&request, now);
             return (Verdict::Run, Vec::new());
         }
         let ahead = self
             .waiting
             .iter()
-            .filter(|it| self.precedes(it, &ask, now));
+            .filter(|it| self.precedes(it, &request, now));
         let wait = self.queue_wait(ahead);
-        if !self.is_worth_queueing(&ask, wait, now) {
+        if !self.is_worth_queueing(&request, wait, now) {
             return (Verdict::Refused(overload(wait)), Vec::new());
         }
-        self.waiting.push(ask);
+        self.waiting.push(request);
         (Verdict::Wait, self.refuse_displaced(now))
     }
 
@@ -161,9 +161,9 @@
         while self.has_free_slot()
             && let Some(index) = self.next_index(now)
         {
-            let ask = self.waiting.swap_remove(index);
-            out.push(Dispatch::Run(ask.attempt));
-            self.start(&ask, now);
+            let request = self.waiting.swap_remove(index);
+            out.push(Dispatch::Run(request.attempt));
+            self.start(&request, now);
         }
         out
     }
@@ -171,7 +171,7 @@
     /// Refuses all waiting calls with `reason`.
     pub fn flush(&mut self, reason: Reason) -> Vec<Dispatch> {
         let refusal = Refusal::retry(reason, MIN_RETRY_AFTER);
-        let refused = |ask: QueueAsk| Dispatch::Refused(ask.attempt, refusal);
+        let refused = |request: QueueAsk| Dispatch::Refused(request.attempt, refusal);
         self.waiting.drain(..).map(refused).collect()
     }
 
@@ -194,28 +194,28 @@
         self.running.len() < self.slots as usize
     }
 
-    fn start(&mut self, ask: &QueueAsk, now: Time) {
-        self.kinds.record_start(&ask.kind);
+    fn start(&mut self, request: &QueueAsk, now: Time) {
+        self.kinds.record_start(&request.kind);
         let run = Running {
-            kind: ask.kind.clone(),
+            kind: request.kind.clone(),
             started: now,
         };
-        self.running.insert(ask.attempt, run);
+        self.running.insert(request.attempt, run);
     }
 
     fn precedes(&self, one: &QueueAsk, other: &QueueAsk, now: Time) -> bool {
         self.position(one, now) <= self.position(other, now)
     }
 
-    fn position(&self, ask: &QueueAsk, now: Time) -> (u8, bool, u8, Time) {
-        let is_late = now + self.service(&ask.kind) > ask.objective;
-        let share = self.kinds.share(&ask.kind);
-        (ask.rank, is_late, share, ask.expires)
+    fn position(&self, request: &QueueAsk, now: Time) -> (u8, bool, u8, Time) {
+        let is_late = now + self.service(&request.kind) > request.objective;
+        let share = self.kinds.share(&request.kind);
+        (request.rank, is_late, share, request.expires)
     }
 
     fn next_index(&self, now: Time) -> Option<usize> {
         let indexed = self.waiting.iter().enumerate();
-        let first = indexed.min_by_key(|(_, ask)| self.position(ask, now));
+        let first = indexed.min_by_key(|(_, request)| self.position(request, now));
         first.map(|(index, _)| index)
     }
 
@@ -228,13 +228,16 @@
 
     /// Whether a call should be queued if it has to wait for `wait`. A call whose
     /// objective has passed only has to meet its deadline.
-    fn is_worth_queueing(&self, ask: &QueueAsk, wait: Duration, now: Time) -> bool {
-        let done = now + wait + self.service(&ask.kind);
-        if now >= ask.objective {
-            return done < ask.expires;
+    fn is_worth_queueing(&self, request: &QueueAsk, wait: Duration, now: Time) -> bool {
+        let done = now + wait + self.service(&request.kind);
+        if now >= request.objective {
+            return done < request.expires;
         }
-        let room = ask.objective.saturating_sub(now).mul_f64(MAX_WAIT_SHARE);
-        done < ask.expires && wait <= room
+        let room = request
+            .objective
+            .saturating_sub(now)
+            .mul_f64(MAX_WAIT_SHARE);
+        done < request.expires && wait <= room
     }
 
     /// Refuses the calls that can no longer meet their deadline after a more urgent call
@@ -247,17 +250,17 @@
         let first = self.kinds.mean();
         let mut out = Vec::new();
         for index in order {
-            let ask = &self.waiting[index];
-            let service = self.service(&ask.kind);
+            let request = &self.waiting[index];
+            let service = self.service(&request.kind);
             let wait = (ahead + first) / self.slots.max(1);
-            if now + wait + service < ask.expires {
+            if now + wait + service < request.expires {
                 ahead += service;
             } else {
-                out.push((ask.attempt, wait));
+                out.push((request.attempt, wait));
             }
         }
-        let displaced = |ask: &QueueAsk| out.iter().any(|it| it.0 == ask.attempt);
-        self.waiting.retain(|ask| !displaced(ask));
+        let displaced = |request: &QueueAsk| out.iter().any(|it| it.0 == request.attempt);
+        self.waiting.retain(|request| !displaced(request));
         let refused = |(attempt, wait)| Dispatch::Refused(attempt, overload(wait));
         out.into_iter().map(refused).collect()
     }
@@ -266,10 +269,11 @@
         let late: Vec<_> = self
             .waiting
             .iter()
-            .filter(|ask| now + self.service(&ask.kind) >= ask.expires)
-            .map(|ask| ask.attempt)
+            .filter(|request| now + self.service(&request.kind) >= request.expires)
+            .map(|request| request.attempt)
             .collect();
-        self.waiting.retain(|ask| !late.contains(&ask.attempt));
+        self.waiting
+            .retain(|request| !late.contains(&request.attempt));
         let refusal = Refusal::retry(Reason::Deadline, MIN_RETRY_AFTER);
         let refused = |attempt| Dispatch::Refused(attempt, refusal);
         late.into_iter().map(refused).collect()
--- a/crates/calls/src/silence.rs
+++ b/crates/calls/src/silence.rs
@@ -59,8 +59,7 @@
 }
 
 /// Number of successive `NeverSeen` answers, one interval apart, after which the connection is
-/// retired.
-/// After the first one the attempt may still be on its way.
+/// retired. After the first one the attempt may still be on its way.
 const NEVER_SEEN_TO_RETIRE: u32 = 2;
 
 impl Silence {
--- a/crates/calls/tests/all/admission.rs
+++ b/crates/calls/tests/all/admission.rs
@@ -8,7 +8,7 @@
 const MS: Duration = Duration::from_millis(1);
 const SERVICE: Duration = Duration::from_millis(10);
 
-fn ask(attempt: AttemptId, tenant: &str) -> Ask {
+fn request(attempt: AttemptId, tenant: &str) -> Ask {
     Ask {
         attempt,
         tenant: tenant.into(),
@@ -22,7 +22,7 @@
 /// An idle executor whose run-time estimate is `SERVICE`.
 fn measured(slots: u32, queue: usize) -> Admission {
     let mut admission = Admission::new(AdmissionConfig { slots, queue });
-    let (verdict, _) = admission.offer(ask(AttemptId::MAX, "warm-up"), Duration::ZERO);
+    let (verdict, _) = admission.offer(request(AttemptId::MAX, "warm-up"), Duration::ZERO);
     assert_eq!(verdict, Verdict::Run);
     admission.release(AttemptId::MAX, SERVICE);
     admission
@@ -55,9 +55,9 @@
 fn call_that_cannot_finish_in_time_is_refused_at_once() {
     let mut admission = measured(1, 100);
     for attempt in 0..5 {
-        admission.offer(ask(attempt, "elm"), SERVICE);
+        admission.offer(request(attempt, "elm"), SERVICE);
     }
-    let mut late = ask(9, "elm");
+    let mut late = request(9, "elm");
     late.expires = SERVICE + 5 * SERVICE;
     let (verdict, _) = admission.offer(late.clone(), SERVICE);
     assert_eq!(refusal(verdict), Some(Reason::Overload));
@@ -72,12 +72,12 @@
 fn slow_period_of_a_target_does_not_exclude_it_for_good() {
     let mut admission = measured(2, 8);
     let slow_period = Duration::from_secs(20);
-    admission.offer(ask(0, "elm"), SERVICE);
+    admission.offer(request(0, "elm"), SERVICE);
     admission.release(0, slow_period);
     let mut now = slow_period;
     let mut ran = 0;
     for attempt in 1..20 {
-        let mut call = ask(attempt, "elm");
+        let mut call = request(attempt, "elm");
         call.expires = now + 10 * SERVICE;
         let (verdict, _) = admission.offer(call, now);
         now += SERVICE;
@@ -88,7 +88,7 @@
     }
     assert_eq!(ran, 19);
     let call_in_time = |attempt| {
-        let mut call = ask(attempt, "elm");
+        let mut call = request(attempt, "elm");
         call.expires = now + 10 * SERVICE;
         call
     };
@@ -101,8 +101,8 @@
 #[test]
 fn call_that_became_late_in_the_queue_does_not_run() {
     let mut admission = measured(1, 100);
-    admission.offer(ask(1, "elm"), SERVICE);
-    let mut waiting = ask(2, "elm");
+    admission.offer(request(1, "elm"), SERVICE);
+    let mut waiting = request(2, "elm");
     waiting.expires = 4 * SERVICE;
     assert_eq!(admission.offer(waiting, SERVICE).0, Verdict::Wait);
     let next = admission.next(3 * SERVICE);
@@ -116,12 +116,12 @@
 #[test]
 fn flood_of_one_tenant_does_not_starve_another() {
     let mut admission = measured(1, 12);
-    admission.offer(ask(0, "flood"), SERVICE);
+    admission.offer(request(0, "flood"), SERVICE);
     for attempt in 1..50 {
-        admission.offer(ask(attempt, "flood"), SERVICE);
+        admission.offer(request(attempt, "flood"), SERVICE);
     }
     for attempt in 100..104 {
-        let (verdict, _) = admission.offer(ask(attempt, "small"), SERVICE);
+        let (verdict, _) = admission.offer(request(attempt, "small"), SERVICE);
         assert_eq!(verdict, Verdict::Wait);
     }
     let order = starts(&mut admission, 0);
@@ -140,9 +140,9 @@
     let mut admission = measured(1, 8);
     let late = 2 * Duration::from_secs(1);
     let patient = |attempt, tenant| {
-        let mut ask = ask(attempt, tenant);
-        ask.expires = Duration::from_hours(1);
-        ask
+        let mut request = request(attempt, tenant);
+        request.expires = Duration::from_hours(1);
+        request
     };
     admission.offer(patient(0, "flood"), late);
     for attempt in 1..50 {
@@ -159,14 +159,14 @@
 #[test]
 fn flood_is_refused_on_arrival() {
     let mut admission = measured(1, 12);
-    admission.offer(ask(0, "small"), SERVICE);
+    admission.offer(request(0, "small"), SERVICE);
     let mut evicted = 0;
     for round in 0..20 {
         for attempt in 0..10 {
-            let (_, out) = admission.offer(ask(1000 + round * 10 + attempt, "flood"), SERVICE);
+            let (_, out) = admission.offer(request(1000 + round * 10 + attempt, "flood"), SERVICE);
             evicted += out.len();
         }
-        let (_, out) = admission.offer(ask(100 + round, "small"), SERVICE);
+        let (_, out) = admission.offer(request(100 + round, "small"), SERVICE);
         evicted += out.len();
     }
     assert_eq!(evicted, 0);
@@ -177,10 +177,10 @@
 #[test]
 fn weights_share_the_slots() {
     let mut admission = measured(1, 100);
-    admission.offer(ask(0, "light"), SERVICE);
+    admission.offer(request(0, "light"), SERVICE);
     for attempt in 0..40 {
-        admission.offer(ask(100 + attempt, "light"), SERVICE);
-        let mut heavy = ask(200 + attempt, "heavy");
+        admission.offer(request(100 + attempt, "light"), SERVICE);
+        let mut heavy = request(200 + attempt, "heavy");
         heavy.weight = 3;
         admission.offer(heavy, SERVICE);
     }
@@ -194,12 +194,12 @@
 #[test]
 fn urgent_goes_first_and_batch_is_not_starved() {
     let mut admission = measured(1, 200);
-    admission.offer(ask(0, "elm"), SERVICE);
+    admission.offer(request(0, "elm"), SERVICE);
     for attempt in 0..60 {
-        let mut urgent = ask(100 + attempt, "elm");
+        let mut urgent = request(100 + attempt, "elm");
         urgent.class = Class::Urgent;
         admission.offer(urgent, SERVICE);
-        let mut batch = ask(200 + attempt, "elm");
+        let mut batch = request(200 + attempt, "elm");
         batch.class = Class::Batch;
         admission.offer(batch, SERVICE);
     }
@@ -212,9 +212,9 @@
 fn tenant_stays_below_its_concurrency() {
     let mut admission = measured(4, 10);
     let limited = |attempt| {
-        let mut ask = ask(attempt, "elm");
-        ask.concurrency = Some(1);
-        ask
+        let mut request = request(attempt, "elm");
+        request.concurrency = Some(1);
+        request
     };
     assert_eq!(admission.offer(limited(1), SERVICE).0, Verdict::Run);
     assert_eq!(admission.offer(limited(2), SERVICE).0, Verdict::Wait);
@@ -228,7 +228,7 @@
 fn waking_empties_the_queue_as_not_run() {
     let mut admission = measured(1, 10);
     for attempt in 0..4 {
-        admission.offer(ask(attempt, "elm"), SERVICE);
+        admission.offer(request(attempt, "elm"), SERVICE);
     }
     let flushed = admission.flush(Reason::Woke);
     assert_eq!(flushed.len(), 3);
@@ -258,9 +258,9 @@
         // 13 slots at 10 ms run 1.3 calls per step; 13 calls in 5 steps are twice that.
         for _ in 0..(if step % 5 < 3 { 3 } else { 2 }) {
             attempt += 1;
-            let mut ask = ask(attempt, &format!("tenant-{}", attempt % tenants));
-            ask.expires = now + 10 * SERVICE;
-            let (verdict, out) = admission.offer(ask, now);
+            let mut request = request(attempt, &format!("tenant-{}", attempt % tenants));
+            request.expires = now + 10 * SERVICE;
+            let (verdict, out) = admission.offer(request, now);
             started.extend(out);
             if verdict == Verdict::Run {
                 started.push(Dispatch::Run(attempt));
--- a/crates/calls/tests/all/queue.rs
+++ b/crates/calls/tests/all/queue.rs
@@ -11,7 +11,7 @@
     MS * ms
 }
 
-fn ask(attempt: AttemptId, rank: u8) -> QueueAsk {
+fn request(attempt: AttemptId, rank: u8) -> QueueAsk {
     QueueAsk {
         attempt,
         kind: "balances".into(),
@@ -26,10 +26,10 @@
     let mut queue = Queue::new(slots);
     for slot in 0..slots {
         let attempt = AttemptId::MAX - AttemptId::from(slot);
-        let (verdict, _) = queue.offer(ask(attempt, 0), Duration::ZERO);
+        let (verdict, _) = queue.offer(request(attempt, 0), Duration::ZERO);
         assert_eq!(verdict, Verdict::Run);
         queue.release(attempt, SERVICE);
-        queue.offer(ask(attempt, 0), Duration::ZERO);
+        queue.offer(request(attempt, 0), Duration::ZERO);
     }
     queue
 }
@@ -64,10 +64,10 @@
     let mut queue = full(8);
     let later = QueueAsk {
         expires: ms(1_200),
-        ..ask(1, 1)
+        ..request(1, 1)
     };
-    for ask in [later, ask(2, 2), ask(3, 1), ask(4, 0)] {
-        assert_eq!(queue.offer(ask, Duration::ZERO).0, Verdict::Wait);
+    for request in [later, request(2, 2), request(3, 1), request(4, 0)] {
+        assert_eq!(queue.offer(request, Duration::ZERO).0, Verdict::Wait);
     }
     assert_eq!(starts(&mut queue, 8, Duration::ZERO), [4, 3, 1, 2]);
 }
@@ -81,10 +81,10 @@
     let late = QueueAsk {
         objective: Duration::ZERO,
         expires: ms(500),
-        ..ask(1, 1)
+        ..request(1, 1)
     };
     assert_eq!(queue.offer(late, Duration::ZERO).0, Verdict::Wait);
-    assert_eq!(queue.offer(ask(2, 1), Duration::ZERO).0, Verdict::Wait);
+    assert_eq!(queue.offer(request(2, 1), Duration::ZERO).0, Verdict::Wait);
     assert_eq!(starts(&mut queue, 8, Duration::ZERO), [2, 1]);
 }
 
@@ -95,7 +95,7 @@
 fn a_call_that_would_wait_past_its_objective_is_refused_on_arrival() {
     let mut queue = full(4);
     let verdicts: Vec<_> = (0..6)
-        .map(|attempt| queue.offer(ask(attempt, 0), Duration::ZERO).0)
+        .map(|attempt| queue.offer(request(attempt, 0), Duration::ZERO).0)
         .collect();
     let waiting = verdicts.iter().filter(|it| **it == Verdict::Wait).count();
     assert_eq!(waiting, 3);
@@ -114,13 +114,13 @@
     let patient = QueueAsk {
         objective: Duration::ZERO,
         expires: ms(350),
-        ..ask(1, 2)
+        ..request(1, 2)
     };
     assert_eq!(queue.offer(patient, Duration::ZERO).0, Verdict::Wait);
     let urgent = |attempt| QueueAsk {
         objective: ms(2_000),
         expires: ms(3_000),
-        ..ask(attempt, 0)
+        ..request(attempt, 0)
     };
     assert_eq!(queue.offer(urgent(2), Duration::ZERO).1, []);
     let (verdict, refused) = queue.offer(urgent(3), Duration::ZERO);
@@ -132,7 +132,7 @@
 fn a_call_that_cannot_finish_is_refused_and_an_idle_executor_tries_it() {
     let short = QueueAsk {
         expires: ms(50),
-        ..ask(9, 0)
+        ..request(9, 0)
     };
     let mut queue = full(1);
     let (verdict, _) = queue.offer(short.clone(), Duration::ZERO);
@@ -144,7 +144,7 @@
 #[test]
 fn a_flush_refuses_all_that_waits_and_nothing_that_runs() {
     let mut queue = full(2);
-    queue.offer(ask(1, 0), Duration::ZERO);
+    queue.offer(request(1, 0), Duration::ZERO);
     let refused = queue.flush(Reason::Draining);
     assert!(matches!(refused[..], [Dispatch::Refused(1, _)]));
     assert_eq!(queue.occupancy().running, 2);
@@ -243,12 +243,12 @@
 fn with_priority_queue() -> Outcome {
     let queue = std::cell::RefCell::new(Queue::new(13));
     let offer = |attempt, now| {
-        let ask = QueueAsk {
+        let request = QueueAsk {
             objective: now + Load::OBJECTIVE,
             expires: now + Load::DEADLINE,
-            ..ask(attempt, 0)
+            ..request(attempt, 0)
         };
-        queue.borrow_mut().offer(ask, now).0
+        queue.borrow_mut().offer(request, now).0
     };
     let next = |ended: Option<AttemptId>, now| {
         let mut queue = queue.borrow_mut();
@@ -312,13 +312,13 @@
     for round in 0..200_u32 {
         let now = ms(100) * round;
         for (index, (kind, deadline)) in kinds.iter().enumerate() {
-            let ask = QueueAsk {
+            let request = QueueAsk {
                 kind: (*kind).into(),
                 objective: now + ms(deadline * 4),
                 expires: now + ms(deadline * 4),
-                ..ask(AttemptId::from(round) * 2 + index as u128, 1)
+                ..request(AttemptId::from(round) * 2 + index as u128, 1)
             };
-            queue.offer(ask, now);
+            queue.offer(request, now);
         }
         queue.release(running, now);
         for dispatch in queue.next(now) {
