--- a/crates/calls/src/admission/mod.rs
+++ b/crates/calls/src/admission/mod.rs
@@ -22,7 +22,7 @@
 use active_tenants::ActiveTenants;
 use shares::Shares;
 
-pub use types::{AdmissionConfig, Ask, Dispatch, Load, Verdict};
+pub use types::{AdmissionConfig, AdmissionDecision, AdmissionRequest, Dispatch, Load};
 
 /// Lower bound of the retry delay that a refusal states.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(10);
@@ -39,7 +39,7 @@
 pub struct Admission {
     cfg: AdmissionConfig,
     running: BTreeMap<AttemptId, Running>,
-    waiting: Vec<Ask>,
+    waiting: Vec<AdmissionRequest>,
     shares: Shares,
     active_tenants: ActiveTenants,
     service: BTreeMap<Class, Estimate>,
@@ -76,22 +76,26 @@
 
     /// Decides about an attempt at once. Also returns the waiting attempt that is refused
     /// to make room for it, if any.
-    pub fn offer(&mut self, request: Ask, now: Time) -> (Verdict, Vec<Dispatch>) {
+    pub fn offer(
+        &mut self,
+        request: AdmissionRequest,
+        now: Time,
+    ) -> (AdmissionDecision, Vec<Dispatch>) {
         self.active_tenants
             .record(&request.tenant, request.weight, now);
         let service = self.service_time(request.class);
         if now + service >= request.expires && !self.may_probe(&request, now) {
             let refusal = Refusal::retry(Reason::Deadline, MIN_RETRY_AFTER);
-            return (Verdict::Refused(refusal), Vec::new());
+            return (AdmissionDecision::Refused(refusal), Vec::new());
         }
         if self.waiting.is_empty() && self.may_run(&request) {
             self.start(request, now);
-            return (Verdict::Run, Vec::new());
+            return (AdmissionDecision::Run, Vec::new());
         }
         let wait = self.expected_wait(&request);
         if now + wait + service >= request.expires || self.has_used_queue_share(&request) {
             let refusal = overload(wait);
-            return (Verdict::Refused(refusal), Vec::new());
+            return (AdmissionDecision::Refused(refusal), Vec::new());
         }
         self.enqueue(request, wait)
     }
@@ -135,7 +139,7 @@
     /// the whole queue would run work that its entries are about to revoke.
     pub fn flush(&mut self, reason: Reason) -> Vec<Dispatch> {
         let refusal = Refusal::retry(reason, MIN_RETRY_AFTER);
-        let refused = |request: Ask| Dispatch::Refused(request.attempt, refusal);
+        let refused = |request: AdmissionRequest| Dispatch::Refused(request.attempt, refusal);
         self.waiting.drain(..).map(refused).collect()
     }
 
@@ -149,16 +153,16 @@
     /// An idle executor admits a call whatever the run-time estimate says. The estimate
     /// only changes when calls run: if all were refused after one slow minute of the
     /// target, it would never get a call again.
-    fn may_probe(&self, request: &Ask, now: Time) -> bool {
+    fn may_probe(&self, request: &AdmissionRequest, now: Time) -> bool {
         self.running.is_empty() && self.waiting.is_empty() && now < request.expires
     }
 
-    fn may_run(&self, request: &Ask) -> bool {
+    fn may_run(&self, request: &AdmissionRequest) -> bool {
         let free = self.running.len() < self.cfg.slots as usize;
         free && self.is_below_concurrency(request)
     }
 
-    fn is_below_concurrency(&self, request: &Ask) -> bool {
+    fn is_below_concurrency(&self, request: &AdmissionRequest) -> bool {
         let Some(limit) = request.concurrency else {
             return true;
         };
@@ -166,7 +170,7 @@
         self.running.values().filter(same).count() < limit as usize
     }
 
-    fn start(&mut self, request: Ask, now: Time) {
+    fn start(&mut self, request: AdmissionRequest, now: Time) {
         self.shares
             .charge(request.class, &request.tenant, request.weight);
         let run = Running {
@@ -201,18 +205,18 @@
 
     fn refuse_expired(&mut self, now: Time) -> Vec<Dispatch> {
         let service = &self.service;
-        let late = |request: &mut Ask| {
+        let late = |request: &mut AdmissionRequest| {
             let needed = service.get(&request.class).map(Estimate::mean);
             now + needed.unwrap_or_default() >= request.expires
         };
         let refusal = Refusal::permanent(Reason::Deadline);
-        let refused = |request: Ask| Dispatch::Refused(request.attempt, refusal);
+        let refused = |request: AdmissionRequest| Dispatch::Refused(request.attempt, refusal);
         self.waiting.extract_if(.., late).map(refused).collect()
     }
 
     /// Estimated time until `request` starts. It goes after all that waits in its class and in
     /// more urgent ones, unless its tenant's share lets it start earlier.
-    fn expected_wait(&self, request: &Ask) -> Duration {
+    fn expected_wait(&self, request: &AdmissionRequest) -> Duration {
         let ahead = self.waiting.iter().filter(|it| it.class <= request.class);
         let all = ahead.count();
         let own = self.waiting.iter().filter(|it| it.tenant == request.tenant);
@@ -225,15 +229,15 @@
     /// Whether the tenant already uses its whole share of the queue, among the recently
     /// active tenants. A call beyond the share would be evicted as soon as the other
     /// tenants send calls again; it is better refused on arrival than after a wait.
-    fn has_used_queue_share(&self, request: &Ask) -> bool {
-        let same = |it: &&Ask| it.tenant == request.tenant;
+    fn has_used_queue_share(&self, request: &AdmissionRequest) -> bool {
+        let same = |it: &&AdmissionRequest| it.tenant == request.tenant;
         let held = self.waiting.iter().filter(same).count();
         held >= self
             .active_tenants
             .queue_places(request.weight, self.cfg.queue)
     }
 
-    fn queued_weight(&self, request: &Ask) -> usize {
+    fn queued_weight(&self, request: &AdmissionRequest) -> usize {
         let mut weights: BTreeMap<&CustomerName, u32> = BTreeMap::new();
         for it in &self.waiting {
             weights.insert(&it.tenant, it.weight);
@@ -242,28 +246,32 @@
         weights.values().map(|&weight| weight.max(1) as usize).sum()
     }
 
-    fn enqueue(&mut self, request: Ask, wait: Duration) -> (Verdict, Vec<Dispatch>) {
+    fn enqueue(
+        &mut self,
+        request: AdmissionRequest,
+        wait: Duration,
+    ) -> (AdmissionDecision, Vec<Dispatch>) {
         if self.waiting.len() < self.cfg.queue {
             self.waiting.push(request);
-            return (Verdict::Wait, Vec::new());
+            return (AdmissionDecision::Wait, Vec::new());
         }
         let refusal = overload(wait);
         // Without eviction, a tenant that floods the queue would cause every call of the
         // others to be refused on arrival, whatever their shares are.
         let Some(index) = self.eviction_candidate(&request) else {
-            return (Verdict::Refused(refusal), Vec::new());
+            return (AdmissionDecision::Refused(refusal), Vec::new());
         };
         let evicted = std::mem::replace(&mut self.waiting[index], request);
         let out = Dispatch::Refused(evicted.attempt, refusal);
-        (Verdict::Wait, vec![out])
+        (AdmissionDecision::Wait, vec![out])
     }
 
     /// The waiting attempt to evict for `request`, if there is one: from the least urgent
     /// class, in it the tenant that uses most of the queue for its weight, and of that
     /// tenant the attempt with the latest deadline.
-    fn eviction_candidate(&self, request: &Ask) -> Option<usize> {
+    fn eviction_candidate(&self, request: &AdmissionRequest) -> Option<usize> {
         let indexed = self.waiting.iter().enumerate();
-        let rank = |it: &Ask, extra: usize| (it.class, self.queue_share(it, extra));
+        let rank = |it: &AdmissionRequest, extra: usize| (it.class, self.queue_share(it, extra));
         let worst = indexed.max_by_key(|(_, it)| (rank(it, 0), it.expires))?;
         let (index, victim) = worst;
         let same = victim.tenant == request.tenant && victim.class == request.class;
@@ -272,8 +280,8 @@
 
     /// Places of the queue that the tenant uses, divided by its weight, in thousandths.
     /// `extra` is added to the places.
-    fn queue_share(&self, request: &Ask, extra: usize) -> usize {
-        let same = |it: &&Ask| it.tenant == request.tenant;
+    fn queue_share(&self, request: &AdmissionRequest, extra: usize) -> usize {
+        let same = |it: &&AdmissionRequest| it.tenant == request.tenant;
         let held = self.waiting.iter().filter(same).count() + extra;
         held * 1000 / request.weight.max(1) as usize
     }
--- a/crates/calls/src/admission/types.rs
+++ b/crates/calls/src/admission/types.rs
@@ -28,7 +28,7 @@
 
 /// An attempt that requests a slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Ask {
+pub struct AdmissionRequest {
     /// The attempt.
     pub attempt: AttemptId,
     /// The tenant that the call belongs to.
@@ -45,7 +45,7 @@
 
 /// Decision about an attempt that requests a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Verdict {
+pub enum AdmissionDecision {
     /// It has a slot, until [`Admission::release`](super::Admission::release) frees it.
     Run,
     /// It waits until [`Admission::next`](super::Admission::next) returns it.
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -43,7 +43,9 @@
 mod throttle;
 mod uplink;
 
-pub use admission::{Admission, AdmissionConfig, Ask, Dispatch, Load, Verdict};
+pub use admission::{
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionRequest, Dispatch, Load,
+};
 pub use answer::{Answer, Header, is_of_connection};
 pub use answers::Answers;
 pub use candidates::{Among, Candidate, CandidateState, Pick};
@@ -65,7 +67,7 @@
     ANSWERED_FOR, Finding, KeptRequest, LIVES, Learned, LifeMark, Quarantine, RecentAnswers,
     life_mark,
 };
-pub use queue::{Occupancy, Queue, QueueAsk};
+pub use queue::{Occupancy, Queue, QueueRequest};
 pub use quota::{Bucket, Grant, Purse, Share, Taken};
 pub use refusal::{Outcome, Reason, Refusal};
 pub use retry::{Attempts, Backoff, RetryBudget, Settlement, may_retry};
--- a/crates/calls/src/queue.rs
+++ b/crates/calls/src/queue.rs
@@ -22,7 +22,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use crate::admission::{Dispatch, Verdict};
+use crate::admission::{AdmissionDecision, Dispatch};
 use crate::ids::{AttemptId, Time};
 use crate::refusal::{Reason, Refusal};
 use kinds::Kinds;
@@ -37,7 +37,7 @@
 
 /// A call that requests a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct QueueAsk {
+pub struct QueueRequest {
     /// The attempt.
     pub attempt: AttemptId,
     /// Kind of the call; calls of one kind have similar run times.
@@ -79,7 +79,7 @@
 pub struct Queue {
     slots: u32,
     running: BTreeMap<AttemptId, Running>,
-    waiting: Vec<QueueAsk>,
+    waiting: Vec<QueueRequest>,
     kinds: Kinds,
 }
 
@@ -115,16 +115,20 @@
 
     /// Decides about a call at once. Also returns the waiting calls that are refused
     /// because this one goes before them.
-    pub fn offer(&mut self, request: QueueAsk, now: Time) -> (Verdict, Vec<Dispatch>) {
+    pub fn offer(
+        &mut self,
+        request: QueueRequest,
+        now: Time,
+    ) -> (AdmissionDecision, Vec<Dispatch>) {
         self.kinds.record_request(&request.kind, now);
         let service = self.service(&request.kind);
         if now + service >= request.expires && !self.is_idle() {
             let refusal = Refusal::retry(Reason::Deadline, MIN_RETRY_AFTER);
-            return (Verdict::Refused(refusal), Vec::new());
+            return (AdmissionDecision::Refused(refusal), Vec::new());
         }
         if self.waiting.is_empty() && self.has_free_slot() {
             self.start(&request, now);
-            return (Verdict::Run, Vec::new());
+            return (AdmissionDecision::Run, Vec::new());
         }
         let ahead = self
             .waiting
@@ -132,10 +136,10 @@
             .filter(|it| self.precedes(it, &request, now));
         let wait = self.queue_wait(ahead);
         if !self.is_worth_queueing(&request, wait, now) {
-            return (Verdict::Refused(overload(wait)), Vec::new());
+            return (AdmissionDecision::Refused(overload(wait)), Vec::new());
         }
         self.waiting.push(request);
-        (Verdict::Wait, self.refuse_displaced(now))
+        (AdmissionDecision::Wait, self.refuse_displaced(now))
     }
 
     /// The attempt's run ended by itself. Records its run time and frees its slot.
@@ -171,7 +175,7 @@
     /// Refuses all waiting calls with `reason`.
     pub fn flush(&mut self, reason: Reason) -> Vec<Dispatch> {
         let refusal = Refusal::retry(reason, MIN_RETRY_AFTER);
-        let refused = |request: QueueAsk| Dispatch::Refused(request.attempt, refusal);
+        let refused = |request: QueueRequest| Dispatch::Refused(request.attempt, refusal);
         self.waiting.drain(..).map(refused).collect()
     }
 
@@ -194,7 +198,7 @@
         self.running.len() < self.slots as usize
     }
 
-    fn start(&mut self, request: &QueueAsk, now: Time) {
+    fn start(&mut self, request: &QueueRequest, now: Time) {
         self.kinds.record_start(&request.kind);
         let run = Running {
             kind: request.kind.clone(),
@@ -203,11 +207,11 @@
         self.running.insert(request.attempt, run);
     }
 
-    fn precedes(&self, one: &QueueAsk, other: &QueueAsk, now: Time) -> bool {
+    fn precedes(&self, one: &QueueRequest, other: &QueueRequest, now: Time) -> bool {
         self.position(one, now) <= self.position(other, now)
     }
 
-    fn position(&self, request: &QueueAsk, now: Time) -> (u8, bool, u8, Time) {
+    fn position(&self, request: &QueueRequest, now: Time) -> (u8, bool, u8, Time) {
         let is_late = now + self.service(&request.kind) > request.objective;
         let share = self.kinds.share(&request.kind);
         (request.rank, is_late, share, request.expires)
@@ -220,7 +224,7 @@
     }
 
     /// Estimated time until a slot is free for a call that goes after `ahead`.
-    fn queue_wait<'a>(&self, ahead: impl Iterator<Item = &'a QueueAsk>) -> Duration {
+    fn queue_wait<'a>(&self, ahead: impl Iterator<Item = &'a QueueRequest>) -> Duration {
         let ahead: Duration = ahead.map(|it| self.service(&it.kind)).sum();
         let first = self.kinds.mean();
         (ahead + first) / self.slots.max(1)
@@ -228,7 +232,7 @@
 
     /// Whether a call should be queued if it has to wait for `wait`. A call whose
     /// objective has passed only has to meet its deadline.
-    fn is_worth_queueing(&self, request: &QueueAsk, wait: Duration, now: Time) -> bool {
+    fn is_worth_queueing(&self, request: &QueueRequest, wait: Duration, now: Time) -> bool {
         let done = now + wait + self.service(&request.kind);
         if now >= request.objective {
             return done < request.expires;
@@ -259,7 +263,7 @@
                 out.push((request.attempt, wait));
             }
         }
-        let displaced = |request: &QueueAsk| out.iter().any(|it| it.0 == request.attempt);
+        let displaced = |request: &QueueRequest| out.iter().any(|it| it.0 == request.attempt);
         self.waiting.retain(|request| !displaced(request));
         let refused = |(attempt, wait)| Dispatch::Refused(attempt, overload(wait));
         out.into_iter().map(refused).collect()
--- a/crates/calls/tests/all/admission.rs
+++ b/crates/calls/tests/all/admission.rs
@@ -2,14 +2,15 @@
 use std::time::Duration;
 
 use stoatstep_calls::{
-    Admission, AdmissionConfig, Ask, AttemptId, Class, Dispatch, Reason, Verdict,
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionRequest, AttemptId, Class, Dispatch,
+    Reason,
 };
 
 const MS: Duration = Duration::from_millis(1);
 const SERVICE: Duration = Duration::from_millis(10);
 
-fn request(attempt: AttemptId, tenant: &str) -> Ask {
-    Ask {
+fn request(attempt: AttemptId, tenant: &str) -> AdmissionRequest {
+    AdmissionRequest {
         attempt,
         tenant: tenant.into(),
         class: Class::Standard,
@@ -22,16 +23,16 @@
 /// An idle executor whose run-time estimate is `SERVICE`.
 fn measured(slots: u32, queue: usize) -> Admission {
     let mut admission = Admission::new(AdmissionConfig { slots, queue });
-    let (verdict, _) = admission.offer(request(AttemptId::MAX, "warm-up"), Duration::ZERO);
-    assert_eq!(verdict, Verdict::Run);
+    let (decision, _) = admission.offer(request(AttemptId::MAX, "warm-up"), Duration::ZERO);
+    assert_eq!(decision, AdmissionDecision::Run);
     admission.release(AttemptId::MAX, SERVICE);
     admission
 }
 
-fn refusal(verdict: Verdict) -> Option<Reason> {
-    match verdict {
-        Verdict::Refused(refusal) => Some(refusal.reason),
-        Verdict::Run | Verdict::Wait => None,
+fn refusal(decision: AdmissionDecision) -> Option<Reason> {
+    match decision {
+        AdmissionDecision::Refused(refusal) => Some(refusal.reason),
+        AdmissionDecision::Run | AdmissionDecision::Wait => None,
     }
 }
 
@@ -59,10 +60,10 @@
     }
     let mut late = request(9, "elm");
     late.expires = SERVICE + 5 * SERVICE;
-    let (verdict, _) = admission.offer(late.clone(), SERVICE);
-    assert_eq!(refusal(verdict), Some(Reason::Overload));
+    let (decision, _) = admission.offer(late.clone(), SERVICE);
+    assert_eq!(refusal(decision), Some(Reason::Overload));
     late.expires = SERVICE + 7 * SERVICE;
-    assert_eq!(admission.offer(late, SERVICE).0, Verdict::Wait);
+    assert_eq!(admission.offer(late, SERVICE).0, AdmissionDecision::Wait);
 }
 
 // A target recovers from a freeze during which its runs took longer than any deadline.
@@ -79,9 +80,9 @@
     for attempt in 1..20 {
         let mut call = request(attempt, "elm");
         call.expires = now + 10 * SERVICE;
-        let (verdict, _) = admission.offer(call, now);
+        let (decision, _) = admission.offer(call, now);
         now += SERVICE;
-        if verdict == Verdict::Run {
+        if decision == AdmissionDecision::Run {
             ran += 1;
             admission.release(attempt, now);
         }
@@ -92,8 +93,14 @@
         call.expires = now + 10 * SERVICE;
         call
     };
-    assert_eq!(admission.offer(call_in_time(100), now).0, Verdict::Run);
-    assert_eq!(admission.offer(call_in_time(101), now).0, Verdict::Run);
+    assert_eq!(
+        admission.offer(call_in_time(100), now).0,
+        AdmissionDecision::Run
+    );
+    assert_eq!(
+        admission.offer(call_in_time(101), now).0,
+        AdmissionDecision::Run
+    );
 }
 
 // A call's deadline passes while it waits. It must be refused as not run, because nobody
@@ -104,7 +111,7 @@
     admission.offer(request(1, "elm"), SERVICE);
     let mut waiting = request(2, "elm");
     waiting.expires = 4 * SERVICE;
-    assert_eq!(admission.offer(waiting, SERVICE).0, Verdict::Wait);
+    assert_eq!(admission.offer(waiting, SERVICE).0, AdmissionDecision::Wait);
     let next = admission.next(3 * SERVICE);
     let [Dispatch::Refused(2, refusal)] = next[..] else {
         panic!("the late call is still there: {next:?}");
@@ -121,8 +128,8 @@
         admission.offer(request(attempt, "flood"), SERVICE);
     }
     for attempt in 100..104 {
-        let (verdict, _) = admission.offer(request(attempt, "small"), SERVICE);
-        assert_eq!(verdict, Verdict::Wait);
+        let (decision, _) = admission.offer(request(attempt, "small"), SERVICE);
+        assert_eq!(decision, AdmissionDecision::Wait);
     }
     let order = starts(&mut admission, 0);
     let small = order.iter().take(6).filter(|&&it| it >= 100).count();
@@ -149,8 +156,8 @@
         admission.offer(patient(attempt, "flood"), late);
     }
     assert_eq!(admission.load().queued, 8);
-    let (verdict, out) = admission.offer(patient(100, "small"), late);
-    assert_eq!(verdict, Verdict::Wait);
+    let (decision, out) = admission.offer(patient(100, "small"), late);
+    assert_eq!(decision, AdmissionDecision::Wait);
     assert_eq!(out.len(), 1, "one of the flood makes room");
 }
 
@@ -216,8 +223,14 @@
         request.concurrency = Some(1);
         request
     };
-    assert_eq!(admission.offer(limited(1), SERVICE).0, Verdict::Run);
-    assert_eq!(admission.offer(limited(2), SERVICE).0, Verdict::Wait);
+    assert_eq!(
+        admission.offer(limited(1), SERVICE).0,
+        AdmissionDecision::Run
+    );
+    assert_eq!(
+        admission.offer(limited(2), SERVICE).0,
+        AdmissionDecision::Wait
+    );
     assert!(admission.next(SERVICE).is_empty());
     admission.release(1, SERVICE);
     assert_eq!(admission.next(SERVICE), [Dispatch::Run(2)]);
@@ -260,9 +273,9 @@
             attempt += 1;
             let mut request = request(attempt, &format!("tenant-{}", attempt % tenants));
             request.expires = now + 10 * SERVICE;
-            let (verdict, out) = admission.offer(request, now);
+            let (decision, out) = admission.offer(request, now);
             started.extend(out);
-            if verdict == Verdict::Run {
+            if decision == AdmissionDecision::Run {
                 started.push(Dispatch::Run(attempt));
             }
         }
--- a/crates/calls/tests/all/queue.rs
+++ b/crates/calls/tests/all/queue.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stoatstep_calls::{AttemptId, Dispatch, Queue, QueueAsk, Reason, Verdict};
+use stoatstep_calls::{AdmissionDecision, AttemptId, Dispatch, Queue, QueueRequest, Reason};
 
 const MS: Duration = Duration::from_millis(1);
 const SERVICE: Duration = Duration::from_millis(100);
@@ -11,8 +11,8 @@
     MS * ms
 }
 
-fn request(attempt: AttemptId, rank: u8) -> QueueAsk {
-    QueueAsk {
+fn request(attempt: AttemptId, rank: u8) -> QueueRequest {
+    QueueRequest {
         attempt,
         kind: "balances".into(),
         rank,
@@ -26,18 +26,18 @@
     let mut queue = Queue::new(slots);
     for slot in 0..slots {
         let attempt = AttemptId::MAX - AttemptId::from(slot);
-        let (verdict, _) = queue.offer(request(attempt, 0), Duration::ZERO);
-        assert_eq!(verdict, Verdict::Run);
+        let (decision, _) = queue.offer(request(attempt, 0), Duration::ZERO);
+        assert_eq!(decision, AdmissionDecision::Run);
         queue.release(attempt, SERVICE);
         queue.offer(request(attempt, 0), Duration::ZERO);
     }
     queue
 }
 
-fn reason(verdict: Verdict) -> Option<Reason> {
-    match verdict {
-        Verdict::Refused(refusal) => Some(refusal.reason),
-        Verdict::Run | Verdict::Wait => None,
+fn reason(decision: AdmissionDecision) -> Option<Reason> {
+    match decision {
+        AdmissionDecision::Refused(refusal) => Some(refusal.reason),
+        AdmissionDecision::Run | AdmissionDecision::Wait => None,
     }
 }
 
@@ -62,12 +62,15 @@
 #[test]
 fn the_more_urgent_rank_goes_first_then_the_earlier_deadline() {
     let mut queue = full(8);
-    let later = QueueAsk {
+    let later = QueueRequest {
         expires: ms(1_200),
         ..request(1, 1)
     };
     for request in [later, request(2, 2), request(3, 1), request(4, 0)] {
-        assert_eq!(queue.offer(request, Duration::ZERO).0, Verdict::Wait);
+        assert_eq!(
+            queue.offer(request, Duration::ZERO).0,
+            AdmissionDecision::Wait
+        );
     }
     assert_eq!(starts(&mut queue, 8, Duration::ZERO), [4, 3, 1, 2]);
 }
@@ -78,13 +81,16 @@
 #[test]
 fn a_call_that_is_late_already_goes_after_those_in_time() {
     let mut queue = full(8);
-    let late = QueueAsk {
+    let late = QueueRequest {
         objective: Duration::ZERO,
         expires: ms(500),
         ..request(1, 1)
     };
-    assert_eq!(queue.offer(late, Duration::ZERO).0, Verdict::Wait);
-    assert_eq!(queue.offer(request(2, 1), Duration::ZERO).0, Verdict::Wait);
+    assert_eq!(queue.offer(late, Duration::ZERO).0, AdmissionDecision::Wait);
+    assert_eq!(
+        queue.offer(request(2, 1), Duration::ZERO).0,
+        AdmissionDecision::Wait
+    );
     assert_eq!(starts(&mut queue, 8, Duration::ZERO), [2, 1]);
 }
 
@@ -94,13 +100,16 @@
 #[test]
 fn a_call_that_would_wait_past_its_objective_is_refused_on_arrival() {
     let mut queue = full(4);
-    let verdicts: Vec<_> = (0..6)
+    let decisions: Vec<_> = (0..6)
         .map(|attempt| queue.offer(request(attempt, 0), Duration::ZERO).0)
         .collect();
-    let waiting = verdicts.iter().filter(|it| **it == Verdict::Wait).count();
+    let waiting = decisions
+        .iter()
+        .filter(|it| **it == AdmissionDecision::Wait)
+        .count();
     assert_eq!(waiting, 3);
-    let Verdict::Refused(refusal) = verdicts[5] else {
-        panic!("{:?}", verdicts[5]);
+    let AdmissionDecision::Refused(refusal) = decisions[5] else {
+        panic!("{:?}", decisions[5]);
     };
     assert_eq!(refusal.reason, Reason::Overload);
     assert_eq!(refusal.retry_after, Some(ms(100)));
@@ -111,34 +120,37 @@
 #[test]
 fn a_call_that_is_displaced_is_refused_before_its_deadline() {
     let mut queue = full(1);
-    let patient = QueueAsk {
+    let patient = QueueRequest {
         objective: Duration::ZERO,
         expires: ms(350),
         ..request(1, 2)
     };
-    assert_eq!(queue.offer(patient, Duration::ZERO).0, Verdict::Wait);
-    let urgent = |attempt| QueueAsk {
+    assert_eq!(
+        queue.offer(patient, Duration::ZERO).0,
+        AdmissionDecision::Wait
+    );
+    let urgent = |attempt| QueueRequest {
         objective: ms(2_000),
         expires: ms(3_000),
         ..request(attempt, 0)
     };
     assert_eq!(queue.offer(urgent(2), Duration::ZERO).1, []);
-    let (verdict, refused) = queue.offer(urgent(3), Duration::ZERO);
-    assert_eq!(verdict, Verdict::Wait);
+    let (decision, refused) = queue.offer(urgent(3), Duration::ZERO);
+    assert_eq!(decision, AdmissionDecision::Wait);
     assert!(matches!(refused[..], [Dispatch::Refused(1, _)]));
 }
 
 #[test]
 fn a_call_that_cannot_finish_is_refused_and_an_idle_executor_tries_it() {
-    let short = QueueAsk {
+    let short = QueueRequest {
         expires: ms(50),
         ..request(9, 0)
     };
     let mut queue = full(1);
-    let (verdict, _) = queue.offer(short.clone(), Duration::ZERO);
-    assert_eq!(reason(verdict), Some(Reason::Deadline));
+    let (decision, _) = queue.offer(short.clone(), Duration::ZERO);
+    assert_eq!(reason(decision), Some(Reason::Deadline));
     queue.release_unmeasured(AttemptId::MAX);
-    assert_eq!(queue.offer(short, Duration::ZERO).0, Verdict::Run);
+    assert_eq!(queue.offer(short, Duration::ZERO).0, AdmissionDecision::Run);
 }
 
 #[test]
@@ -179,7 +191,7 @@
     /// waiting calls after a run has ended.
     fn simulate(
         &mut self,
-        mut admits: impl FnMut(AttemptId, Duration) -> Verdict,
+        mut admits: impl FnMut(AttemptId, Duration) -> AdmissionDecision,
         mut next: impl FnMut(Option<AttemptId>, Duration) -> Vec<Dispatch>,
     ) -> Outcome {
         let gap = SERVICE / self.slots * 10 / 16;
@@ -206,9 +218,11 @@
                 arrivals += 1;
                 let attempt = arrived_at.as_nanos();
                 match admits(attempt, now) {
-                    Verdict::Run => ends.push((now + self.run_time(), attempt, arrived_at)),
-                    Verdict::Wait => {}
-                    Verdict::Refused(_) => outcome.refused += 1,
+                    AdmissionDecision::Run => {
+                        ends.push((now + self.run_time(), attempt, arrived_at))
+                    }
+                    AdmissionDecision::Wait => {}
+                    AdmissionDecision::Refused(_) => outcome.refused += 1,
                 }
             }
         }
@@ -243,7 +257,7 @@
 fn with_priority_queue() -> Outcome {
     let queue = std::cell::RefCell::new(Queue::new(13));
     let offer = |attempt, now| {
-        let request = QueueAsk {
+        let request = QueueRequest {
             objective: now + Load::OBJECTIVE,
             expires: now + Load::DEADLINE,
             ..request(attempt, 0)
@@ -269,10 +283,10 @@
     let offer = |attempt, _| {
         if *free.borrow() > 0 {
             *free.borrow_mut() -= 1;
-            return Verdict::Run;
+            return AdmissionDecision::Run;
         }
         waiting.borrow_mut().push_back(attempt);
-        Verdict::Wait
+        AdmissionDecision::Wait
     };
     let next = |_, now: Duration| {
         let still_waits = |it: &AttemptId| *it + Load::DEADLINE.as_nanos() > now.as_nanos();
@@ -312,7 +326,7 @@
     for round in 0..200_u32 {
         let now = ms(100) * round;
         for (index, (kind, deadline)) in kinds.iter().enumerate() {
-            let request = QueueAsk {
+            let request = QueueRequest {
                 kind: (*kind).into(),
                 objective: now + ms(deadline * 4),
                 expires: now + ms(deadline * 4),
--- a/crates/daemon/src/call/slot.rs
+++ b/crates/daemon/src/call/slot.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use ntex::channel::oneshot;
-use stoatstep_calls::{Ask, AttemptId, Deadline, Dispatch, Reason, Refusal, Verdict};
+use stoatstep_calls::{
+    AdmissionDecision, AdmissionRequest, AttemptId, Deadline, Dispatch, Reason, Refusal,
+};
 
 use super::wire::Attempt;
 use crate::node::Node;
@@ -46,7 +48,7 @@
     deadline: Deadline,
 ) -> Result<Slot, Refusal> {
     let now = node.calls.clock.now();
-    let ask = Ask {
+    let ask = AdmissionRequest {
         attempt: attempt.id,
         tenant: attempt.call.tenant.clone(),
         class: attempt.call.class,
@@ -57,7 +59,7 @@
     let offered = node.calls.executor.borrow_mut().admission.offer(ask, now);
     let (verdict, pushed_out) = offered;
     deliver(node, pushed_out);
-    if let Verdict::Refused(refusal) = verdict {
+    if let AdmissionDecision::Refused(refusal) = verdict {
         return Err(refusal);
     }
     let slot = Slot {
@@ -65,7 +67,7 @@
         attempt: attempt.id,
         measured: false,
     };
-    if verdict == Verdict::Wait {
+    if verdict == AdmissionDecision::Wait {
         wait(node, attempt.id).await?;
     }
     Ok(slot)
--- a/crates/mesh/src/executor/slot.rs
+++ b/crates/mesh/src/executor/slot.rs
@@ -2,7 +2,9 @@
 
 use std::rc::Rc;
 
-use stoatstep_calls::{AttemptId, Deadline, Dispatch, QueueAsk, Reason, Refusal, Time, Verdict};
+use stoatstep_calls::{
+    AdmissionDecision, AttemptId, Deadline, Dispatch, QueueRequest, Reason, Refusal, Time,
+};
 use tokio::sync::oneshot;
 
 use super::QUEUE_RETRY;
@@ -52,7 +54,7 @@
     } else {
         deadline.expires()
     };
-    let ask = QueueAsk {
+    let ask = QueueRequest {
         attempt: attempt.id,
         kind: attempt.call.route.clone(),
         rank: attempt.call.priority,
@@ -61,7 +63,7 @@
     };
     let (verdict, pushed_out) = offer(node, ask, now);
     deliver(node, pushed_out);
-    if let Verdict::Refused(refusal) = verdict {
+    if let AdmissionDecision::Refused(refusal) = verdict {
         return Err(refusal);
     }
     let slot = Slot {
@@ -69,13 +71,13 @@
         attempt: attempt.id,
         is_measured: false,
     };
-    if verdict == Verdict::Wait {
+    if verdict == AdmissionDecision::Wait {
         wait(node, attempt.id).await?;
     }
     Ok(slot)
 }
 
-fn offer(node: &Node, ask: QueueAsk, now: Time) -> (Verdict, Vec<Dispatch>) {
+fn offer(node: &Node, ask: QueueRequest, now: Time) -> (AdmissionDecision, Vec<Dispatch>) {
     node.executor.tables.borrow_mut().queue.offer(ask, now)
 }
 
--- a/crates/scenario/src/daemon/executor.rs
+++ b/crates/scenario/src/daemon/executor.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use stoatstep_calls::{
-    Answer, Arrival, Ask, AttemptId, Deadline, Outcome, Reason, Refusal, Settled, Ticket, Verdict,
+    AdmissionDecision, AdmissionRequest, Answer, Arrival, AttemptId, Deadline, Outcome, Reason,
+    Refusal, Settled, Ticket,
 };
 use stoatstep_membership::Time;
 
@@ -213,7 +214,7 @@
     } else {
         call.tenant.clone()
     };
-    let ask = Ask {
+    let ask = AdmissionRequest {
         attempt: attempt.id,
         tenant,
         class: call.class,
@@ -224,7 +225,7 @@
     let offered = node.calls.borrow_mut().admission.offer(ask, now);
     let (verdict, pushed_out) = offered;
     deliver(node, pushed_out);
-    if let Verdict::Refused(refusal) = verdict {
+    if let AdmissionDecision::Refused(refusal) = verdict {
         return Err(refusal);
     }
     let slot = Slot {
@@ -232,7 +233,7 @@
         attempt: attempt.id,
         is_measured: false,
     };
-    if verdict == Verdict::Wait {
+    if verdict == AdmissionDecision::Wait {
         let (tx, rx) = oneshot();
         node.calls.borrow_mut().waiting.insert(attempt.id, tx);
         let gone = Refusal::retry(Reason::Overload, Time::from_millis(10));
