--- a/crates/calls/src/candidates.rs
+++ b/crates/calls/src/candidates.rs
@@ -25,7 +25,7 @@
     /// It announced itself and accepts calls.
     Ready,
     /// It does not accept calls yet, or peers suspect that it has failed.
-    Doubtful,
+    Unhealthy,
     /// It is leaving and must get no new calls.
     Leaving,
 }
@@ -49,7 +49,7 @@
 
 /// Which targets of a service a call may go to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Among<'a> {
+pub enum TargetFilter<'a> {
     /// All targets.
     All,
     /// Targets that run this version.
@@ -60,7 +60,7 @@
     Named(&'a [UpstreamName]),
 }
 
-impl Among<'_> {
+impl TargetFilter<'_> {
     fn matches<S>(self, row: &Row<S>) -> bool {
         match self {
             Self::All => true,
@@ -180,19 +180,19 @@
         self.services.retain(|name, _| keep(name));
     }
 
-    /// Upstreams matched by `among` that are not in `tried` and not leaving. Unhealthy ones
+    /// Upstreams matched by `filter` that are not in `tried` and not leaving. Unhealthy ones
     /// are included only if there is no healthy one: health information about all of them
     /// may be wrong and must not stop the service.
     pub(crate) fn eligible(
         &self,
         service: &ServiceName,
         tried: &[UpstreamName],
-        among: Among<'_>,
+        filter: TargetFilter<'_>,
         now: Time,
     ) -> Option<Eligible<'_, S>> {
         let rows = self.services.get(service)?.values();
         let is_eligible = |row: &&Row<S>| {
-            !row.is_leaving(now) && !tried.contains(&row.name) && among.matches(row)
+            !row.is_leaving(now) && !tried.contains(&row.name) && filter.matches(row)
         };
         let eligible: Vec<_> = rows.filter(is_eligible).collect();
         let healthy = eligible.iter().copied().filter(|row| row.is_healthy(now));
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -48,7 +48,7 @@
 };
 pub use answer::{Answer, Header, is_of_connection};
 pub use answers::Answers;
-pub use candidates::{Among, Candidate, CandidateState, Pick};
+pub use candidates::{Candidate, CandidateState, Pick, TargetFilter};
 pub use class::{Class, UnknownClass};
 pub use deadline::Deadline;
 pub use departure::Departure;
@@ -62,7 +62,7 @@
     IntentTable, KeyError, KeyText, KnownMembers, Remembered, RememberedRun, home_of, set_id,
 };
 pub use ledger::{Arrival, Ledger, LedgerConfig, Settled, Ticket};
-pub use placement::{Placement, Seen, Wish};
+pub use placement::{AttemptFeedback, Placement, PlacementRequest};
 pub use quarantine::{
     ANSWERED_FOR, Finding, KeptRequest, LIVES, Learned, LifeMark, Quarantine, RecentAnswers,
     life_mark,
--- a/crates/calls/src/placement.rs
+++ b/crates/calls/src/placement.rs
@@ -17,7 +17,7 @@
 use rand::{Rng, RngExt};
 use stoatstep_resource::{ServiceName, UpstreamName, ZoneName};
 
-use crate::candidates::{Among, Candidate, Candidates, Eligible, Pick};
+use crate::candidates::{Candidate, Candidates, Eligible, Pick, TargetFilter};
 use crate::ids::Time;
 use crate::queue::Occupancy;
 use stats::{EstimateInputs, Row, TargetStats, run_max_age, time_to_answer};
@@ -45,7 +45,7 @@
 
 /// A call to select a target for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wish<'a> {
+pub struct PlacementRequest<'a> {
     /// Time left to its latency objective.
     pub objective: Duration,
     /// Mean size of the answers of its route.
@@ -53,10 +53,10 @@
     /// Mean run time of its route; `None` before the first run.
     pub run: Option<Duration>,
     /// Targets that it may go to.
-    pub among: Among<'a>,
+    pub filter: TargetFilter<'a>,
 }
 
-impl Wish<'_> {
+impl PlacementRequest<'_> {
     /// Size of its answer relative to `SPILL_BYTES`.
     fn relative_size(&self) -> f64 {
         self.answer_bytes / SPILL_BYTES
@@ -85,7 +85,7 @@
 
 /// How an attempt ended, as far as it says something about the target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Seen {
+pub enum AttemptFeedback {
     /// It answered.
     Answered,
     /// It refused because its slots and queue are full.
@@ -128,27 +128,29 @@
         &self,
         service: &ServiceName,
         tried: &[UpstreamName],
-        wish: Wish<'_>,
+        request: PlacementRequest<'_>,
         now: Time,
         rng: &mut dyn Rng,
     ) -> Option<Pick> {
-        let eligible = self.candidates.eligible(service, tried, wish.among, now)?;
-        let chosen = choose(&eligible, wish, now, rng)?;
+        let eligible = self
+            .candidates
+            .eligible(service, tried, request.filter, now)?;
+        let chosen = choose(&eligible, request, now, rng)?;
         Some(self.candidates.pick(chosen))
     }
 
     /// Selects targets of the own zone to probe for their occupancy: up to `count` random
     /// ones among those without a recent report or probe. They count as probed from now
     /// on.
-    pub fn to_ask(
+    pub fn select_probes(
         &mut self,
         service: &ServiceName,
-        among: Among<'_>,
+        filter: TargetFilter<'_>,
         count: usize,
         now: Time,
         rng: &mut dyn Rng,
     ) -> Vec<UpstreamName> {
-        let Some(eligible) = self.candidates.eligible(service, &[], among, now) else {
+        let Some(eligible) = self.candidates.eligible(service, &[], filter, now) else {
             return Vec::new();
         };
         let local = eligible.local.iter().filter(|it| it.stats.needs_probe(now));
@@ -165,7 +167,7 @@
     }
 
     /// Records the occupancy that an executor reported in answer to a probe.
-    pub fn told(
+    pub fn record_occupancy(
         &mut self,
         service: &ServiceName,
         upstream: &UpstreamName,
@@ -190,12 +192,12 @@
         &mut self,
         service: &ServiceName,
         upstream: &UpstreamName,
-        seen: Seen,
+        feedback: AttemptFeedback,
         occupancy: Option<Occupancy>,
         now: Time,
     ) -> Option<Duration> {
         let (row, may_eject) = self.candidates.finished(service, upstream, now)?;
-        stats::finished(row, seen, occupancy, may_eject, now)
+        stats::finished(row, feedback, occupancy, may_eject, now)
     }
 
     /// Targets of a service that are currently ejected.
@@ -207,7 +209,7 @@
 
 fn choose<'a>(
     eligible: &Eligible<'a, TargetStats>,
-    wish: Wish<'_>,
+    request: PlacementRequest<'_>,
     now: Time,
     rng: &mut dyn Rng,
 ) -> Option<&'a Row> {
@@ -215,10 +217,10 @@
     let inputs = EstimateInputs {
         service: assumed_service(eligible, max_age, now),
         max_age,
-        run: wish.run,
-        bytes: wish.answer_bytes,
+        run: request.run,
+        bytes: request.answer_bytes,
     };
-    let tolerance = wish.objective.mul_f64(TOLERANCE_SHARE);
+    let tolerance = request.objective.mul_f64(TOLERANCE_SHARE);
     let Some(local) = soonest_reported(&eligible.local, inputs, tolerance, now, rng) else {
         return soonest_sampled(&eligible.remote, inputs, now, rng);
     };
@@ -227,7 +229,7 @@
     };
     let here = time_to_answer(local, inputs, now);
     let there = time_to_answer(remote, inputs, now);
-    Some(if wish.spills(here, there) {
+    Some(if request.spills(here, there) {
         remote
     } else {
         local
--- a/crates/calls/src/placement/stats.rs
+++ b/crates/calls/src/placement/stats.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Seen;
+use super::AttemptFeedback;
 use crate::candidates::{self, EjectionDurations};
 use crate::ids::Time;
 use crate::queue::Occupancy;
@@ -191,7 +191,7 @@
 /// ejection.
 pub(super) fn finished(
     row: &mut Row,
-    seen: Seen,
+    feedback: AttemptFeedback,
     occupancy: Option<Occupancy>,
     may_eject: bool,
     now: Time,
@@ -199,12 +199,12 @@
     if let Some(occupancy) = occupancy {
         row.stats.record_occupancy(occupancy, now);
     }
-    match seen {
-        Seen::Answered => succeeded(row),
-        Seen::Full => row.stats.full_until = now + FULL_TIME,
-        Seen::Failed => return failed(row, may_eject, now),
-        Seen::Leaving => row.mark_leaving(now),
-        Seen::Nothing => {}
+    match feedback {
+        AttemptFeedback::Answered => succeeded(row),
+        AttemptFeedback::Full => row.stats.full_until = now + FULL_TIME,
+        AttemptFeedback::Failed => return failed(row, may_eject, now),
+        AttemptFeedback::Leaving => row.mark_leaving(now),
+        AttemptFeedback::Nothing => {}
     }
     None
 }
--- a/crates/calls/src/router/mod.rs
+++ b/crates/calls/src/router/mod.rs
@@ -13,7 +13,7 @@
 use stoatstep_resource::{ServiceName, UpstreamName, ZoneName};
 
 use crate::admission::Load;
-use crate::candidates::{Among, Candidate, Candidates, Eligible, Pick};
+use crate::candidates::{Candidate, Candidates, Eligible, Pick, TargetFilter};
 use crate::ids::Time;
 use stats::{Row, UpstreamStats};
 
@@ -73,7 +73,9 @@
         now: Time,
         rng: &mut dyn Rng,
     ) -> Option<Pick> {
-        let eligible = self.candidates.eligible(service, tried, Among::All, now)?;
+        let eligible = self
+            .candidates
+            .eligible(service, tried, TargetFilter::All, now)?;
         let chosen = choose(&eligible, now, rng)?;
         Some(self.candidates.pick(chosen))
     }
--- a/crates/calls/tests/all/placement.rs
+++ b/crates/calls/tests/all/placement.rs
@@ -3,7 +3,10 @@
 
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stoatstep_calls::{Among, Candidate, CandidateState, Occupancy, Placement, Seen, Wish};
+use stoatstep_calls::{
+    AttemptFeedback, Candidate, CandidateState, Occupancy, Placement, PlacementRequest,
+    TargetFilter,
+};
 use stoatstep_resource::{ServiceName, UpstreamName};
 
 const MS: Duration = Duration::from_millis(1);
@@ -27,7 +30,7 @@
 
 struct Entry {
     placement: Placement,
-    wish: Wish<'static>,
+    request: PlacementRequest<'static>,
     rng: Xoshiro256PlusPlus,
 }
 
@@ -38,11 +41,11 @@
         placement.set_candidates(&service(), list, Duration::ZERO);
         Self {
             placement,
-            wish: Wish {
+            request: PlacementRequest {
                 objective: OBJECTIVE,
                 answer_bytes: 0.0,
                 run: None,
-                among: Among::All,
+                filter: TargetFilter::All,
             },
             rng: Xoshiro256PlusPlus::seed_from_u64(1),
         }
@@ -50,28 +53,31 @@
 
     fn pick(&mut self, tried: &[UpstreamName], now: Duration) -> Option<UpstreamName> {
         let rng = &mut self.rng;
-        let picked = self.placement.pick(&service(), tried, self.wish, now, rng);
+        let picked = self
+            .placement
+            .pick(&service(), tried, self.request, now, rng);
         picked.map(|it| it.upstream)
     }
 
     /// Targets that are probed for their occupancy together with a call.
     fn probed(&mut self, now: Duration) -> Vec<UpstreamName> {
         let rng = &mut self.rng;
-        let among = self.wish.among;
-        self.placement.to_ask(&service(), among, 3, now, rng)
+        let filter = self.request.filter;
+        self.placement
+            .select_probes(&service(), filter, 3, now, rng)
     }
 
     fn finish_attempt(
         &mut self,
         name: &str,
-        seen: Seen,
+        feedback: AttemptFeedback,
         occupancy: impl Into<Option<Occupancy>>,
         now: Duration,
     ) {
         let name = UpstreamName::new(name);
         self.placement.started(&service(), &name);
         self.placement
-            .finished(&service(), &name, seen, occupancy.into(), now);
+            .finished(&service(), &name, feedback, occupancy.into(), now);
     }
 
     fn shares(&mut self, now: Duration) -> BTreeMap<UpstreamName, u32> {
@@ -98,8 +104,8 @@
 #[test]
 fn calls_stay_in_the_zone_while_it_answers_about_as_soon() {
     let mut entry = Entry::new(&[candidate("near", "a"), candidate("far", "b")]);
-    entry.finish_attempt("near", Seen::Answered, occupied(10, 3, 100), NOW);
-    entry.finish_attempt("far", Seen::Answered, occupied(0, 0, 80), NOW);
+    entry.finish_attempt("near", AttemptFeedback::Answered, occupied(10, 3, 100), NOW);
+    entry.finish_attempt("far", AttemptFeedback::Answered, occupied(0, 0, 80), NOW);
     assert_eq!(entry.shares(NOW).get("far"), None);
 }
 
@@ -108,8 +114,8 @@
 #[test]
 fn calls_stay_with_a_slow_target_that_meets_the_objective() {
     let mut entry = Entry::new(&[candidate("near", "a"), candidate("far", "b")]);
-    entry.finish_attempt("near", Seen::Answered, occupied(2, 0, 145), NOW);
-    entry.finish_attempt("far", Seen::Answered, occupied(2, 0, 60), NOW);
+    entry.finish_attempt("near", AttemptFeedback::Answered, occupied(2, 0, 145), NOW);
+    entry.finish_attempt("far", AttemptFeedback::Answered, occupied(2, 0, 60), NOW);
     assert_eq!(entry.shares(NOW).get("far"), None);
 }
 
@@ -118,8 +124,13 @@
 #[test]
 fn calls_leave_the_zone_where_another_one_answers_much_sooner() {
     let mut entry = Entry::new(&[candidate("near", "a"), candidate("far", "b")]);
-    entry.finish_attempt("near", Seen::Answered, occupied(10, 10, 100), NOW);
-    entry.finish_attempt("far", Seen::Answered, occupied(0, 0, 100), NOW);
+    entry.finish_attempt(
+        "near",
+        AttemptFeedback::Answered,
+        occupied(10, 10, 100),
+        NOW,
+    );
+    entry.finish_attempt("far", AttemptFeedback::Answered, occupied(0, 0, 100), NOW);
     assert_eq!(entry.shares(NOW).get("near"), None);
 }
 
@@ -130,11 +141,16 @@
 #[test]
 fn large_answers_stay_where_small_ones_leave() {
     let mut entry = Entry::new(&[candidate("near", "a"), candidate("far", "b")]);
-    entry.finish_attempt("near", Seen::Answered, occupied(10, 10, 100), NOW);
-    entry.finish_attempt("far", Seen::Answered, occupied(0, 0, 100), NOW);
-    entry.wish.answer_bytes = 1_500.0;
+    entry.finish_attempt(
+        "near",
+        AttemptFeedback::Answered,
+        occupied(10, 10, 100),
+        NOW,
+    );
+    entry.finish_attempt("far", AttemptFeedback::Answered, occupied(0, 0, 100), NOW);
+    entry.request.answer_bytes = 1_500.0;
     assert_eq!(entry.shares(NOW).get("near"), None);
-    entry.wish.answer_bytes = 90_000.0;
+    entry.request.answer_bytes = 90_000.0;
     assert_eq!(entry.shares(NOW).get("far"), None);
 }
 
@@ -144,21 +160,21 @@
 #[test]
 fn a_short_call_is_placed_by_the_run_time_of_its_route() {
     let mut entry = Entry::new(&[candidate("near", "a"), candidate("far", "b")]);
-    entry.finish_attempt("near", Seen::Answered, occupied(9, 0, 100), NOW);
-    entry.finish_attempt("far", Seen::Answered, occupied(0, 0, 60), NOW);
-    entry.wish.objective = MS * 45;
+    entry.finish_attempt("near", AttemptFeedback::Answered, occupied(9, 0, 100), NOW);
+    entry.finish_attempt("far", AttemptFeedback::Answered, occupied(0, 0, 60), NOW);
+    entry.request.objective = MS * 45;
     assert_eq!(entry.shares(NOW).get("near"), None);
-    entry.wish.run = Some(MS * 15);
+    entry.request.run = Some(MS * 15);
     assert_eq!(entry.shares(NOW).get("far"), None);
 }
 
 #[test]
 fn a_slow_target_gets_calls_once_the_fast_ones_are_busy() {
     let mut entry = Entry::new(&[candidate("fast", "a"), candidate("slow", "a")]);
-    entry.finish_attempt("fast", Seen::Answered, occupied(2, 0, 60), NOW);
-    entry.finish_attempt("slow", Seen::Answered, occupied(2, 0, 140), NOW);
+    entry.finish_attempt("fast", AttemptFeedback::Answered, occupied(2, 0, 60), NOW);
+    entry.finish_attempt("slow", AttemptFeedback::Answered, occupied(2, 0, 140), NOW);
     assert_eq!(entry.shares(NOW).get("slow"), None);
-    entry.finish_attempt("fast", Seen::Answered, occupied(10, 20, 60), NOW);
+    entry.finish_attempt("fast", AttemptFeedback::Answered, occupied(10, 20, 60), NOW);
     assert_eq!(entry.shares(NOW).get("fast"), None);
 }
 
@@ -167,8 +183,8 @@
 #[test]
 fn attempts_sent_since_the_last_report_count() {
     let mut entry = Entry::new(&[candidate("one", "a"), candidate("two", "a")]);
-    entry.finish_attempt("one", Seen::Answered, occupied(8, 0, 100), NOW);
-    entry.finish_attempt("two", Seen::Answered, occupied(9, 0, 100), NOW);
+    entry.finish_attempt("one", AttemptFeedback::Answered, occupied(8, 0, 100), NOW);
+    entry.finish_attempt("two", AttemptFeedback::Answered, occupied(9, 0, 100), NOW);
     let mut sent: BTreeMap<UpstreamName, u32> = BTreeMap::new();
     for _ in 0..40 {
         let name = entry.pick(&[], NOW).expect("somebody is there");
@@ -181,11 +197,11 @@
 #[test]
 fn a_target_that_was_slow_is_tried_again_after_a_while() {
     let mut entry = Entry::new(&[candidate("one", "a"), candidate("two", "a")]);
-    entry.finish_attempt("one", Seen::Answered, occupied(0, 0, 100), NOW);
-    entry.finish_attempt("two", Seen::Answered, occupied(0, 0, 900), NOW);
+    entry.finish_attempt("one", AttemptFeedback::Answered, occupied(0, 0, 100), NOW);
+    entry.finish_attempt("two", AttemptFeedback::Answered, occupied(0, 0, 900), NOW);
     assert_eq!(entry.shares(NOW).get("two"), None);
     let later = NOW + Duration::from_secs(4);
-    entry.finish_attempt("one", Seen::Answered, occupied(0, 0, 100), later);
+    entry.finish_attempt("one", AttemptFeedback::Answered, occupied(0, 0, 100), later);
     assert!(entry.shares(later).contains_key("two"));
 }
 
@@ -202,7 +218,7 @@
     let mut now = NOW;
     for name in &names {
         let run = if is_slow(name) { 1000 } else { 450 };
-        entry.finish_attempt(name, Seen::Answered, occupied(0, 0, run), now);
+        entry.finish_attempt(name, AttemptFeedback::Answered, occupied(0, 0, run), now);
         now += Duration::from_millis(100);
     }
     let shares = entry.shares(now + Duration::from_secs(6));
@@ -225,8 +241,8 @@
     let mut entry = Entry::new(&list);
     let mut calls = 0;
     while entry.placement.ejected(&service(), NOW).is_empty() {
-        entry.finish_attempt("two", Seen::Failed, None, NOW);
-        entry.finish_attempt("two", Seen::Answered, None, NOW);
+        entry.finish_attempt("two", AttemptFeedback::Failed, None, NOW);
+        entry.finish_attempt("two", AttemptFeedback::Answered, None, NOW);
         calls += 2;
         assert!(calls < 30, "not ejected");
     }
@@ -240,9 +256,9 @@
     let list = ["one", "two"].map(|name| candidate(name, "a"));
     let mut entry = Entry::new(&list);
     for _ in 0..50 {
-        entry.finish_attempt("two", Seen::Failed, None, NOW);
+        entry.finish_attempt("two", AttemptFeedback::Failed, None, NOW);
         for _ in 0..9 {
-            entry.finish_attempt("two", Seen::Answered, None, NOW);
+            entry.finish_attempt("two", AttemptFeedback::Answered, None, NOW);
         }
     }
     assert!(entry.placement.ejected(&service(), NOW).is_empty());
@@ -254,7 +270,7 @@
     let mut entry = Entry::new(&list);
     for name in ["one", "two"] {
         for _ in 0..20 {
-            entry.finish_attempt(name, Seen::Failed, None, NOW);
+            entry.finish_attempt(name, AttemptFeedback::Failed, None, NOW);
         }
     }
     assert_eq!(entry.placement.ejected(&service(), NOW), ["one"]);
@@ -268,7 +284,7 @@
     leaving.state = CandidateState::Leaving;
     let mut entry = Entry::new(&[leaving, candidate("two", "b")]);
     assert_eq!(entry.shares(NOW).get("one"), None);
-    entry.finish_attempt("two", Seen::Leaving, None, NOW);
+    entry.finish_attempt("two", AttemptFeedback::Leaving, None, NOW);
     assert_eq!(entry.pick(&[], NOW), None);
 }
 
@@ -286,7 +302,9 @@
         for name in entry.probed(now) {
             let running = if name == "target-11" { 2 } else { 10 };
             let occupancy = occupied(running, 5, 100);
-            entry.placement.told(&service(), &name, occupancy, now);
+            entry
+                .placement
+                .record_occupancy(&service(), &name, occupancy, now);
             probes += 1;
         }
         now += MS * 10;
@@ -322,7 +340,7 @@
         let name = UpstreamName::new(name);
         entry
             .placement
-            .told(&service(), &name, occupied(running, 5, 100), NOW);
+            .record_occupancy(&service(), &name, occupied(running, 5, 100), NOW);
     }
     assert_eq!(entry.shares(NOW).len(), 1);
     assert!(entry.shares(NOW + Duration::from_secs(1)).len() > 3);
@@ -335,10 +353,10 @@
     let mut new = candidate("new", "a");
     new.software = "v2".into();
     let mut entry = Entry::new(&[candidate("old", "a"), new]);
-    entry.wish.among = Among::OtherSoftware("v2");
+    entry.request.filter = TargetFilter::OtherSoftware("v2");
     assert_eq!(entry.probed(NOW), [UpstreamName::new("old")]);
     assert_eq!(entry.shares(NOW).get("new"), None);
-    entry.wish.among = Among::Software("v2");
+    entry.request.filter = TargetFilter::Software("v2");
     assert_eq!(entry.shares(NOW).get("old"), None);
 }
 
@@ -351,7 +369,7 @@
         let occupancy = occupied(0, 0, ms);
         entry
             .placement
-            .told(&service(), &name.into(), occupancy, NOW);
+            .record_occupancy(&service(), &name.into(), occupancy, NOW);
     }
     let shares = entry.shares(NOW);
     assert!(shares.values().all(|it| *it > 300), "{shares:?}");
--- a/crates/calls/tests/all/router.rs
+++ b/crates/calls/tests/all/router.rs
@@ -89,7 +89,7 @@
 // Membership wrongly reports that no upstream is ready. Calls must still be sent.
 #[test]
 fn wrong_health_of_all_upstreams_does_not_stop_the_service() {
-    let router = router(&candidates(CandidateState::Doubtful));
+    let router = router(&candidates(CandidateState::Unhealthy));
     assert_eq!(picks(&router, WARM).values().sum::<u32>(), 1_000);
 }
 
--- a/crates/mesh/src/entry/attempt.rs
+++ b/crates/mesh/src/entry/attempt.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::RngExt;
-use stoatstep_calls::{AttemptId, Occupancy, Reason, Refusal, Seen, Ticket, Time};
+use stoatstep_calls::{AttemptFeedback, AttemptId, Occupancy, Reason, Refusal, Ticket, Time};
 use stoatstep_resource::UpstreamName;
 use stoatstep_telemetry::fields;
 use tokio::time::{sleep, timeout};
@@ -71,7 +71,7 @@
     let mut outstanding = Outstanding::new(node, call, upstream);
     let (ended, occupancy) = attempt(node, call, upstream, place).await;
     outstanding.seen = match seen(&ended) {
-        Seen::Failed if !node.cfg.has(Mechanism::Ejection) => Seen::Nothing,
+        AttemptFeedback::Failed if !node.cfg.has(Mechanism::Ejection) => AttemptFeedback::Nothing,
         seen => seen,
     };
     outstanding.occupancy = occupancy;
@@ -255,19 +255,21 @@
     }
 }
 
-fn seen(ended: &Ended) -> Seen {
+fn seen(ended: &Ended) -> AttemptFeedback {
     let refusal = match &ended.end {
-        End::Answered(answer) if answer.is_failure() => return Seen::Failed,
-        End::Answered(_) => return Seen::Answered,
+        End::Answered(answer) if answer.is_failure() => return AttemptFeedback::Failed,
+        End::Answered(_) => return AttemptFeedback::Answered,
         End::Refused(refusal) => refusal,
     };
     match refusal.reason {
-        Reason::Draining => Seen::Leaving,
+        Reason::Draining => AttemptFeedback::Leaving,
         // An executor never sends its target more than it has slots, so a target
         // that sheds is not full but failing.
-        Reason::NoUpstream | Reason::LostAnswer | Reason::TimedOut | Reason::Shed => Seen::Failed,
-        Reason::Overload | Reason::Woke | Reason::Deadline => Seen::Full,
-        _ => Seen::Nothing,
+        Reason::NoUpstream | Reason::LostAnswer | Reason::TimedOut | Reason::Shed => {
+            AttemptFeedback::Failed
+        }
+        Reason::Overload | Reason::Woke | Reason::Deadline => AttemptFeedback::Full,
+        _ => AttemptFeedback::Nothing,
     }
 }
 
@@ -277,7 +279,7 @@
     node: &'a Node,
     call: &'a Call,
     upstream: &'a UpstreamName,
-    seen: Seen,
+    seen: AttemptFeedback,
     occupancy: Option<Occupancy>,
 }
 
@@ -289,7 +291,7 @@
             node,
             call,
             upstream,
-            seen: Seen::Nothing,
+            seen: AttemptFeedback::Nothing,
             occupancy: None,
         }
     }
--- a/crates/mesh/src/entry/carry.rs
+++ b/crates/mesh/src/entry/carry.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Among, Attempts, Outcome, Pick, Reason, Refusal, Wish};
+use stoatstep_calls::{Attempts, Outcome, Pick, PlacementRequest, Reason, Refusal, TargetFilter};
 use stoatstep_resource::UpstreamName;
 use stoatstep_telemetry::fields;
 
@@ -147,7 +147,7 @@
     node: &Node,
     call: &Call,
     tried: &[UpstreamName],
-    among: Among<'_>,
+    among: TargetFilter<'_>,
 ) -> Option<(Pick, Place)> {
     let now = node.clock.now();
     let mut tables = node.entry.tables.borrow_mut();
@@ -158,7 +158,7 @@
         ..
     } = &mut *tables;
     let answers = answers.get(&call.parts.route).copied().unwrap_or_default();
-    let wish = Wish {
+    let wish = PlacementRequest {
         objective: call.objective.saturating_sub(now),
         answer_bytes: if node.cfg.has(Mechanism::AnswerSize) {
             answers.bytes()
@@ -166,7 +166,7 @@
             0.0
         },
         run: answers.run().filter(|_| node.cfg.has(Mechanism::RouteTime)),
-        among,
+        filter: among,
     };
     let pick = placement.pick(&call.parts.service, tried, wish, now, rng)?;
     let place = node.fleet.place(&pick.upstream)?;
--- a/crates/mesh/src/entry/divided.rs
+++ b/crates/mesh/src/entry/divided.rs
@@ -1,7 +1,7 @@
 //! Which side of a service under a roll-out a call goes to.
 
 use rand::RngExt;
-use stoatstep_calls::{Among, Reason};
+use stoatstep_calls::{Reason, TargetFilter};
 use stoatstep_rollout::{Lane, Side, Step};
 
 use super::call::Call;
@@ -19,12 +19,12 @@
     }
 
     /// The targets that the call may go to.
-    pub(super) fn among(&self) -> Among<'_> {
+    pub(super) fn among(&self) -> TargetFilter<'_> {
         match &self.0 {
-            None => Among::All,
-            Some((lane, Side::Old)) => Among::OtherSoftware(&lane.target),
-            Some((lane, Side::New)) => Among::Software(&lane.target),
-            Some((lane, Side::Tried)) => Among::Named(lane.canaries.names()),
+            None => TargetFilter::All,
+            Some((lane, Side::Old)) => TargetFilter::OtherSoftware(&lane.target),
+            Some((lane, Side::New)) => TargetFilter::Software(&lane.target),
+            Some((lane, Side::Tried)) => TargetFilter::Named(lane.canaries.names()),
         }
     }
 
--- a/crates/mesh/src/entry/probes.rs
+++ b/crates/mesh/src/entry/probes.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::Among;
+use stoatstep_calls::TargetFilter;
 use stoatstep_resource::{ServiceName, UpstreamName};
 
 use super::Tables;
@@ -22,14 +22,14 @@
 const ANSWER_BOUND: Duration = Duration::from_millis(100);
 
 /// Asks a few targets of the service.
-pub(super) fn ask(node: &Rc<Node>, service: &ServiceName, among: Among<'_>) {
+pub(super) fn ask(node: &Rc<Node>, service: &ServiceName, among: TargetFilter<'_>) {
     if !node.cfg.has(Mechanism::LoadProbes) {
         return;
     }
     let now = node.clock.now();
     let mut tables = node.entry.tables.borrow_mut();
     let Tables { placement, rng, .. } = &mut *tables;
-    let targets = placement.to_ask(service, among, PROBES, now, rng);
+    let targets = placement.select_probes(service, among, PROBES, now, rng);
     drop(tables);
     for target in targets {
         let (node, service) = (Rc::clone(node), service.clone());
@@ -52,5 +52,5 @@
     };
     let now = node.clock.now();
     let placement = &mut node.entry.tables.borrow_mut().placement;
-    placement.told(service, target, occupancy, now);
+    placement.record_occupancy(service, target, occupancy, now);
 }
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -251,7 +251,7 @@
             zone: entry.member.zone.clone(),
             incarnation: entry.member.birth,
             state: match state_of(entry, announced.draining) {
-                CandidateState::Ready if is_held => CandidateState::Doubtful,
+                CandidateState::Ready if is_held => CandidateState::Unhealthy,
                 state => state,
             },
             slots: announced.slots,
@@ -289,7 +289,7 @@
     match entry.member.state {
         MemberState::Leaving | MemberState::Dead => CandidateState::Leaving,
         _ if is_draining => CandidateState::Leaving,
-        MemberState::Suspect => CandidateState::Doubtful,
+        MemberState::Suspect => CandidateState::Unhealthy,
         MemberState::Alive => CandidateState::Ready,
     }
 }
