--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -11,7 +11,7 @@
 //! caller) and the *executor* (the daemon on the target's own instance):
 //!
 //! * the entry uses [`RouteTable`], [`KeyRing`], [`Purse`], [`Router`] or [`Placement`], [`RetryBudget`], [`Backoff`], [`Deadline`] and
-//!   [`Silence`];
+//!   [`SilenceDetector`];
 //! * both use [`Quarantine`];
 //! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IntentTable`], [`Drain`] and [`Departure`].
 //!
@@ -73,6 +73,6 @@
 pub use retry::{Attempts, Backoff, RetryBudget, Settlement, may_retry};
 pub use router::{Report, Router};
 pub use routes::{ResolvedRoute, RouteTable};
-pub use silence::{Silence, SilenceAction, SilenceConfig};
+pub use silence::{SilenceAction, SilenceConfig, SilenceDetector};
 pub use throttle::Throttle;
 pub use uplink::Uplink;
--- a/crates/calls/src/silence.rs
+++ b/crates/calls/src/silence.rs
@@ -53,7 +53,7 @@
 
 /// Tracks the outstanding attempts of an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Silence {
+pub struct SilenceDetector {
     cfg: SilenceConfig,
     watches: BTreeMap<AttemptId, Watch>,
 }
@@ -62,7 +62,7 @@
 /// retired. After the first one the attempt may still be on its way.
 const NEVER_SEEN_TO_RETIRE: u32 = 2;
 
-impl Silence {
+impl SilenceDetector {
     /// Creates a detector without outstanding attempts.
     #[must_use]
     pub fn new(cfg: SilenceConfig) -> Self {
@@ -113,7 +113,7 @@
     /// Handles the ledger's answer to a query. An attempt that is queued or running keeps
     /// its connection. Any other state means that the answer, or the attempt itself, was
     /// lost on the old connection.
-    pub fn heard(
+    pub fn ledger_answered(
         &mut self,
         attempt: AttemptId,
         settled: &Settled,
--- a/crates/calls/tests/all/silence.rs
+++ b/crates/calls/tests/all/silence.rs
@@ -1,24 +1,27 @@
 use std::time::Duration;
 
-use stoatstep_calls::{Settled, Silence, SilenceAction, SilenceConfig};
+use stoatstep_calls::{Settled, SilenceAction, SilenceConfig, SilenceDetector};
 
 const MS: Duration = Duration::from_millis(1);
 
-fn silence() -> Silence {
-    Silence::new(SilenceConfig::default())
+fn detector() -> SilenceDetector {
+    SilenceDetector::new(SilenceConfig::default())
 }
 
 // A device on the way lost the state of a connection, so the request never arrived and no
 // error is returned. The ledger, queried over a new connection, has never seen the attempt.
 #[test]
 fn attempt_that_never_arrived_is_retired() {
-    let mut silence = silence();
-    silence.sent(1, Duration::ZERO);
-    assert!(silence.tick(199 * MS).is_empty());
-    assert_eq!(silence.tick(200 * MS), [SilenceAction::Ask(1)]);
-    assert_eq!(silence.heard(1, &Settled::NeverSeen, 200 * MS), None);
-    assert_eq!(silence.tick(400 * MS), [SilenceAction::Ask(1)]);
-    let action = silence.heard(1, &Settled::NeverSeen, 400 * MS);
+    let mut detector = detector();
+    detector.sent(1, Duration::ZERO);
+    assert!(detector.tick(199 * MS).is_empty());
+    assert_eq!(detector.tick(200 * MS), [SilenceAction::Ask(1)]);
+    assert_eq!(
+        detector.ledger_answered(1, &Settled::NeverSeen, 200 * MS),
+        None
+    );
+    assert_eq!(detector.tick(400 * MS), [SilenceAction::Ask(1)]);
+    let action = detector.ledger_answered(1, &Settled::NeverSeen, 400 * MS);
     assert_eq!(action, Some(SilenceAction::Retire(1)));
 }
 
@@ -26,12 +29,15 @@
 // reports that it runs.
 #[test]
 fn slow_call_is_left_alone() {
-    let mut silence = silence();
-    silence.sent(1, Duration::ZERO);
+    let mut detector = detector();
+    detector.sent(1, Duration::ZERO);
     for step in 1..100 {
-        for action in silence.tick(200 * MS * step) {
+        for action in detector.tick(200 * MS * step) {
             assert_eq!(action, SilenceAction::Ask(1));
-            assert_eq!(silence.heard(1, &Settled::Running, 200 * MS * step), None);
+            assert_eq!(
+                detector.ledger_answered(1, &Settled::Running, 200 * MS * step),
+                None
+            );
         }
     }
 }
@@ -39,10 +45,10 @@
 // The call ended, but its answer was lost with the connection.
 #[test]
 fn finished_call_on_a_silent_connection_is_retired() {
-    let mut silence = silence();
-    silence.sent(1, Duration::ZERO);
-    silence.tick(200 * MS);
-    let action = silence.heard(1, &Settled::DoneWithoutAnswer, 200 * MS);
+    let mut detector = detector();
+    detector.sent(1, Duration::ZERO);
+    detector.tick(200 * MS);
+    let action = detector.ledger_answered(1, &Settled::DoneWithoutAnswer, 200 * MS);
     assert_eq!(action, Some(SilenceAction::Retire(1)));
 }
 
@@ -50,10 +56,13 @@
 // must end as unknown now rather than at its deadline.
 #[test]
 fn executor_that_answers_nobody_is_given_up() {
-    let mut silence = silence();
-    silence.sent(1, Duration::ZERO);
+    let mut detector = detector();
+    detector.sent(1, Duration::ZERO);
     let times = [200, 400, 600, 800];
-    let actions: Vec<_> = times.iter().flat_map(|&at| silence.tick(MS * at)).collect();
+    let actions: Vec<_> = times
+        .iter()
+        .flat_map(|&at| detector.tick(MS * at))
+        .collect();
     assert_eq!(actions[..3], [SilenceAction::Ask(1); 3]);
     assert_eq!(actions[3], SilenceAction::GiveUp(1));
 }
--- a/crates/daemon/src/call/settle.rs
+++ b/crates/daemon/src/call/settle.rs
@@ -7,7 +7,8 @@
 
 use ntex::time::{Millis, sleep};
 use stoatstep_calls::{
-    AttemptId, Deadline, Reason, Refusal, Settled, Silence, SilenceAction, SilenceConfig, Ticket,
+    AttemptId, Deadline, Reason, Refusal, Settled, SilenceAction, SilenceConfig, SilenceDetector,
+    Ticket,
 };
 
 use super::run;
@@ -92,7 +93,7 @@
         }
         let sent = node.calls.clock.now();
         node.calls.alarms.until(sent + cfg.first_ask).await;
-        let mut silence = Silence::new(cfg);
+        let mut silence = SilenceDetector::new(cfg);
         silence.sent(self.attempt, sent);
         loop {
             let now = node.calls.clock.now();
@@ -112,14 +113,14 @@
     async fn act(
         &self,
         node: &Rc<Node>,
-        silence: &mut Silence,
+        silence: &mut SilenceDetector,
         action: SilenceAction,
     ) -> Option<SilenceAction> {
         let SilenceAction::Ask(attempt) = action else {
             return Some(action);
         };
         let settled = self.ask(node, "/peer/peek").await?;
-        silence.heard(attempt, &settled, node.calls.clock.now())
+        silence.ledger_answered(attempt, &settled, node.calls.clock.now())
     }
 }
 
--- a/crates/scenario/src/daemon/attempt.rs
+++ b/crates/scenario/src/daemon/attempt.rs
@@ -4,8 +4,8 @@
 
 use rand::RngExt;
 use stoatstep_calls::{
-    AttemptId, Deadline, Reason, Refusal, Report, Settled, Silence, SilenceAction, SilenceConfig,
-    Ticket,
+    AttemptId, Deadline, Reason, Refusal, Report, Settled, SilenceAction, SilenceConfig,
+    SilenceDetector, Ticket,
 };
 use stoatstep_membership::Time;
 
@@ -170,14 +170,14 @@
         let cfg = SilenceConfig::default();
         let sent = node.now();
         node.sleep(cfg.first_ask).await;
-        let mut silence = Silence::new(cfg);
+        let mut silence = SilenceDetector::new(cfg);
         silence.sent(self.attempt, sent);
         loop {
             let now = node.now();
             for action in silence.tick(now) {
                 let action = match action {
                     SilenceAction::Ask(attempt) => match self.ask(node, false).await {
-                        Some(settled) => silence.heard(attempt, &settled, node.now()),
+                        Some(settled) => silence.ledger_answered(attempt, &settled, node.now()),
                         None => None,
                     },
                     other => Some(other),
