--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -70,7 +70,7 @@
 pub use queue::{Occupancy, Queue, QueueRequest};
 pub use quota::{Bucket, Grant, Purse, Share, Taken};
 pub use refusal::{Outcome, Reason, Refusal};
-pub use retry::{Attempts, Backoff, RetryBudget, Settlement, may_retry};
+pub use retry::{Backoff, RefusedAttempts, RetryBudget, UnansweredOutcome, may_retry};
 pub use router::{Report, Router};
 pub use routes::{ResolvedRoute, RouteTable};
 pub use silence::{SilenceAction, SilenceConfig, SilenceDetector};
--- a/crates/calls/src/retry.rs
+++ b/crates/calls/src/retry.rs
@@ -70,7 +70,7 @@
 
 /// Whether an attempt without an answer may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Settlement {
+pub enum UnansweredOutcome {
     /// It did not run and never will.
     NotRun,
     /// It may have run.
@@ -84,7 +84,7 @@
 /// call. The other hops pass the refusal up to the first entry, which has the retry budget.
 #[must_use]
 pub fn may_retry(
-    settlement: Settlement,
+    outcome: UnansweredOutcome,
     idempotent: bool,
     depth: u32,
     made: u32,
@@ -93,9 +93,9 @@
     if depth > 0 || made >= allowed {
         return false;
     }
-    match settlement {
-        Settlement::NotRun => true,
-        Settlement::Unknown => idempotent,
+    match outcome {
+        UnansweredOutcome::NotRun => true,
+        UnansweredOutcome::Unknown => idempotent,
     }
 }
 
@@ -105,11 +105,11 @@
 /// attempt then finds no upstream, its refusal states "not run", which is true of that
 /// attempt only. Passed on alone, it would tell the caller that the call did not run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Attempts {
+pub struct RefusedAttempts {
     may_have_run: Option<Refusal>,
 }
 
-impl Attempts {
+impl RefusedAttempts {
     /// Records the refusal of an attempt, and returns the refusal of the call if no other
     /// attempt follows. It states "not run" only if no attempt may have run.
     pub fn refused(&mut self, refusal: Refusal) -> Refusal {
--- a/crates/calls/tests/all/retry.rs
+++ b/crates/calls/tests/all/retry.rs
@@ -3,8 +3,8 @@
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stoatstep_calls::{
-    Attempts, Backoff, Deadline, Drain, DrainStep, Outcome, Reason, Refusal, RetryBudget,
-    Settlement, may_retry,
+    Backoff, Deadline, Drain, DrainStep, Outcome, Reason, Refusal, RefusedAttempts, RetryBudget,
+    UnansweredOutcome, may_retry,
 };
 
 const MS: Duration = Duration::from_millis(1);
@@ -30,9 +30,9 @@
 // The last target of a chain of 8 hops fails. Only the first daemon may retry.
 #[test]
 fn chain_does_not_multiply_attempts() {
-    assert!(may_retry(Settlement::NotRun, false, 0, 1, 3));
+    assert!(may_retry(UnansweredOutcome::NotRun, false, 0, 1, 3));
     for depth in 1..8 {
-        assert!(!may_retry(Settlement::NotRun, true, depth, 1, 3));
+        assert!(!may_retry(UnansweredOutcome::NotRun, true, depth, 1, 3));
     }
 }
 
@@ -42,7 +42,7 @@
 fn call_is_not_run_only_if_no_attempt_may_have_run() {
     let nobody = Refusal::retry(Reason::NoUpstream, MS);
     let lost = Refusal::permanent(Reason::LostAnswer);
-    let mut attempts = Attempts::default();
+    let mut attempts = RefusedAttempts::default();
     assert_eq!(attempts.refused(nobody), nobody);
     assert_eq!(attempts.refused(lost), lost);
     let end = attempts.refused(nobody);
@@ -53,9 +53,9 @@
 // A call that posts a claim ends as unknown. Another attempt could post the claim twice.
 #[test]
 fn unknown_is_retried_only_if_idempotent() {
-    assert!(!may_retry(Settlement::Unknown, false, 0, 1, 3));
-    assert!(may_retry(Settlement::Unknown, true, 0, 1, 3));
-    assert!(!may_retry(Settlement::Unknown, true, 0, 3, 3));
+    assert!(!may_retry(UnansweredOutcome::Unknown, false, 0, 1, 3));
+    assert!(may_retry(UnansweredOutcome::Unknown, true, 0, 1, 3));
+    assert!(!may_retry(UnansweredOutcome::Unknown, true, 0, 3, 3));
 }
 
 #[test]
--- a/crates/daemon/src/call/entry.rs
+++ b/crates/daemon/src/call/entry.rs
@@ -8,7 +8,8 @@
 use ntex::http::{Request, Response};
 use ntex::time::sleep;
 use stoatstep_calls::{
-    Attempts, Backoff, Outcome, Reason, Refusal, Report, Settlement, Time, home_of, may_retry,
+    Backoff, Outcome, Reason, Refusal, RefusedAttempts, Report, Time, UnansweredOutcome, home_of,
+    may_retry,
 };
 use stoatstep_resource::UpstreamName;
 use stoatstep_telemetry::Stage;
@@ -62,7 +63,7 @@
 async fn carry(node: &Rc<Node>, call: &Call) -> Ended {
     let mut tried = Vec::new();
     let mut made = 0;
-    let mut attempts = Attempts::default();
+    let mut attempts = RefusedAttempts::default();
     earn(node, call);
     loop {
         made += 1;
@@ -182,8 +183,8 @@
     fresh: bool,
 ) -> Option<Duration> {
     let settlement = match refusal.outcome() {
-        Outcome::NotRun => Settlement::NotRun,
-        Outcome::Unknown | Outcome::Answered => Settlement::Unknown,
+        Outcome::NotRun => UnansweredOutcome::NotRun,
+        Outcome::Unknown | Outcome::Answered => UnansweredOutcome::Unknown,
     };
     let allowed = call.route.policy.retry.attempts;
     let parts = &call.parts;
@@ -193,7 +194,7 @@
     }
     let left = call.deadline.left(node.calls.clock.now());
     let mut tables = node.calls.entry.borrow_mut();
-    let pause = if fresh && settlement == Settlement::NotRun {
+    let pause = if fresh && settlement == UnansweredOutcome::NotRun {
         (LEAST_ATTEMPT < left).then_some(Duration::ZERO)?
     } else {
         let floor = floor(call, refusal);
--- a/crates/mesh/src/entry/carry.rs
+++ b/crates/mesh/src/entry/carry.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Attempts, Outcome, Pick, PlacementRequest, Reason, Refusal, TargetFilter};
+use stoatstep_calls::{
+    Outcome, Pick, PlacementRequest, Reason, Refusal, RefusedAttempts, TargetFilter,
+};
 use stoatstep_resource::UpstreamName;
 use stoatstep_telemetry::fields;
 
@@ -85,7 +87,7 @@
     /// Attempts that their targets got to see.
     arrived: u32,
     overloaded: usize,
-    attempts: Attempts,
+    attempts: RefusedAttempts,
     times: Times,
     best: Option<End>,
 }
--- a/crates/scenario/src/daemon/entry.rs
+++ b/crates/scenario/src/daemon/entry.rs
@@ -5,8 +5,8 @@
 
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    AttemptId, Attempts, Backoff, Class, Deadline, IntentKey, KeyText, Load, Outcome, Reason,
-    Refusal, Report, SetId, Settlement, Ticket, home_of, may_retry, set_id,
+    AttemptId, Backoff, Class, Deadline, IntentKey, KeyText, Load, Outcome, Reason, Refusal,
+    RefusedAttempts, Report, SetId, Ticket, UnansweredOutcome, home_of, may_retry, set_id,
 };
 use stoatstep_membership::Time;
 use stoatstep_resource::{CustomerName, Kind, Resource, ServiceName, State, UpstreamName};
@@ -109,7 +109,7 @@
 async fn carry(node: &Rc<Node>, carried: &Rc<Carried>) -> End {
     let mut tried = Vec::new();
     let mut made = 0;
-    let mut attempts = Attempts::default();
+    let mut attempts = RefusedAttempts::default();
     earn(node, &carried.service);
     loop {
         made += 1;
@@ -178,8 +178,8 @@
     fresh: bool,
 ) -> Option<Time> {
     let settlement = match refusal.outcome() {
-        Outcome::NotRun => Settlement::NotRun,
-        Outcome::Unknown | Outcome::Answered => Settlement::Unknown,
+        Outcome::NotRun => UnansweredOutcome::NotRun,
+        Outcome::Unknown | Outcome::Answered => UnansweredOutcome::Unknown,
     };
     let may = may_retry(settlement, carried.call.idempotent, 0, made, ATTEMPTS);
     if !may || !refusal.reason.allows_retry() {
@@ -187,7 +187,7 @@
     }
     let left = carried.deadline.left(node.now());
     let calls = &mut *node.calls.borrow_mut();
-    let pause = if fresh && settlement == Settlement::NotRun {
+    let pause = if fresh && settlement == UnansweredOutcome::NotRun {
         (LEAST_ATTEMPT < left).then_some(Time::ZERO)?
     } else {
         let floor = floor(carried, refusal);
--- a/crates/spec/src/attempt/entry.rs
+++ b/crates/spec/src/attempt/entry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use stoatstep_calls::{AttemptId, Settled, Settlement, Ticket, may_retry};
+use stoatstep_calls::{AttemptId, Settled, Ticket, UnansweredOutcome, may_retry};
 
 use super::message::{End, id};
 use crate::safeguard::{Safeguard, Safeguards};
@@ -97,9 +97,9 @@
             End::Answered(whose) => self.phase = Phase::Ended(Told::Answered(whose)),
             End::NotRun => {
                 self.not_run.insert(id(number, self.made));
-                self.end_attempt(Settlement::NotRun, allowed, safeguards);
+                self.end_attempt(UnansweredOutcome::NotRun, allowed, safeguards);
             }
-            End::Unknown => self.end_attempt(Settlement::Unknown, allowed, safeguards),
+            End::Unknown => self.end_attempt(UnansweredOutcome::Unknown, allowed, safeguards),
         }
     }
 
@@ -121,15 +121,15 @@
         self.hear(number, end, allowed, safeguards);
     }
 
-    fn end_attempt(&mut self, settlement: Settlement, allowed: u8, safeguards: Safeguards) {
+    fn end_attempt(&mut self, settlement: UnansweredOutcome, allowed: u8, safeguards: Safeguards) {
         let idempotent = !safeguards.has(Safeguard::RetryRule);
         let (made, allowed) = (u32::from(self.made), u32::from(allowed));
         self.phase = if may_retry(settlement, idempotent, 0, made, allowed) {
             Phase::Ready
         } else {
             Phase::Ended(match settlement {
-                Settlement::NotRun => Told::NotRun,
-                Settlement::Unknown => Told::Unknown,
+                UnansweredOutcome::NotRun => Told::NotRun,
+                UnansweredOutcome::Unknown => Told::Unknown,
             })
         };
     }
