--- a/crates/calls/src/throttle.rs
+++ b/crates/calls/src/throttle.rs
@@ -42,26 +42,26 @@
     }
 
     /// An admitted call ended in another way than by a failure of its target.
-    pub fn good(&mut self, now: Time) {
+    pub fn record_success(&mut self, now: Time) {
         self.decay(now);
         self.successes += 1.0;
     }
 
     /// An admitted call ended in a way that says nothing about its target, so it is no
     /// longer counted.
-    pub fn unknown(&mut self) {
+    pub fn discard_request(&mut self) {
         self.requests = (self.requests - 1.0).max(0.0);
     }
 
     /// Recent requests; older ones have less weight.
     #[must_use]
-    pub fn asked(&self) -> f64 {
+    pub fn requests(&self) -> f64 {
         self.requests
     }
 
     /// Recent successes; older ones have less weight.
     #[must_use]
-    pub fn ended_well(&self) -> f64 {
+    pub fn successes(&self) -> f64 {
         self.successes
     }
 
--- a/crates/calls/tests/all/throttle.rs
+++ b/crates/calls/tests/all/throttle.rs
@@ -33,7 +33,7 @@
             admitted += 1;
             if succeeds(self.rng.random()) {
                 succeeded += 1;
-                self.throttle.good(self.now);
+                self.throttle.record_success(self.now);
             }
         }
         (admitted, succeeded)
@@ -72,6 +72,6 @@
     let mut throttle = Throttle::default();
     for step in 0..1_000 {
         assert!(throttle.admits(0.0, GAP * step));
-        throttle.unknown();
+        throttle.discard_request();
     }
 }
--- a/crates/mesh/src/entry/throttle.rs
+++ b/crates/mesh/src/entry/throttle.rs
@@ -42,7 +42,7 @@
     if let Some(left_out) = node.journal.admits("throttle", node.clock.now()) {
         slog::info!(node.log, "route throttled";
             fields::REQUEST => %call.parts.request_id, fields::ROUTE => %call.parts.route,
-            fields::ASKED => seen.asked(), fields::GOOD => seen.ended_well(),
+            fields::ASKED => seen.requests(), fields::GOOD => seen.successes(),
             fields::LEFT_OUT => left_out);
     }
 }
@@ -62,7 +62,7 @@
 pub(super) fn left(node: &Node, call: &Call) {
     let mut tables = node.entry.tables.borrow_mut();
     if let Some(throttle) = tables.throttles.get_mut(&call.parts.route) {
-        throttle.unknown();
+        throttle.discard_request();
     }
 }
 
@@ -76,8 +76,8 @@
     };
     match end {
         End::Answered(answer) if answer.is_failure() => {}
-        End::Answered(_) => throttle.good(now),
+        End::Answered(_) => throttle.record_success(now),
         End::Refused(refusal) if refusal.reason == Reason::TimedOut => {}
-        End::Refused(_) => Throttle::unknown(throttle),
+        End::Refused(_) => Throttle::discard_request(throttle),
     }
 }
