--- a/crates/calls/src/uplink.rs
+++ b/crates/calls/src/uplink.rs
@@ -62,7 +62,7 @@
 
     /// Maximum size of a frame; larger messages are sent in chunks of this size.
     #[must_use]
-    pub fn piece_bytes(&self) -> usize {
+    pub fn chunk_bytes(&self) -> usize {
         let Some(rate) = self.rate else {
             return MAX_CHUNK_BYTES;
         };
@@ -73,7 +73,7 @@
     /// Whether an answer of this size counts as large.
     #[must_use]
     pub fn is_large(&self, bytes: f64) -> bool {
-        round_down(bytes) > self.piece_bytes()
+        round_down(bytes) > self.chunk_bytes()
     }
 
     /// Time until the next chunk may be sent.
@@ -83,7 +83,7 @@
     }
 
     /// A frame was handed to a connection.
-    pub fn sent(&mut self, bytes: usize, now: Time) {
+    pub fn record_sent(&mut self, bytes: usize, now: Time) {
         if let Some(rate) = self.rate {
             self.free_at = self.free_at.max(now) + seconds(to_f64(bytes) / rate);
         }
@@ -111,7 +111,12 @@
     /// # Errors
     ///
     /// Returns the time after which a retry can succeed if the answer would be late.
-    pub fn takes(&self, bytes: f64, run: Duration, within: Duration) -> Result<(), Duration> {
+    pub fn check_capacity(
+        &self,
+        bytes: f64,
+        run: Duration,
+        within: Duration,
+    ) -> Result<(), Duration> {
         let Some(rate) = self.rate.filter(|_| self.is_large(bytes)) else {
             return Ok(());
         };
@@ -124,24 +129,24 @@
     }
 
     /// The target works on an answer of this expected size.
-    pub fn expects(&mut self, attempt: AttemptId, bytes: f64) {
+    pub fn expect_answer(&mut self, attempt: AttemptId, bytes: f64) {
         if self.rate.is_some() && self.is_large(bytes) {
             self.expected.insert(attempt, bytes);
         }
     }
 
     /// The target has completed the answer, whose bytes are counted when they are queued.
-    pub fn ended(&mut self, attempt: AttemptId) {
+    pub fn answer_completed(&mut self, attempt: AttemptId) {
         self.expected.remove(&attempt);
     }
 
     /// A large message was queued for the link.
-    pub fn waits(&mut self, bytes: usize) {
+    pub fn record_queued(&mut self, bytes: usize) {
         self.queued_bytes += to_f64(bytes);
     }
 
     /// Queued bytes were sent or dropped.
-    pub fn waits_no_more(&mut self, bytes: usize) {
+    pub fn record_dequeued(&mut self, bytes: usize) {
         self.queued_bytes = (self.queued_bytes - to_f64(bytes)).max(0.0);
     }
 }
--- a/crates/calls/tests/all/uplink.rs
+++ b/crates/calls/tests/all/uplink.rs
@@ -12,11 +12,11 @@
 #[test]
 fn chunks_follow_the_rate_of_the_link() {
     let mut link = slow_link();
-    let chunk = link.piece_bytes();
+    let chunk = link.chunk_bytes();
     assert!((8_000..8_200).contains(&chunk), "{chunk}");
     let now = MS * 1_000;
     assert_eq!(link.until_free(now), Duration::ZERO);
-    link.sent(chunk, now);
+    link.record_sent(chunk, now);
     let wait = link.until_free(now);
     assert!(wait > MS * 5 && wait < MS * 8, "{wait:?}");
     assert_eq!(link.until_free(now + MS * 8), Duration::ZERO);
@@ -31,8 +31,8 @@
     let (run, objective) = (MS * 100, MS * 600);
     let mut accepted = 0;
     let after = loop {
-        match link.takes(90_000.0, run, objective) {
-            Ok(()) => link.expects(accepted, 90_000.0),
+        match link.check_capacity(90_000.0, run, objective) {
+            Ok(()) => link.expect_answer(accepted, 90_000.0),
             Err(after) => break after,
         }
         accepted += 1;
@@ -40,18 +40,18 @@
     };
     assert_eq!(accepted, 6, "six times 89 ms");
     assert!(after < MS * 89, "{after:?}");
-    link.ended(0);
-    assert_eq!(link.takes(90_000.0, run, objective), Ok(()));
+    link.answer_completed(0);
+    assert_eq!(link.check_capacity(90_000.0, run, objective), Ok(()));
 }
 
 #[test]
 fn small_answers_are_never_refused_for_the_link() {
     let mut link = slow_link();
     for attempt in 0..20 {
-        link.expects(attempt, 90_000.0);
+        link.expect_answer(attempt, 90_000.0);
     }
-    assert!(link.takes(90_000.0, MS, MS * 600).is_err());
-    assert_eq!(link.takes(5_000.0, MS, MS * 600), Ok(()));
+    assert!(link.check_capacity(90_000.0, MS, MS * 600).is_err());
+    assert_eq!(link.check_capacity(5_000.0, MS, MS * 600), Ok(()));
 }
 
 /// An answer that takes longer than its objective even on an idle link must be accepted: a
@@ -59,19 +59,19 @@
 #[test]
 fn an_idle_link_accepts_an_answer_of_any_size() {
     let mut link = slow_link();
-    assert_eq!(link.takes(5_000_000.0, MS, MS * 600), Ok(()));
-    link.waits(90_000);
-    assert!(link.takes(5_000_000.0, MS, MS * 600).is_err());
-    link.waits_no_more(90_000);
-    assert_eq!(link.takes(5_000_000.0, MS, MS * 600), Ok(()));
+    assert_eq!(link.check_capacity(5_000_000.0, MS, MS * 600), Ok(()));
+    link.record_queued(90_000);
+    assert!(link.check_capacity(5_000_000.0, MS, MS * 600).is_err());
+    link.record_dequeued(90_000);
+    assert_eq!(link.check_capacity(5_000_000.0, MS, MS * 600), Ok(()));
 }
 
 #[test]
 fn a_link_of_unknown_rate_delays_nothing() {
     let mut link = Uplink::new(None);
-    link.sent(50_000_000, MS);
+    link.record_sent(50_000_000, MS);
     assert_eq!(link.until_free(MS), Duration::ZERO);
-    link.expects(1, 5e9);
+    link.expect_answer(1, 5e9);
     assert_eq!(link.backlog(), Duration::ZERO);
-    assert_eq!(link.takes(5e9, MS, MS), Ok(()));
+    assert_eq!(link.check_capacity(5e9, MS, MS), Ok(()));
 }
--- a/crates/mesh/src/executor/answers.rs
+++ b/crates/mesh/src/executor/answers.rs
@@ -26,7 +26,7 @@
     };
     let taken = node
         .uplink
-        .read(|it| it.takes(answers.bytes(), run, within));
+        .read(|it| it.check_capacity(answers.bytes(), run, within));
     taken.map_err(|after| End::Refused(Refusal::retry(Reason::Overload, after)))
 }
 
--- a/crates/mesh/src/link/pieces.rs
+++ b/crates/mesh/src/link/pieces.rs
@@ -71,7 +71,7 @@
     }
 
     fn message(&mut self, id: AskId, bytes: Bytes, is_urgent: bool) {
-        let piece = self.uplink.read(stoatstep_calls::Uplink::piece_bytes);
+        let piece = self.uplink.read(stoatstep_calls::Uplink::chunk_bytes);
         if bytes.len() <= piece {
             self.small.push_back(frame(WHOLE, None, &bytes));
             return;
@@ -122,7 +122,7 @@
     /// The next piece of a large message. Messages go one after the other: in turns, all
     /// of them would be late together.
     pub(super) fn piece(&mut self) -> Option<Bytes> {
-        let size = self.uplink.read(stoatstep_calls::Uplink::piece_bytes);
+        let size = self.uplink.read(stoatstep_calls::Uplink::chunk_bytes);
         let large = self.large.front_mut()?;
         let piece = large.rest.split_to(size.min(large.rest.len()));
         let is_last = large.rest.is_empty();
--- a/crates/mesh/src/link/uplink.rs
+++ b/crates/mesh/src/link/uplink.rs
@@ -64,12 +64,12 @@
 
     /// A target works on an answer of which so many bytes are expected.
     pub(crate) fn expects(&self, attempt: AttemptId, bytes: f64) {
-        self.state.borrow_mut().expects(attempt, bytes);
+        self.state.borrow_mut().expect_answer(attempt, bytes);
     }
 
     /// The target's work has ended.
     pub(crate) fn ended(&self, attempt: AttemptId) {
-        self.state.borrow_mut().ended(attempt);
+        self.state.borrow_mut().answer_completed(attempt);
     }
 
     /// The place of the next large message, of so many bytes.
@@ -112,14 +112,14 @@
     }
 
     pub(super) fn sent(&self, bytes: usize) {
-        self.state.borrow_mut().sent(bytes, self.clock.now());
+        self.state.borrow_mut().record_sent(bytes, self.clock.now());
     }
 
     pub(super) fn waits(&self, bytes: usize) {
-        self.state.borrow_mut().waits(bytes);
+        self.state.borrow_mut().record_queued(bytes);
     }
 
     pub(super) fn waits_no_more(&self, bytes: usize) {
-        self.state.borrow_mut().waits_no_more(bytes);
+        self.state.borrow_mut().record_dequeued(bytes);
     }
 }
