--- a/crates/calls/src/uplink.rs
+++ b/crates/calls/src/uplink.rs
@@ -66,8 +66,8 @@
         let Some(rate) = self.rate else {
             return MAX_CHUNK_BYTES;
         };
-        let bytes = round_down(rate * CHUNK_TIME.as_secs_f64());
-        bytes.clamp(MIN_CHUNK_BYTES, MAX_CHUNK_BYTES)
+        let chunk = round_down(rate * CHUNK_TIME.as_secs_f64());
+        chunk.clamp(MIN_CHUNK_BYTES, MAX_CHUNK_BYTES)
     }
 
     /// Whether an answer of this size counts as large.
--- a/crates/calls/tests/all/placement.rs
+++ b/crates/calls/tests/all/placement.rs
@@ -83,7 +83,7 @@
     fn shares(&mut self, now: Duration) -> BTreeMap<UpstreamName, u32> {
         let mut shares = BTreeMap::new();
         for _ in 0..1_000 {
-            let name = self.pick(&[], now).expect("somebody is there");
+            let name = self.pick(&[], now).expect("there is an eligible target");
             *shares.entry(name).or_default() += 1;
         }
         shares
@@ -187,7 +187,7 @@
     entry.finish_attempt("two", AttemptFeedback::Answered, occupied(9, 0, 100), NOW);
     let mut sent: BTreeMap<UpstreamName, u32> = BTreeMap::new();
     for _ in 0..40 {
-        let name = entry.pick(&[], NOW).expect("somebody is there");
+        let name = entry.pick(&[], NOW).expect("there is an eligible target");
         entry.placement.started(&service(), &name);
         *sent.entry(name).or_default() += 1;
     }
--- a/crates/calls/tests/all/queue.rs
+++ b/crates/calls/tests/all/queue.rs
@@ -202,8 +202,8 @@
         while now < Duration::from_secs(20) {
             now += MS;
             let due: Vec<_> = ends.extract_if(.., |it| it.0 <= now).collect();
-            for (end, attempt, arrived_at) in due {
-                let took = end.saturating_sub(arrived_at);
+            for (end, attempt, arrived) in due {
+                let took = end.saturating_sub(arrived);
                 if took <= Self::OBJECTIVE {
                     outcome.in_time += 1;
                 } else if took <= Self::DEADLINE {
@@ -214,13 +214,11 @@
                 }
             }
             while gap * arrivals <= now {
-                let arrived_at = gap * arrivals;
+                let arrived = gap * arrivals;
                 arrivals += 1;
-                let attempt = arrived_at.as_nanos();
+                let attempt = arrived.as_nanos();
                 match admits(attempt, now) {
-                    AdmissionDecision::Run => {
-                        ends.push((now + self.run_time(), attempt, arrived_at))
-                    }
+                    AdmissionDecision::Run => ends.push((now + self.run_time(), attempt, arrived)),
                     AdmissionDecision::Wait => {}
                     AdmissionDecision::Refused(_) => outcome.refused += 1,
                 }
@@ -239,8 +237,8 @@
         match dispatch {
             Dispatch::Run(attempt) => {
                 let nanos = u64::try_from(attempt).expect("a time of this run");
-                let arrived_at = Duration::from_nanos(nanos);
-                ends.push((now + self.run_time(), attempt, arrived_at));
+                let arrived = Duration::from_nanos(nanos);
+                ends.push((now + self.run_time(), attempt, arrived));
             }
             Dispatch::Refused(..) => outcome.refused += 1,
         }
@@ -301,7 +299,7 @@
 /// grow until nearly all answers are late, while the target is as busy as before. The
 /// priority queue must keep most answers in time by refusing calls that would be late.
 #[test]
-fn under_overload_most_of_what_is_taken_is_answered_in_time() {
+fn under_overload_most_admitted_calls_are_answered_in_time() {
     let (priority, fifo) = (with_priority_queue(), with_fifo_queue());
     let share = |it: &Outcome| f64::from(it.in_time) / f64::from(it.in_time + it.late);
     // One run in twelve alone takes longer than the objective.
@@ -318,7 +316,7 @@
 /// Two kinds of calls of one rank exceed the capacity. If only deadlines counted, the kind
 /// with the shorter deadlines would get every slot and the other one would starve.
 #[test]
-fn kinds_of_one_rank_get_like_shares() {
+fn kinds_of_one_rank_get_similar_shares() {
     let mut queue = full(1);
     let mut started = std::collections::BTreeMap::new();
     let mut running = AttemptId::MAX;
--- a/crates/calls/tests/all/retry.rs
+++ b/crates/calls/tests/all/retry.rs
@@ -40,12 +40,12 @@
 // call must end as "unknown", because "not run" is only true of the last attempt.
 #[test]
 fn call_is_not_run_only_if_no_attempt_may_have_run() {
-    let nobody = Refusal::retry(Reason::NoUpstream, MS);
+    let no_upstream = Refusal::retry(Reason::NoUpstream, MS);
     let lost = Refusal::permanent(Reason::LostAnswer);
     let mut attempts = RefusedAttempts::default();
-    assert_eq!(attempts.refused(nobody), nobody);
+    assert_eq!(attempts.refused(no_upstream), no_upstream);
     assert_eq!(attempts.refused(lost), lost);
-    let end = attempts.refused(nobody);
+    let end = attempts.refused(no_upstream);
     assert_eq!(end, Refusal::retry(Reason::LostAnswer, MS));
     assert_eq!(end.outcome(), Outcome::Unknown);
 }
--- a/crates/calls/tests/all/routes.rs
+++ b/crates/calls/tests/all/routes.rs
@@ -38,7 +38,8 @@
         route("floats", None, "/floats"),
         route("limits", None, "/floats/limits"),
     ]);
-    let name = |path| found(&table, "any.example", path).expect("the first takes all");
+    let name =
+        |path| found(&table, "any.example", path).expect("the first route matches every path");
     assert_eq!(name("/floats"), "floats");
     assert_eq!(name("/floats/7"), "floats");
     assert_eq!(name("/floats/limits/7"), "limits");
@@ -60,7 +61,7 @@
         route("here", Some("here.example"), "/floats/"),
         route("anywhere", None, "/floats/"),
     ]);
-    let name = |host| found(&table, host, "/floats/7").expect("one of the two");
+    let name = |host| found(&table, host, "/floats/7").expect("one of the two routes matches");
     assert_eq!(name("here.example"), "here");
     assert_eq!(name("HERE.example:8080"), "here");
     assert_eq!(name("there.example"), "anywhere");
@@ -78,7 +79,7 @@
         })
         .to_vec();
     let table = table(&[split]);
-    let resolved = table.find("a", "/").expect("it takes all");
+    let resolved = table.find("a", "/").expect("the route matches every path");
     let mut counts = BTreeMap::new();
     for draw in 0..1_000 {
         *counts.entry(resolved.service(draw).clone()).or_insert(0) += 1;
