--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -11,7 +11,7 @@
 //! caller) and the *executor* (the daemon on the target's own instance):
 //!
 //! * the entry uses [`RouteTable`], [`KeyRing`], [`Purse`], [`Router`] or [`Placement`], [`RetryBudget`], [`Backoff`], [`Deadline`] and
-//!   [`Silence`];
+//!   [`SilenceDetector`];
 //! * both use [`Quarantine`];
 //! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IntentTable`], [`Drain`] and [`Departure`].
 //!
@@ -43,10 +43,12 @@
 mod throttle;
 mod uplink;
 
-pub use admission::{Admission, AdmissionConfig, Ask, Dispatch, Load, Verdict};
+pub use admission::{
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionRequest, Dispatch, Load,
+};
 pub use answer::{Answer, Header, is_of_connection};
 pub use answers::Answers;
-pub use candidates::{Among, Candidate, CandidateState, Pick};
+pub use candidates::{Candidate, CandidateState, Pick, TargetFilter};
 pub use class::{Class, UnknownClass};
 pub use deadline::Deadline;
 pub use departure::Departure;
@@ -60,17 +62,17 @@
     IntentTable, KeyError, KeyText, KnownMembers, Remembered, RememberedRun, home_of, set_id,
 };
 pub use ledger::{Arrival, Ledger, LedgerConfig, Settled, Ticket};
-pub use placement::{Placement, Seen, Wish};
+pub use placement::{AttemptFeedback, Placement, PlacementRequest};
 pub use quarantine::{
     ANSWERED_FOR, Finding, KeptRequest, LIVES, Learned, LifeMark, Quarantine, RecentAnswers,
     life_mark,
 };
-pub use queue::{Occupancy, Queue, QueueAsk};
+pub use queue::{Occupancy, Queue, QueueRequest};
 pub use quota::{Bucket, Grant, Purse, Share, Taken};
 pub use refusal::{Outcome, Reason, Refusal};
-pub use retry::{Attempts, Backoff, RetryBudget, Settlement, may_retry};
+pub use retry::{Backoff, RefusedAttempts, RetryBudget, UnansweredOutcome, may_retry};
 pub use router::{Report, Router};
 pub use routes::{ResolvedRoute, RouteTable};
-pub use silence::{Silence, SilenceAction, SilenceConfig};
+pub use silence::{SilenceAction, SilenceConfig, SilenceDetector};
 pub use throttle::Throttle;
 pub use uplink::Uplink;
--- a/crates/calls/tests/all/admission.rs
+++ b/crates/calls/tests/all/admission.rs
@@ -2,14 +2,15 @@
 use std::time::Duration;
 
 use stoatstep_calls::{
-    Admission, AdmissionConfig, Ask, AttemptId, Class, Dispatch, Reason, Verdict,
+    Admission, AdmissionConfig, AdmissionDecision, AdmissionRequest, AttemptId, Class, Dispatch,
+    Reason,
 };
 
 const MS: Duration = Duration::from_millis(1);
 const SERVICE: Duration = Duration::from_millis(10);
 
-fn ask(attempt: AttemptId, tenant: &str) -> Ask {
-    Ask {
+fn request(attempt: AttemptId, tenant: &str) -> AdmissionRequest {
+    AdmissionRequest {
         attempt,
         tenant: tenant.into(),
         class: Class::Standard,
@@ -19,23 +20,23 @@
     }
 }
 
-/// An executor that knows that a run takes `SERVICE`.
+/// An idle executor whose run-time estimate is `SERVICE`.
 fn measured(slots: u32, queue: usize) -> Admission {
     let mut admission = Admission::new(AdmissionConfig { slots, queue });
-    let (verdict, _) = admission.offer(ask(AttemptId::MAX, "warm-up"), Duration::ZERO);
-    assert_eq!(verdict, Verdict::Run);
+    let (decision, _) = admission.offer(request(AttemptId::MAX, "warm-up"), Duration::ZERO);
+    assert_eq!(decision, AdmissionDecision::Run);
     admission.release(AttemptId::MAX, SERVICE);
     admission
 }
 
-fn refusal(verdict: Verdict) -> Option<Reason> {
-    match verdict {
-        Verdict::Refused(refusal) => Some(refusal.reason),
-        Verdict::Run | Verdict::Wait => None,
+fn refusal(decision: AdmissionDecision) -> Option<Reason> {
+    match decision {
+        AdmissionDecision::Refused(refusal) => Some(refusal.reason),
+        AdmissionDecision::Run | AdmissionDecision::Wait => None,
     }
 }
 
-/// Runs one slot until the queue is empty; gives the order of starts.
+/// Runs one slot until the queue is empty and returns the order of starts.
 fn starts(admission: &mut Admission, mut running: AttemptId) -> Vec<AttemptId> {
     let mut order = Vec::new();
     loop {
@@ -49,62 +50,68 @@
     }
 }
 
-// The queue is too long for the caller's deadline. It is told at once instead of
-// after its deadline, while another executor may still have time.
+// The queue is too long for the caller's deadline. The call must be refused on arrival
+// rather than after its deadline, when no other executor would have time for it.
 #[test]
 fn call_that_cannot_finish_in_time_is_refused_at_once() {
     let mut admission = measured(1, 100);
     for attempt in 0..5 {
-        admission.offer(ask(attempt, "elm"), SERVICE);
+        admission.offer(request(attempt, "elm"), SERVICE);
     }
-    let mut late = ask(9, "elm");
+    let mut late = request(9, "elm");
     late.expires = SERVICE + 5 * SERVICE;
-    let (verdict, _) = admission.offer(late.clone(), SERVICE);
-    assert_eq!(refusal(verdict), Some(Reason::Overload));
+    let (decision, _) = admission.offer(late.clone(), SERVICE);
+    assert_eq!(refusal(decision), Some(Reason::Overload));
     late.expires = SERVICE + 7 * SERVICE;
-    assert_eq!(admission.offer(late, SERVICE).0, Verdict::Wait);
+    assert_eq!(admission.offer(late, SERVICE).0, AdmissionDecision::Wait);
 }
 
-// The target freezes for a while and is well again. Its runs took longer than
-// any deadline, so by the estimate every call is hopeless. Were all refused, no
-// run could ever mend the estimate, and the target would stay idle for good.
+// A target recovers from a freeze during which its runs took longer than any deadline.
+// By the estimate no call can meet its deadline, and if all were refused, no run could
+// correct the estimate and the target would stay idle for good.
 #[test]
-fn slow_spell_of_the_target_does_not_shut_it_out() {
+fn slow_period_of_a_target_does_not_exclude_it_for_good() {
     let mut admission = measured(2, 8);
-    let spell = Duration::from_secs(20);
-    admission.offer(ask(0, "elm"), SERVICE);
-    admission.release(0, spell);
-    let mut now = spell;
+    let slow_period = Duration::from_secs(20);
+    admission.offer(request(0, "elm"), SERVICE);
+    admission.release(0, slow_period);
+    let mut now = slow_period;
     let mut ran = 0;
     for attempt in 1..20 {
-        let mut call = ask(attempt, "elm");
+        let mut call = request(attempt, "elm");
         call.expires = now + 10 * SERVICE;
-        let (verdict, _) = admission.offer(call, now);
+        let (decision, _) = admission.offer(call, now);
         now += SERVICE;
-        if verdict == Verdict::Run {
+        if decision == AdmissionDecision::Run {
             ran += 1;
             admission.release(attempt, now);
         }
     }
     assert_eq!(ran, 19);
-    let hopeful = |attempt| {
-        let mut call = ask(attempt, "elm");
+    let call_in_time = |attempt| {
+        let mut call = request(attempt, "elm");
         call.expires = now + 10 * SERVICE;
         call
     };
-    assert_eq!(admission.offer(hopeful(100), now).0, Verdict::Run);
-    assert_eq!(admission.offer(hopeful(101), now).0, Verdict::Run);
+    assert_eq!(
+        admission.offer(call_in_time(100), now).0,
+        AdmissionDecision::Run
+    );
+    assert_eq!(
+        admission.offer(call_in_time(101), now).0,
+        AdmissionDecision::Run
+    );
 }
 
-// A call's deadline passes while it waits. It is refused as not run; starting
-// it would spend a slot on an answer that nobody reads.
+// A call's deadline passes while it waits. It must be refused as not run, because nobody
+// would read the answer of its run.
 #[test]
 fn call_that_became_late_in_the_queue_does_not_run() {
     let mut admission = measured(1, 100);
-    admission.offer(ask(1, "elm"), SERVICE);
-    let mut waiting = ask(2, "elm");
+    admission.offer(request(1, "elm"), SERVICE);
+    let mut waiting = request(2, "elm");
     waiting.expires = 4 * SERVICE;
-    assert_eq!(admission.offer(waiting, SERVICE).0, Verdict::Wait);
+    assert_eq!(admission.offer(waiting, SERVICE).0, AdmissionDecision::Wait);
     let next = admission.next(3 * SERVICE);
     let [Dispatch::Refused(2, refusal)] = next[..] else {
         panic!("the late call is still there: {next:?}");
@@ -112,18 +119,17 @@
     assert_eq!(refusal.reason, Reason::Deadline);
 }
 
-// One tenant floods the queue. A second tenant's calls still get every other
-// slot: the flood costs its own tenant only.
+// One tenant floods the queue. A second tenant's calls must still get every other slot.
 #[test]
 fn flood_of_one_tenant_does_not_starve_another() {
     let mut admission = measured(1, 12);
-    admission.offer(ask(0, "flood"), SERVICE);
+    admission.offer(request(0, "flood"), SERVICE);
     for attempt in 1..50 {
-        admission.offer(ask(attempt, "flood"), SERVICE);
+        admission.offer(request(attempt, "flood"), SERVICE);
     }
     for attempt in 100..104 {
-        let (verdict, _) = admission.offer(ask(attempt, "small"), SERVICE);
-        assert_eq!(verdict, Verdict::Wait);
+        let (decision, _) = admission.offer(request(attempt, "small"), SERVICE);
+        assert_eq!(decision, AdmissionDecision::Wait);
     }
     let order = starts(&mut admission, 0);
     let small = order.iter().take(6).filter(|&&it| it >= 100).count();
@@ -133,55 +139,55 @@
     );
 }
 
-// A tenant that was away comes to a queue that another one fills. One of the
-// other's calls makes room; without that all of its calls would be refused until
-// the flood ends.
+// An idle tenant sends a call to a queue that another tenant has filled. One of the other
+// tenant's calls must be evicted; otherwise the tenant would get nothing until the flood
+// ends.
 #[test]
-fn newcomer_pushes_out_a_call_of_the_flood() {
+fn call_of_an_idle_tenant_evicts_one_of_the_flood() {
     let mut admission = measured(1, 8);
     let late = 2 * Duration::from_secs(1);
     let patient = |attempt, tenant| {
-        let mut ask = ask(attempt, tenant);
-        ask.expires = Duration::from_hours(1);
-        ask
+        let mut request = request(attempt, tenant);
+        request.expires = Duration::from_hours(1);
+        request
     };
     admission.offer(patient(0, "flood"), late);
     for attempt in 1..50 {
         admission.offer(patient(attempt, "flood"), late);
     }
     assert_eq!(admission.load().queued, 8);
-    let (verdict, out) = admission.offer(patient(100, "small"), late);
-    assert_eq!(verdict, Verdict::Wait);
+    let (decision, out) = admission.offer(patient(100, "small"), late);
+    assert_eq!(decision, AdmissionDecision::Wait);
     assert_eq!(out.len(), 1, "one of the flood makes room");
 }
 
-// A flood meets a second tenant all the time. It is refused at the door: a call
-// that waits first and is pushed out then is refused late.
+// A tenant floods the queue while a second one is active. The excess calls must be refused
+// on arrival: a call that is queued first and evicted later is refused late.
 #[test]
-fn flood_is_refused_at_the_door() {
+fn flood_is_refused_on_arrival() {
     let mut admission = measured(1, 12);
-    admission.offer(ask(0, "small"), SERVICE);
-    let mut pushed_out = 0;
+    admission.offer(request(0, "small"), SERVICE);
+    let mut evicted = 0;
     for round in 0..20 {
         for attempt in 0..10 {
-            let (_, out) = admission.offer(ask(1000 + round * 10 + attempt, "flood"), SERVICE);
-            pushed_out += out.len();
+            let (_, out) = admission.offer(request(1000 + round * 10 + attempt, "flood"), SERVICE);
+            evicted += out.len();
         }
-        let (_, out) = admission.offer(ask(100 + round, "small"), SERVICE);
-        pushed_out += out.len();
+        let (_, out) = admission.offer(request(100 + round, "small"), SERVICE);
+        evicted += out.len();
     }
-    assert_eq!(pushed_out, 0);
-    // The tenant of the warm-up was here lately too: a third for each.
+    assert_eq!(evicted, 0);
+    // The tenant of the warm-up was recently active too, so each may use a third.
     assert_eq!(admission.load().queued, 8);
 }
 
 #[test]
 fn weights_share_the_slots() {
     let mut admission = measured(1, 100);
-    admission.offer(ask(0, "light"), SERVICE);
+    admission.offer(request(0, "light"), SERVICE);
     for attempt in 0..40 {
-        admission.offer(ask(100 + attempt, "light"), SERVICE);
-        let mut heavy = ask(200 + attempt, "heavy");
+        admission.offer(request(100 + attempt, "light"), SERVICE);
+        let mut heavy = request(200 + attempt, "heavy");
         heavy.weight = 3;
         admission.offer(heavy, SERVICE);
     }
@@ -190,17 +196,17 @@
     assert!((28..=32).contains(&heavy), "heavy got {heavy} of 40");
 }
 
-// Urgent calls fill the slots for long. Batch calls still get a small share and
-// do not all expire.
+// Urgent calls fill the slots for a long time. Batch calls must still get a small share
+// instead of expiring one after the other.
 #[test]
 fn urgent_goes_first_and_batch_is_not_starved() {
     let mut admission = measured(1, 200);
-    admission.offer(ask(0, "elm"), SERVICE);
+    admission.offer(request(0, "elm"), SERVICE);
     for attempt in 0..60 {
-        let mut urgent = ask(100 + attempt, "elm");
+        let mut urgent = request(100 + attempt, "elm");
         urgent.class = Class::Urgent;
         admission.offer(urgent, SERVICE);
-        let mut batch = ask(200 + attempt, "elm");
+        let mut batch = request(200 + attempt, "elm");
         batch.class = Class::Batch;
         admission.offer(batch, SERVICE);
     }
@@ -213,31 +219,37 @@
 fn tenant_stays_below_its_concurrency() {
     let mut admission = measured(4, 10);
     let limited = |attempt| {
-        let mut ask = ask(attempt, "elm");
-        ask.concurrency = Some(1);
-        ask
+        let mut request = request(attempt, "elm");
+        request.concurrency = Some(1);
+        request
     };
-    assert_eq!(admission.offer(limited(1), SERVICE).0, Verdict::Run);
-    assert_eq!(admission.offer(limited(2), SERVICE).0, Verdict::Wait);
+    assert_eq!(
+        admission.offer(limited(1), SERVICE).0,
+        AdmissionDecision::Run
+    );
+    assert_eq!(
+        admission.offer(limited(2), SERVICE).0,
+        AdmissionDecision::Wait
+    );
     assert!(admission.next(SERVICE).is_empty());
     admission.release(1, SERVICE);
     assert_eq!(admission.next(SERVICE), [Dispatch::Run(2)]);
 }
 
-// The process was frozen and wakes with a full queue whose callers have gone.
+// The process resumes after a freeze with a full queue whose callers have given up.
 #[test]
 fn waking_empties_the_queue_as_not_run() {
     let mut admission = measured(1, 10);
     for attempt in 0..4 {
-        admission.offer(ask(attempt, "elm"), SERVICE);
+        admission.offer(request(attempt, "elm"), SERVICE);
     }
     let flushed = admission.flush(Reason::Woke);
     assert_eq!(flushed.len(), 3);
     assert_eq!(admission.load().queued, 0);
 }
 
-// At twice the capacity with deadlines of ten runs: nearly every slot-time goes
-// into answers that are in time, and every tenant gets some.
+// At twice the capacity, with deadlines of ten run times, nearly all the time of the slots
+// must go into answers that are in time, and every tenant must get some of it.
 #[test]
 fn goodput_holds_at_twice_the_capacity() {
     const SLOTS: u32 = 13;
@@ -256,15 +268,14 @@
             *good.entry(id % tenants).or_default() += 1;
         }
         let mut started = admission.next(now);
-        // 13 slots at 10 ms are 1.3 calls a step; 13 calls in 5 steps are twice
-        // that.
+        // 13 slots at 10 ms run 1.3 calls per step; 13 calls in 5 steps are twice that.
         for _ in 0..(if step % 5 < 3 { 3 } else { 2 }) {
             attempt += 1;
-            let mut ask = ask(attempt, &format!("tenant-{}", attempt % tenants));
-            ask.expires = now + 10 * SERVICE;
-            let (verdict, out) = admission.offer(ask, now);
+            let mut request = request(attempt, &format!("tenant-{}", attempt % tenants));
+            request.expires = now + 10 * SERVICE;
+            let (decision, out) = admission.offer(request, now);
             started.extend(out);
-            if verdict == Verdict::Run {
+            if decision == AdmissionDecision::Run {
                 started.push(Dispatch::Run(attempt));
             }
         }
--- a/crates/calls/tests/all/queue.rs
+++ b/crates/calls/tests/all/queue.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stoatstep_calls::{AttemptId, Dispatch, Queue, QueueAsk, Reason, Verdict};
+use stoatstep_calls::{AdmissionDecision, AttemptId, Dispatch, Queue, QueueRequest, Reason};
 
 const MS: Duration = Duration::from_millis(1);
 const SERVICE: Duration = Duration::from_millis(100);
@@ -11,8 +11,8 @@
     MS * ms
 }
 
-fn ask(attempt: AttemptId, rank: u8) -> QueueAsk {
-    QueueAsk {
+fn request(attempt: AttemptId, rank: u8) -> QueueRequest {
+    QueueRequest {
         attempt,
         kind: "balances".into(),
         rank,
@@ -21,27 +21,27 @@
     }
 }
 
-/// A queue that knows that a run takes `SERVICE`, with every slot taken.
+/// A queue whose run-time estimate is `SERVICE`, with every slot taken.
 fn full(slots: u32) -> Queue {
     let mut queue = Queue::new(slots);
     for slot in 0..slots {
         let attempt = AttemptId::MAX - AttemptId::from(slot);
-        let (verdict, _) = queue.offer(ask(attempt, 0), Duration::ZERO);
-        assert_eq!(verdict, Verdict::Run);
+        let (decision, _) = queue.offer(request(attempt, 0), Duration::ZERO);
+        assert_eq!(decision, AdmissionDecision::Run);
         queue.release(attempt, SERVICE);
-        queue.offer(ask(attempt, 0), Duration::ZERO);
+        queue.offer(request(attempt, 0), Duration::ZERO);
     }
     queue
 }
 
-fn reason(verdict: Verdict) -> Option<Reason> {
-    match verdict {
-        Verdict::Refused(refusal) => Some(refusal.reason),
-        Verdict::Run | Verdict::Wait => None,
+fn reason(decision: AdmissionDecision) -> Option<Reason> {
+    match decision {
+        AdmissionDecision::Refused(refusal) => Some(refusal.reason),
+        AdmissionDecision::Run | AdmissionDecision::Wait => None,
     }
 }
 
-/// Ends the runs of a full queue one by one and gives the order of starts.
+/// Ends the runs of a full queue one by one and returns the order of starts.
 fn starts(queue: &mut Queue, slots: u32, now: Duration) -> Vec<AttemptId> {
     let mut running: Vec<_> = (0..slots)
         .map(|slot| AttemptId::MAX - AttemptId::from(slot))
@@ -62,97 +62,109 @@
 #[test]
 fn the_more_urgent_rank_goes_first_then_the_earlier_deadline() {
     let mut queue = full(8);
-    let later = QueueAsk {
+    let later = QueueRequest {
         expires: ms(1_200),
-        ..ask(1, 1)
+        ..request(1, 1)
     };
-    for ask in [later, ask(2, 2), ask(3, 1), ask(4, 0)] {
-        assert_eq!(queue.offer(ask, Duration::ZERO).0, Verdict::Wait);
+    for request in [later, request(2, 2), request(3, 1), request(4, 0)] {
+        assert_eq!(
+            queue.offer(request, Duration::ZERO).0,
+            AdmissionDecision::Wait
+        );
     }
     assert_eq!(starts(&mut queue, 8, Duration::ZERO), [4, 3, 1, 2]);
 }
 
-/// A caller comes back after a refusal, past its objective: its answer is worth
-/// a third. Were it to go first for its earlier deadline, calls that are still
-/// in time would become late one after the other.
+/// A caller retries after a refusal when its objective has passed, so its answer has only a
+/// third of its value. If it went first for its earlier deadline, calls that are still in
+/// time would become late one after the other.
 #[test]
 fn a_call_that_is_late_already_goes_after_those_in_time() {
     let mut queue = full(8);
-    let late = QueueAsk {
+    let late = QueueRequest {
         objective: Duration::ZERO,
         expires: ms(500),
-        ..ask(1, 1)
+        ..request(1, 1)
     };
-    assert_eq!(queue.offer(late, Duration::ZERO).0, Verdict::Wait);
-    assert_eq!(queue.offer(ask(2, 1), Duration::ZERO).0, Verdict::Wait);
+    assert_eq!(queue.offer(late, Duration::ZERO).0, AdmissionDecision::Wait);
+    assert_eq!(
+        queue.offer(request(2, 1), Duration::ZERO).0,
+        AdmissionDecision::Wait
+    );
     assert_eq!(starts(&mut queue, 8, Duration::ZERO), [2, 1]);
 }
 
-/// With 4 slots of 100 ms each, the wait grows by 25 ms with each call in the
-/// queue. A call that would wait for more than its part of the 300 ms to its
-/// objective hears so at once, with the time after which there is room.
+/// With 4 slots and run times of 100 ms, the wait grows by 25 ms with each call in the
+/// queue. A call that would wait for more than its share of the 300 ms to its objective
+/// must be refused on arrival, with the time after which there is room.
 #[test]
-fn a_call_that_would_wait_past_its_objective_is_refused_when_it_comes() {
+fn a_call_that_would_wait_past_its_objective_is_refused_on_arrival() {
     let mut queue = full(4);
-    let verdicts: Vec<_> = (0..6)
-        .map(|attempt| queue.offer(ask(attempt, 0), Duration::ZERO).0)
+    let decisions: Vec<_> = (0..6)
+        .map(|attempt| queue.offer(request(attempt, 0), Duration::ZERO).0)
         .collect();
-    let waiting = verdicts.iter().filter(|it| **it == Verdict::Wait).count();
+    let waiting = decisions
+        .iter()
+        .filter(|it| **it == AdmissionDecision::Wait)
+        .count();
     assert_eq!(waiting, 3);
-    let Verdict::Refused(refusal) = verdicts[5] else {
-        panic!("{:?}", verdicts[5]);
+    let AdmissionDecision::Refused(refusal) = decisions[5] else {
+        panic!("{:?}", decisions[5]);
     };
     assert_eq!(refusal.reason, Reason::Overload);
     assert_eq!(refusal.retry_after, Some(ms(100)));
 }
 
-/// More urgent calls keep coming. One that waits behind them has no chance any
-/// more; it is refused now, so that its caller can still do something else.
+/// More urgent calls keep arriving. A call behind them that can no longer meet its deadline
+/// must be refused before the deadline, while its caller can still retry elsewhere.
 #[test]
-fn a_call_that_is_crowded_out_is_refused_before_its_time_has_passed() {
+fn a_call_that_is_displaced_is_refused_before_its_deadline() {
     let mut queue = full(1);
-    let patient = QueueAsk {
+    let patient = QueueRequest {
         objective: Duration::ZERO,
         expires: ms(350),
-        ..ask(1, 2)
+        ..request(1, 2)
     };
-    assert_eq!(queue.offer(patient, Duration::ZERO).0, Verdict::Wait);
-    let urgent = |attempt| QueueAsk {
+    assert_eq!(
+        queue.offer(patient, Duration::ZERO).0,
+        AdmissionDecision::Wait
+    );
+    let urgent = |attempt| QueueRequest {
         objective: ms(2_000),
         expires: ms(3_000),
-        ..ask(attempt, 0)
+        ..request(attempt, 0)
     };
     assert_eq!(queue.offer(urgent(2), Duration::ZERO).1, []);
-    let (verdict, refused) = queue.offer(urgent(3), Duration::ZERO);
-    assert_eq!(verdict, Verdict::Wait);
+    let (decision, refused) = queue.offer(urgent(3), Duration::ZERO);
+    assert_eq!(decision, AdmissionDecision::Wait);
     assert!(matches!(refused[..], [Dispatch::Refused(1, _)]));
 }
 
 #[test]
 fn a_call_that_cannot_finish_is_refused_and_an_idle_executor_tries_it() {
-    let short = QueueAsk {
+    let short = QueueRequest {
         expires: ms(50),
-        ..ask(9, 0)
+        ..request(9, 0)
     };
     let mut queue = full(1);
-    let (verdict, _) = queue.offer(short.clone(), Duration::ZERO);
-    assert_eq!(reason(verdict), Some(Reason::Deadline));
+    let (decision, _) = queue.offer(short.clone(), Duration::ZERO);
+    assert_eq!(reason(decision), Some(Reason::Deadline));
     queue.release_unmeasured(AttemptId::MAX);
-    assert_eq!(queue.offer(short, Duration::ZERO).0, Verdict::Run);
+    assert_eq!(queue.offer(short, Duration::ZERO).0, AdmissionDecision::Run);
 }
 
 #[test]
 fn a_flush_refuses_all_that_waits_and_nothing_that_runs() {
     let mut queue = full(2);
-    queue.offer(ask(1, 0), Duration::ZERO);
+    queue.offer(request(1, 0), Duration::ZERO);
     let refused = queue.flush(Reason::Draining);
     assert!(matches!(refused[..], [Dispatch::Refused(1, _)]));
     assert_eq!(queue.occupancy().running, 2);
     assert_eq!(queue.occupancy().queued, 0);
 }
 
-/// What callers get in 20 s of 1.6 times the load that the target carries, runs
-/// of uneven length: answers within the objective, and later ones.
+/// Results of calls during 20 s of 1.6 times the target's capacity, with uneven run times:
+/// answers within the objective, later answers, and refusals.
 #[derive(Debug, Default)]
 struct Outcome {
     in_time: u32,
@@ -169,17 +181,17 @@
     const OBJECTIVE: Duration = Duration::from_millis(300);
     const DEADLINE: Duration = Duration::from_secs(1);
 
-    /// Between a fifth and three times the mean, most of them below it.
+    /// Draws a run time of a fifth to some three times the mean, mostly below it.
     fn run_time(&mut self) -> Duration {
         let draw: f64 = self.rng.random();
         SERVICE.mul_f64(0.2 + 2.8 * draw * draw * draw * 1.14)
     }
 
-    /// Plays the load. `admits` puts a call into the queue or not, and `next`
-    /// names the one that starts when a slot is free.
-    fn play(
+    /// Simulates the load. `admits` decides about a call on arrival, and `next` about the
+    /// waiting calls after a run has ended.
+    fn simulate(
         &mut self,
-        mut admits: impl FnMut(AttemptId, Duration) -> Verdict,
+        mut admits: impl FnMut(AttemptId, Duration) -> AdmissionDecision,
         mut next: impl FnMut(Option<AttemptId>, Duration) -> Vec<Dispatch>,
     ) -> Outcome {
         let gap = SERVICE / self.slots * 10 / 16;
@@ -190,8 +202,8 @@
         while now < Duration::from_secs(20) {
             now += MS;
             let due: Vec<_> = ends.extract_if(.., |it| it.0 <= now).collect();
-            for (end, attempt, came) in due {
-                let took = end.saturating_sub(came);
+            for (end, attempt, arrived) in due {
+                let took = end.saturating_sub(arrived);
                 if took <= Self::OBJECTIVE {
                     outcome.in_time += 1;
                 } else if took <= Self::DEADLINE {
@@ -202,13 +214,13 @@
                 }
             }
             while gap * arrivals <= now {
-                let came = gap * arrivals;
+                let arrived = gap * arrivals;
                 arrivals += 1;
-                let attempt = came.as_nanos();
+                let attempt = arrived.as_nanos();
                 match admits(attempt, now) {
-                    Verdict::Run => ends.push((now + self.run_time(), attempt, came)),
-                    Verdict::Wait => {}
-                    Verdict::Refused(_) => outcome.refused += 1,
+                    AdmissionDecision::Run => ends.push((now + self.run_time(), attempt, arrived)),
+                    AdmissionDecision::Wait => {}
+                    AdmissionDecision::Refused(_) => outcome.refused += 1,
                 }
             }
         }
@@ -225,8 +237,8 @@
         match dispatch {
             Dispatch::Run(attempt) => {
                 let nanos = u64::try_from(attempt).expect("a time of this run");
-                let came = Duration::from_nanos(nanos);
-                ends.push((now + self.run_time(), attempt, came));
+                let arrived = Duration::from_nanos(nanos);
+                ends.push((now + self.run_time(), attempt, arrived));
             }
             Dispatch::Refused(..) => outcome.refused += 1,
         }
@@ -240,15 +252,15 @@
     }
 }
 
-fn with_queue() -> Outcome {
+fn with_priority_queue() -> Outcome {
     let queue = std::cell::RefCell::new(Queue::new(13));
     let offer = |attempt, now| {
-        let ask = QueueAsk {
+        let request = QueueRequest {
             objective: now + Load::OBJECTIVE,
             expires: now + Load::DEADLINE,
-            ..ask(attempt, 0)
+            ..request(attempt, 0)
         };
-        queue.borrow_mut().offer(ask, now).0
+        queue.borrow_mut().offer(request, now).0
     };
     let next = |ended: Option<AttemptId>, now| {
         let mut queue = queue.borrow_mut();
@@ -257,11 +269,11 @@
         }
         queue.next(now)
     };
-    load().play(offer, next)
+    load().simulate(offer, next)
 }
 
-/// First in, first out, for as long as the caller waits.
-fn with_plain_queue() -> Outcome {
+/// A first-in, first-out queue, from which calls are removed at their deadline.
+fn with_fifo_queue() -> Outcome {
     use std::cell::RefCell;
     use std::collections::VecDeque;
     let free = RefCell::new(13_u32);
@@ -269,10 +281,10 @@
     let offer = |attempt, _| {
         if *free.borrow() > 0 {
             *free.borrow_mut() -= 1;
-            return Verdict::Run;
+            return AdmissionDecision::Run;
         }
         waiting.borrow_mut().push_back(attempt);
-        Verdict::Wait
+        AdmissionDecision::Wait
     };
     let next = |_, now: Duration| {
         let still_waits = |it: &AttemptId| *it + Load::DEADLINE.as_nanos() > now.as_nanos();
@@ -280,28 +292,31 @@
         waiting.retain(still_waits);
         waiting.pop_front().map(Dispatch::Run).into_iter().collect()
     };
-    load().play(offer, next)
+    load().simulate(offer, next)
 }
 
-/// Callers ask for 1.6 times what the target can do. Taken in order, every call
-/// waits until nearly all answers are late, and the target is as busy as ever.
-/// Refusing what would be late leaves those that are taken in time.
+/// The load is 1.6 times the target's capacity. With a first-in, first-out queue the waits
+/// grow until nearly all answers are late, while the target is as busy as before. The
+/// priority queue must keep most answers in time by refusing calls that would be late.
 #[test]
-fn under_overload_most_of_what_is_taken_is_answered_in_time() {
-    let (ours, plain) = (with_queue(), with_plain_queue());
+fn under_overload_most_admitted_calls_are_answered_in_time() {
+    let (priority, fifo) = (with_priority_queue(), with_fifo_queue());
     let share = |it: &Outcome| f64::from(it.in_time) / f64::from(it.in_time + it.late);
-    // A run in twelve takes longer than the objective by itself.
-    assert!(share(&ours) > 0.8, "{ours:?}");
-    assert!(ours.in_time > plain.in_time * 5, "{ours:?} {plain:?}");
-    // Nothing is lost by refusing: the slots are as busy as before.
+    // One run in twelve alone takes longer than the objective.
+    assert!(share(&priority) > 0.8, "{priority:?}");
+    assert!(priority.in_time > fifo.in_time * 5, "{priority:?} {fifo:?}");
+    // The refusals must not leave slots idle.
     let done = |it: &Outcome| f64::from(it.in_time + it.late);
-    assert!(done(&ours) > done(&plain) * 0.95, "{ours:?} {plain:?}");
+    assert!(
+        done(&priority) > done(&fifo) * 0.95,
+        "{priority:?} {fifo:?}"
+    );
 }
 
-/// Two kinds of one rank ask for more than there is. By deadline alone the one
-/// with the shorter deadlines gets everything and the other one starves.
+/// Two kinds of calls of one rank exceed the capacity. If only deadlines counted, the kind
+/// with the shorter deadlines would get every slot and the other one would starve.
 #[test]
-fn kinds_of_one_rank_get_like_shares() {
+fn kinds_of_one_rank_get_similar_shares() {
     let mut queue = full(1);
     let mut started = std::collections::BTreeMap::new();
     let mut running = AttemptId::MAX;
@@ -309,13 +324,13 @@
     for round in 0..200_u32 {
         let now = ms(100) * round;
         for (index, (kind, deadline)) in kinds.iter().enumerate() {
-            let ask = QueueAsk {
+            let request = QueueRequest {
                 kind: (*kind).into(),
                 objective: now + ms(deadline * 4),
                 expires: now + ms(deadline * 4),
-                ..ask(AttemptId::from(round) * 2 + index as u128, 1)
+                ..request(AttemptId::from(round) * 2 + index as u128, 1)
             };
-            queue.offer(ask, now);
+            queue.offer(request, now);
         }
         queue.release(running, now);
         for dispatch in queue.next(now) {
--- a/crates/calls/tests/all/routes.rs
+++ b/crates/calls/tests/all/routes.rs
@@ -38,7 +38,8 @@
         route("floats", None, "/floats"),
         route("limits", None, "/floats/limits"),
     ]);
-    let name = |path| found(&table, "any.example", path).expect("the first takes all");
+    let name =
+        |path| found(&table, "any.example", path).expect("the first route matches every path");
     assert_eq!(name("/floats"), "floats");
     assert_eq!(name("/floats/7"), "floats");
     assert_eq!(name("/floats/limits/7"), "limits");
@@ -47,7 +48,7 @@
 }
 
 #[test]
-fn a_prefix_with_a_slash_at_its_end_is_taken_to_the_letter() {
+fn a_prefix_with_a_slash_at_its_end_does_not_match_without_it() {
     let table = table(&[route("floats", None, "/floats/")]);
     assert_eq!(found(&table, "a", "/floats/7").as_deref(), Some("floats"));
     assert_eq!(found(&table, "a", "/floats/").as_deref(), Some("floats"));
@@ -60,16 +61,16 @@
         route("here", Some("here.example"), "/floats/"),
         route("anywhere", None, "/floats/"),
     ]);
-    let name = |host| found(&table, host, "/floats/7").expect("one of the two");
+    let name = |host| found(&table, host, "/floats/7").expect("one of the two routes matches");
     assert_eq!(name("here.example"), "here");
     assert_eq!(name("HERE.example:8080"), "here");
     assert_eq!(name("there.example"), "anywhere");
 }
 
-/// The parts of a split are judged by their shares of the calls. A daemon sees
-/// few calls of a route, so they are dealt out by draw and not in turn.
+/// The services of a split are compared by their results for their shares of the calls. A
+/// daemon gets few calls of a route, so calls are distributed at random and not in turn.
 #[test]
-fn a_split_deals_calls_out_by_weight() {
+fn a_split_distributes_calls_by_weight() {
     let mut split = route("floats", None, "/");
     split.split = [("old", 90), ("new", 10)]
         .map(|(service, weight)| Share {
@@ -78,7 +79,7 @@
         })
         .to_vec();
     let table = table(&[split]);
-    let resolved = table.find("a", "/").expect("it takes all");
+    let resolved = table.find("a", "/").expect("the route matches every path");
     let mut counts = BTreeMap::new();
     for draw in 0..1_000 {
         *counts.entry(resolved.service(draw).clone()).or_insert(0) += 1;
--- a/crates/mesh/src/entry/carry.rs
+++ b/crates/mesh/src/entry/carry.rs
@@ -3,7 +3,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Among, Attempts, Outcome, Pick, Reason, Refusal, Wish};
+use stoatstep_calls::{
+    Outcome, Pick, PlacementRequest, Reason, Refusal, RefusedAttempts, TargetFilter,
+};
 use stoatstep_resource::UpstreamName;
 use stoatstep_telemetry::fields;
 
@@ -85,7 +87,7 @@
     /// Attempts that their targets got to see.
     arrived: u32,
     overloaded: usize,
-    attempts: Attempts,
+    attempts: RefusedAttempts,
     times: Times,
     best: Option<End>,
 }
@@ -147,7 +149,7 @@
     node: &Node,
     call: &Call,
     tried: &[UpstreamName],
-    among: Among<'_>,
+    among: TargetFilter<'_>,
 ) -> Option<(Pick, Place)> {
     let now = node.clock.now();
     let mut tables = node.entry.tables.borrow_mut();
@@ -158,7 +160,7 @@
         ..
     } = &mut *tables;
     let answers = answers.get(&call.parts.route).copied().unwrap_or_default();
-    let wish = Wish {
+    let wish = PlacementRequest {
         objective: call.objective.saturating_sub(now),
         answer_bytes: if node.cfg.has(Mechanism::AnswerSize) {
             answers.bytes()
@@ -166,7 +168,7 @@
             0.0
         },
         run: answers.run().filter(|_| node.cfg.has(Mechanism::RouteTime)),
-        among,
+        filter: among,
     };
     let pick = placement.pick(&call.parts.service, tried, wish, now, rng)?;
     let place = node.fleet.place(&pick.upstream)?;
