--- a/crates/mesh/src/entry/attempt.rs
+++ b/crates/mesh/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call at one executor, seen from the entry.
+//! One attempt of a call at one executor, as the entry makes it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,34 +19,36 @@
 use crate::node::Node;
 use crate::wire::{Ask, Attempt, End, Ran, Reply, WireSettled};
 
-/// Fresh tickets that one attempt may ask for. The first refusal hands out a
-/// new one, and a second one in a row is rare.
-const TICKETS: u32 = 3;
+/// Times that one attempt is sent before it gives up on stale tickets. A refusal for a
+/// stale ticket carries a new ticket, and a second such refusal in a row is rare.
+const MAX_TICKETS: u32 = 3;
 
-/// Pause asked for where a link did not come up.
+/// Retry delay given to callers if an executor could not be reached.
 const UNREACHABLE_RETRY: Duration = Duration::from_millis(100);
 
-/// Time past the deadline in which an executor may still say how it ended.
-const LAST_WORD: Duration = Duration::from_millis(20);
+/// Time after the deadline for which the entry still waits for the executor's report.
+const REPORT_GRACE: Duration = Duration::from_millis(20);
 
-/// Questions to an executor about an attempt on a lost link, and the pause
-/// between them: a link that is not up again after half a second is cut.
-const SETTLE_TRIES: u32 = 4;
-const SETTLE_PAUSE: Duration = Duration::from_millis(120);
+/// Times that an executor is asked for the outcome of an attempt whose link was lost. A
+/// link that is not up again after half a second is considered cut.
+const SETTLE_ATTEMPTS: u32 = 4;
 
-/// Pause before a revoked call is worth sending again.
+/// Delay between two of these requests.
+const SETTLE_DELAY: Duration = Duration::from_millis(120);
+
+/// Retry delay after an attempt that was revoked before it ran.
 const REVOKED_RETRY: Duration = Duration::from_millis(10);
 
-/// How an attempt ended.
-pub(super) struct Ended {
+/// How an attempt outcome, as the entry knows it.
+pub(super) struct AttemptOutcome {
     pub(super) end: End,
-    /// Whether the target got to see it, or may have.
+    /// Whether the request reached the target, or may have.
     pub(super) arrived: bool,
     pub(super) in_queue: Duration,
     pub(super) at_target: Duration,
 }
 
-impl Ended {
+impl AttemptOutcome {
     fn of(end: End, arrived: bool) -> Self {
         Self {
             end,
@@ -61,21 +63,21 @@
     }
 }
 
-/// Makes one attempt, and lets placement learn from it.
-pub(super) async fn at(
+/// Makes one attempt at a target and reports its result to placement.
+pub(super) async fn make_attempt(
     node: &Rc<Node>,
     call: &Call,
     upstream: &UpstreamName,
     place: Place,
-) -> Ended {
-    let mut outstanding = Outstanding::new(node, call, upstream);
-    let (ended, occupancy) = attempt(node, call, upstream, place).await;
-    outstanding.seen = match seen(&ended) {
+) -> AttemptOutcome {
+    let mut guard = OutstandingGuard::new(node, call, upstream);
+    let (outcome, occupancy) = attempt(node, call, upstream, place).await;
+    guard.seen = match placement_result(&outcome) {
         Seen::Failed if !node.cfg.has(Mechanism::Ejection) => Seen::Nothing,
         seen => seen,
     };
-    outstanding.occupancy = occupancy;
-    ended
+    guard.occupancy = occupancy;
+    outcome
 }
 
 async fn attempt(
@@ -83,11 +85,11 @@
     call: &Call,
     upstream: &UpstreamName,
     place: Place,
-) -> (Ended, Option<Occupancy>) {
-    for _ in 0..TICKETS {
+) -> (AttemptOutcome, Option<Occupancy>) {
+    for _ in 0..MAX_TICKETS {
         let Some(left) = call.deadline.for_next_hop(node.clock.now()) else {
             let refusal = Refusal::retry(Reason::Deadline, UNREACHABLE_RETRY);
-            return (Ended::refused(refusal, false), None);
+            return (AttemptOutcome::refused(refusal, false), None);
         };
         let begun = node.clock.now();
         let id = node.entry.tables.borrow_mut().rng.random();
@@ -99,28 +101,28 @@
             objective: call.objective.saturating_sub(node.clock.now()),
             call: Rc::clone(&call.parts),
         };
-        let (ended, occupancy) = match place {
-            Place::Local => off_link(of_ran(local(node, attempt).await)),
+        let (outcome, occupancy) = match place {
+            Place::Local => without_uplink(outcome_of_run(local(node, attempt).await)),
             Place::Remote(addr) => remote(node, call, addr, attempt).await,
         };
-        let is_stale = matches!(&ended.end, End::Refused(it) if it.reason == Reason::StaleTicket);
+        let is_stale = matches!(&outcome.end, End::Refused(it) if it.reason == Reason::StaleTicket);
         if !is_stale {
-            note_failure(node, call, (id, upstream), &ended, begun);
-            return (ended, occupancy);
+            log_failure(node, call, (id, upstream), &outcome, begun);
+            return (outcome, occupancy);
         }
     }
     let refusal = Refusal::retry(Reason::StaleTicket, UNREACHABLE_RETRY);
-    (Ended::refused(refusal, false), None)
+    (AttemptOutcome::refused(refusal, false), None)
 }
 
-fn note_failure(
+fn log_failure(
     node: &Node,
     call: &Call,
     (attempt, upstream): (AttemptId, &str),
-    ended: &Ended,
+    outcome: &AttemptOutcome,
     begun: Time,
 ) {
-    let End::Refused(refusal) = &ended.end else {
+    let End::Refused(refusal) = &outcome.end else {
         return;
     };
     let now = node.clock.now();
@@ -129,14 +131,14 @@
         attempt,
         upstream,
         reason: refusal.reason,
-        arrived: ended.arrived,
+        arrived: outcome.arrived,
         took: now.saturating_sub(begun),
     };
     node.journal.attempt_failed(&failed, now);
 }
 
-/// Before an executor's first answer there is no ticket, and one that it will
-/// refuse stands in.
+/// The newest ticket of an executor. Before the executor's first answer this is a
+/// placeholder, which it refuses as stale and answers with a valid ticket.
 fn ticket(node: &Node, place: Place) -> Ticket {
     let refused = Ticket {
         incarnation: 0,
@@ -151,6 +153,7 @@
     }
 }
 
+/// Runs an attempt at the executor of this daemon.
 async fn local(node: &Rc<Node>, attempt: Attempt) -> Ran {
     let guard = CancelOnDrop {
         node,
@@ -161,8 +164,8 @@
     ran
 }
 
-/// The caller went away before the end: a run beside this daemon has no link
-/// that would tell its executor so.
+/// Cancels a local run whose caller disconnected. A remote executor learns that from the
+/// link; a local one has no link.
 struct CancelOnDrop<'a> {
     node: &'a Node,
     attempt: AttemptId,
@@ -174,106 +177,114 @@
     }
 }
 
+/// Sends an attempt to the executor of another daemon.
 async fn remote(
     node: &Rc<Node>,
     call: &Call,
     addr: SocketAddr,
     attempt: Attempt,
-) -> (Ended, Option<Occupancy>) {
+) -> (AttemptOutcome, Option<Occupancy>) {
     let (id, ticket) = (attempt.id, attempt.ticket);
-    let bound = call.deadline.left(node.clock.now()) + LAST_WORD;
+    let bound = call.deadline.left(node.clock.now()) + REPORT_GRACE;
     let asked = timeout(bound, node.links.ask(addr, Ask::Run(attempt))).await;
     match asked {
         Ok(Ok(Reply::Ran(ran))) => {
             let mut tables = node.entry.tables.borrow_mut();
             tables.tickets.insert(addr, ran.ticket);
             drop(tables);
-            of_ran(ran)
+            outcome_of_run(ran)
         }
         Ok(Err(LinkError::NotSent)) => {
             let refusal = Refusal::retry(Reason::NoUpstream, UNREACHABLE_RETRY);
-            (Ended::refused(refusal, false), None)
+            (AttemptOutcome::refused(refusal, false), None)
         }
         Ok(Ok(_) | Err(LinkError::Lost)) => (settle(node, call, addr, id, ticket).await, None),
         Err(_) => {
             let refusal = Refusal::permanent(Reason::TimedOut);
-            (Ended::refused(refusal, true), None)
+            (AttemptOutcome::refused(refusal, true), None)
         }
     }
 }
 
-/// Answers of the own target do not leave the instance.
-fn off_link((ended, occupancy): (Ended, Option<Occupancy>)) -> (Ended, Option<Occupancy>) {
+/// Clears the uplink's load from a local executor's occupancy: answers of the local target
+/// are not sent over the uplink.
+fn without_uplink(
+    (outcome, occupancy): (AttemptOutcome, Option<Occupancy>),
+) -> (AttemptOutcome, Option<Occupancy>) {
     let occupancy = occupancy.map(|it| Occupancy {
         link_backlog: Duration::ZERO,
         link_bytes_per_s: 0,
         ..it
     });
-    (ended, occupancy)
+    (outcome, occupancy)
 }
 
-fn of_ran(ran: Ran) -> (Ended, Option<Occupancy>) {
-    let ended = Ended {
+fn outcome_of_run(ran: Ran) -> (AttemptOutcome, Option<Occupancy>) {
+    let outcome = AttemptOutcome {
         in_queue: ran.in_queue,
         at_target: ran.at_target,
-        ..Ended::of(ran.end, ran.arrived)
+        ..AttemptOutcome::of(ran.end, ran.arrived)
     };
-    (ended, Some(ran.occupancy))
+    (outcome, Some(ran.occupancy))
 }
 
-/// Finds out how an attempt on a lost link ended: not run, the whole answer, or
-/// an honest "unknown".
+/// Asks the executor for the outcome of an attempt whose link was lost: it did not run, its
+/// complete answer, or unknown.
 async fn settle(
     node: &Rc<Node>,
     call: &Call,
     addr: SocketAddr,
     attempt: AttemptId,
     ticket: Ticket,
-) -> Ended {
-    for _ in 0..SETTLE_TRIES {
+) -> AttemptOutcome {
+    for _ in 0..SETTLE_ATTEMPTS {
         let left = call.deadline.left(node.clock.now());
         if left.is_zero() {
-            return Ended::refused(Refusal::permanent(Reason::TimedOut), true);
+            return AttemptOutcome::refused(Refusal::permanent(Reason::TimedOut), true);
         }
         let ask = Ask::Settle(attempt, ticket);
         if let Ok(Reply::Settled(settled)) = node.links.ask_within(addr, ask, left).await {
-            return of_settled(settled);
+            return outcome_of_settled(settled);
         }
-        sleep(SETTLE_PAUSE.min(left)).await;
+        sleep(SETTLE_DELAY.min(left)).await;
     }
-    Ended::refused(Refusal::permanent(Reason::LostAnswer), true)
+    AttemptOutcome::refused(Refusal::permanent(Reason::LostAnswer), true)
 }
 
-fn of_settled(settled: WireSettled) -> Ended {
+fn outcome_of_settled(settled: WireSettled) -> AttemptOutcome {
     match settled {
-        WireSettled::Done(answer) => Ended::of(End::Answered(answer), true),
+        WireSettled::Done(answer) => AttemptOutcome::of(End::Answered(answer), true),
         WireSettled::NotRun => {
             let refusal = Refusal::retry(Reason::Revoked, REVOKED_RETRY);
-            Ended::refused(refusal, false)
+            AttemptOutcome::refused(refusal, false)
+        }
+        WireSettled::Unknown => {
+            AttemptOutcome::refused(Refusal::permanent(Reason::LostAnswer), true)
         }
-        WireSettled::Unknown => Ended::refused(Refusal::permanent(Reason::LostAnswer), true),
     }
 }
 
-fn seen(ended: &Ended) -> Seen {
-    let refusal = match &ended.end {
+/// What an attempt's end says about the target, for placement.
+fn placement_result(outcome: &AttemptOutcome) -> Seen {
+    let refusal = match &outcome.end {
         End::Answered(answer) if answer.is_failure() => return Seen::Failed,
         End::Answered(_) => return Seen::Answered,
         End::Refused(refusal) => refusal,
     };
     match refusal.reason {
         Reason::Draining => Seen::Leaving,
-        // An executor never sends its target more than it has slots, so a target
-        // that sheds is not full but failing.
+        // An executor never sends its target more calls than it has slots, so a target
+        // that sheds load is failing, not full.
         Reason::NoUpstream | Reason::LostAnswer | Reason::TimedOut | Reason::Shed => Seen::Failed,
         Reason::Overload | Reason::Woke | Reason::Deadline => Seen::Full,
         _ => Seen::Nothing,
     }
 }
 
-/// An attempt that placement counts. A caller that goes away drops it here, or
-/// the upstream would look busier with each one, and in the end never be chosen.
-struct Outstanding<'a> {
+/// Guard of an attempt that placement counts as guard. It ends the count also if the
+/// caller disconnects: otherwise the upstream would look busier with each such call until
+/// it is never chosen again.
+struct OutstandingGuard<'a> {
     node: &'a Node,
     call: &'a Call,
     upstream: &'a UpstreamName,
@@ -281,7 +292,7 @@
     occupancy: Option<Occupancy>,
 }
 
-impl<'a> Outstanding<'a> {
+impl<'a> OutstandingGuard<'a> {
     fn new(node: &'a Node, call: &'a Call, upstream: &'a UpstreamName) -> Self {
         let mut tables = node.entry.tables.borrow_mut();
         tables.placement.started(&call.parts.service, upstream);
@@ -295,7 +306,7 @@
     }
 }
 
-impl Drop for Outstanding<'_> {
+impl Drop for OutstandingGuard<'_> {
     fn drop(&mut self) {
         let now = self.node.clock.now();
         let service = &self.call.parts.service;
--- a/crates/mesh/src/entry/call.rs
+++ b/crates/mesh/src/entry/call.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request.
+//! Reads a caller's request, routes it and identifies the caller.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,29 +19,30 @@
 use crate::node::Node;
 use crate::wire::CallParts;
 
-/// Largest request body. It is kept whole until the call ends, so that an
-/// attempt that did not run can be made elsewhere.
+/// Largest request body. The whole body is kept until the call ends, so that the call can
+/// be sent to another target if an attempt did not run.
 const MAX_BODY: usize = 64 << 20;
 
-/// Pause asked for by a daemon that has no configuration yet.
+/// Retry delay given to callers while the daemon has no configuration yet.
 const NOT_READY_RETRY: Duration = Duration::from_millis(250);
 
-/// Pause asked for by a daemon that is about to end. Other daemons are there at
-/// once, but the caller has to notice that this one is not ready.
+/// Retry delay given to callers while the daemon drains. Other daemons can take the call at
+/// once, but the caller's load balancer has to notice that this one is not ready.
 const DRAINING_RETRY: Duration = Duration::from_millis(100);
 
-/// Rank of calls whose policy states none: after those that have one.
-const LEAST_PRIORITY: u8 = u8::MAX;
+/// Priority of calls for which neither the customer nor the policy sets one: after all
+/// others.
+const LOWEST_PRIORITY: u8 = u8::MAX;
 
-/// A caller's request.
+/// A caller's request, routed and read completely.
 pub(super) struct Call {
-    /// Configuration that it was routed by.
+    /// Version of the configuration by which the call was routed.
     pub(super) version: Version,
     pub(super) route: Arc<ResolvedRoute>,
     pub(super) deadline: Deadline,
-    /// Until when an answer is worth its full price.
+    /// When the route's latency objective is missed.
     pub(super) objective: Time,
-    /// Quota that it is charged to.
+    /// Quota of the caller's customer, if it has one.
     pub(super) quota: Option<Quota>,
     pub(super) parts: Rc<CallParts>,
 }
@@ -52,15 +53,15 @@
         let Some(in_force) = node.fleet.in_force() else {
             return Err(Refusal::retry(Reason::NotReady, NOT_READY_RETRY));
         };
-        let host = text(req.headers(), "host").unwrap_or_default();
+        let host = header_text(req.headers(), "host").unwrap_or_default();
         let Some(route) = in_force.routes.find(&host, req.path()).cloned() else {
             return Err(Refusal::permanent(Reason::NoRoute));
         };
         let dialect = &node.cfg.dialect;
-        let Some(request_id) = text(req.headers(), &dialect.request_id) else {
+        let Some(request_id) = header_text(req.headers(), &dialect.request_id) else {
             return Err(Refusal::permanent(Reason::BadRequest));
         };
-        let deadline = Deadline::after(time_left(node, req, &route), now);
+        let deadline = Deadline::after(effective_timeout(node, req, &route), now);
         if !node.departure.get().takes(deadline.expires(), now) {
             return Err(Refusal::retry(Reason::Draining, DRAINING_RETRY));
         }
@@ -78,14 +79,14 @@
             method: req.method().as_str().to_smolstr(),
             path: path.map_or_else(|| "/".into(), |it| it.as_str().to_smolstr()),
             host,
-            headers: passed(node, req.headers(), in_force.keys.is_empty()),
+            headers: forwarded_headers(node, req.headers(), in_force.keys.is_empty()),
             body: Bytes::copy_from_slice(&body),
             idempotent: route.route.idempotent,
             route: route.route.name.clone(),
             priority: caller
                 .priority
                 .or(route.policy.priority)
-                .unwrap_or(LEAST_PRIORITY),
+                .unwrap_or(LOWEST_PRIORITY),
             caller_service: node
                 .executor
                 .service()
@@ -103,16 +104,17 @@
     }
 }
 
-/// The caller's own bound and the operator's, whichever is shorter.
-fn time_left(node: &Node, req: &Request, route: &ResolvedRoute) -> Duration {
-    let stated = text(req.headers(), &node.cfg.dialect.timeout_ms);
+/// The caller's timeout or the one of the route's policy, whichever is shorter.
+fn effective_timeout(node: &Node, req: &Request, route: &ResolvedRoute) -> Duration {
+    let stated = header_text(req.headers(), &node.cfg.dialect.timeout_ms);
     let millis = stated.and_then(|it| it.parse().ok());
     let bound = route.policy.timeout;
     millis.map_or(bound, |it| Duration::from_millis(it).min(bound))
 }
 
-/// A caller that comes back after a refusal has less time left than the route
-/// allows; what it has used counts against the objective.
+/// When the latency objective is missed. A caller that retries after a refusal sends a
+/// shorter timeout than the policy allows; the time that it has already spent counts
+/// against the objective.
 fn objective(route: &ResolvedRoute, deadline: Deadline, now: Time) -> Time {
     let policy = &route.policy;
     let objective = policy.latency_objective.unwrap_or(policy.timeout);
@@ -120,15 +122,15 @@
     now + objective.saturating_sub(used)
 }
 
-fn text(map: &HeaderMap, name: &str) -> Option<SmolStr> {
+fn header_text(map: &HeaderMap, name: &str) -> Option<SmolStr> {
     map.get(name)?.to_str().ok().map(SmolStr::new)
 }
 
-/// The headers that go through. Those that this daemon writes itself are left
-/// out, so that no caller can forge them. So are keys where there are customers: no
-/// target is to get one.
-fn passed(node: &Node, map: &HeaderMap, passes_credential: bool) -> Vec<Header> {
-    let named = text(map, "connection").unwrap_or_default();
+/// The headers that are forwarded to the target. Hop-by-hop headers are dropped, and so
+/// are those that the daemon writes itself, so that no caller can forge them. Customers'
+/// keys are dropped as well if the configuration has any, since targets must not see them.
+fn forwarded_headers(node: &Node, map: &HeaderMap, forwards_credential: bool) -> Vec<Header> {
+    let named = header_text(map, "connection").unwrap_or_default();
     let named = named.to_ascii_lowercase();
     let of_connection =
         |name: &str| is_of_connection(name) || named.split(',').any(|it| it.trim() == name);
@@ -140,11 +142,11 @@
         &dialect.expected_upstream,
         &dialect.customer,
     ];
-    let is_own =
-        |name: &str| own.iter().any(|it| *it == name) || name == CREDENTIAL && !passes_credential;
+    let is_set_by_daemon =
+        |name: &str| own.iter().any(|it| *it == name) || name == CREDENTIAL && !forwards_credential;
     let all = map.iter().map(|(name, value)| (name.as_str(), value));
-    let passed = all.filter(|(name, _)| !of_connection(name) && !is_own(name));
-    let header = passed.map(|(name, value)| Header {
+    let forwarded = all.filter(|(name, _)| !of_connection(name) && !is_set_by_daemon(name));
+    let header = forwarded.map(|(name, value)| Header {
         name: name.to_smolstr(),
         value: value.as_bytes().to_vec(),
     });
--- a/crates/mesh/src/entry/carry.rs
+++ b/crates/mesh/src/entry/carry.rs
@@ -1,4 +1,4 @@
-//! Makes attempts until one of them ends the call.
+//! Forwards a call: makes attempts until one of them ends it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,9 +8,9 @@
 use stoatstep_telemetry::fields;
 
 use super::Tables;
-use super::attempt::{self, Ended};
+use super::attempt::{self, AttemptOutcome};
 use super::call::Call;
-use super::divided::Divided;
+use super::divided::TrafficSplit;
 use super::probes;
 use crate::fleet::Place;
 use crate::identity;
@@ -20,70 +20,72 @@
 use crate::quarantine;
 use crate::wire::End;
 
-/// Pause asked for where no executor can be reached.
+/// Retry delay given to callers if no target is available.
 const UNREACHABLE_RETRY: Duration = Duration::from_millis(200);
 
-/// Executors that one call may be refused by before its caller is. Those
-/// refusals cost no run, but each costs a way there and back.
-const MAX_REFUSALS: usize = 4;
+/// Attempts of one call that may be refused before its caller is. A refusal costs no run,
+/// but it costs a round trip.
+const MAX_REFUSED: usize = 4;
 
-/// The same for refusals by overload. Where two queues are too long, so most
-/// likely is the third.
+/// Attempts of one call that may be refused for overload before its caller is. If the
+/// queues of so many targets are too long, the next one most likely is as well.
 const MAX_OVERLOADED: usize = 3;
 
-/// Least time that another attempt is worth starting for.
-const LEAST_TIME: Duration = Duration::from_millis(5);
+/// Least time left to the deadline for which another attempt is history.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
-/// Part of the retries allowed to the fleet that is used, as a divisor. A run
-/// that is repeated repeats the calls that it makes, and those count as retries
-/// of another service, where they can't be told from first ones.
-const BUDGET_SHARE: u32 = 2;
+/// Divisor of the configured retry budget. A run that is repeated also repeats the calls
+/// that it makes, which are retries of another service but cannot be told from first calls
+/// there, so only a part of the budget is spent directly.
+const BUDGET_DIVISOR: u32 = 2;
 
-/// A call that was carried to its end.
+/// How a call ended, after all of its attempts.
 pub(super) struct Carried {
     pub(super) end: End,
-    /// Time in queues and at targets; the total is not known here.
+    /// Time in queues and at targets. The total is filled in by the caller.
     pub(super) times: Times,
     pub(super) attempts: usize,
-    /// The target that was tried last, and whether it is of another zone.
+    /// The target of the last attempt, and whether it is in another zone.
     pub(super) placed: Option<(UpstreamName, bool)>,
 }
 
-/// Carries a call to its end.
+/// Makes attempts until the call has an answer or must not be tried again.
 pub(super) async fn carry(node: &Rc<Node>, call: &Call) -> Carried {
-    let mut made = Made::default();
-    let mut divided = Divided::of(node, call);
-    earn(node, call);
+    let mut history = AttemptHistory::default();
+    let mut split = TrafficSplit::draw(node, call);
+    earn_retries(node, call);
     loop {
-        // Word may have come since the last attempt, or because of it.
+        // The request may have been quarantined, or its key revoked, since the last
+        // attempt or because of it.
         let refusal = quarantine::refusal(node, &call.parts);
         if let Some(refusal) = refusal.or_else(|| identity::refusal(node, &call.parts)) {
-            made.note(Ended::refused(refusal, false));
-            return made.finish();
+            history.record(AttemptOutcome::refused(refusal, false));
+            return history.finish();
         }
-        let Some((pick, place)) = choose(node, call, &made.tried, &mut divided) else {
-            return made.finish();
+        let Some((pick, place)) = choose_target(node, call, &history.tried, &mut split) else {
+            return history.finish();
         };
-        probes::ask(node, &call.parts.service, divided.among());
-        let ended = attempt::at(node, call, &pick.upstream, place).await;
-        divided.note(&ended.end);
-        made.tried.push(pick.upstream.clone());
-        made.placed = Some((pick.upstream, pick.spilled));
-        let is_over = !may_go_on(node, call, &mut made, &ended);
-        made.note(ended);
+        probes::send(node, &call.parts.service, split.allowed_targets());
+        let outcome = attempt::make_attempt(node, call, &pick.upstream, place).await;
+        split.update(&outcome.end);
+        history.tried.push(pick.upstream.clone());
+        history.placed = Some((pick.upstream, pick.spilled));
+        let is_over = !should_retry(node, call, &mut history, &outcome);
+        history.record(outcome);
         if is_over {
-            return made.finish();
+            return history.finish();
         }
     }
 }
 
 /// The attempts of one call so far.
 #[derive(Default)]
-struct Made {
+struct AttemptHistory {
     tried: Vec<UpstreamName>,
     placed: Option<(UpstreamName, bool)>,
-    /// Attempts that their targets got to see.
+    /// Attempts that reached their targets, or may have.
     arrived: u32,
+    /// Attempts that were refused for overload.
     overloaded: usize,
     attempts: Attempts,
     times: Times,
@@ -102,12 +104,13 @@
     }
 }
 
-impl Made {
-    /// Keeps the ending that tells the caller most.
-    fn note(&mut self, ended: Ended) {
-        self.times.queue += ended.in_queue;
-        self.times.target += ended.at_target;
-        let end = match ended.end {
+impl AttemptHistory {
+    /// Records an attempt, and keeps the end that tells the caller most: an answer is never
+    /// replaced by a refusal.
+    fn record(&mut self, outcome: AttemptOutcome) {
+        self.times.queue += outcome.in_queue;
+        self.times.target += outcome.at_target;
+        let end = match outcome.end {
             End::Refused(refusal) => End::Refused(self.attempts.refused(refusal)),
             answered @ End::Answered(_) => answered,
         };
@@ -118,9 +121,9 @@
     }
 
     fn finish(self) -> Carried {
-        let nobody = || End::Refused(Refusal::retry(Reason::NoUpstream, UNREACHABLE_RETRY));
+        let no_target = || End::Refused(Refusal::retry(Reason::NoUpstream, UNREACHABLE_RETRY));
         Carried {
-            end: self.best.unwrap_or_else(nobody),
+            end: self.best.unwrap_or_else(no_target),
             times: self.times,
             attempts: self.tried.len(),
             placed: self.placed,
@@ -128,22 +131,22 @@
     }
 }
 
-/// The targets that are left, on the side that the call is to go to or, where that side
-/// has none, on the other one if that may take it.
-fn choose(
+/// Picks a target that was not tried yet, on the call's side of a roll-out or, if that side
+/// has no target left, on the old side if the call may go there.
+fn choose_target(
     node: &Node,
     call: &Call,
     tried: &[UpstreamName],
-    divided: &mut Divided,
+    split: &mut TrafficSplit,
 ) -> Option<(Pick, Place)> {
-    let pick = choose_among(node, call, tried, divided.among());
-    if pick.is_some() || !divided.turns_back() {
+    let pick = choose_from(node, call, tried, split.allowed_targets());
+    if pick.is_some() || !split.fall_back() {
         return pick;
     }
-    choose_among(node, call, tried, divided.among())
+    choose_from(node, call, tried, split.allowed_targets())
 }
 
-fn choose_among(
+fn choose_from(
     node: &Node,
     call: &Call,
     tried: &[UpstreamName],
@@ -174,58 +177,65 @@
 }
 
 /// Whether another attempt may and should follow this one.
-fn may_go_on(node: &Node, call: &Call, made: &mut Made, ended: &Ended) -> bool {
-    made.arrived += u32::from(ended.arrived);
+fn should_retry(
+    node: &Node,
+    call: &Call,
+    history: &mut AttemptHistory,
+    outcome: &AttemptOutcome,
+) -> bool {
+    history.arrived += u32::from(outcome.arrived);
     let idempotent = call.parts.idempotent;
-    let may = match &ended.end {
+    let may = match &outcome.end {
         End::Answered(answer) => idempotent && answer.is_failure(),
         End::Refused(refusal) => match refusal.outcome() {
-            Outcome::NotRun => is_worth_asking_on(node, made, refusal.reason),
+            Outcome::NotRun => may_try_other_target(node, history, refusal.reason),
             Outcome::Unknown | Outcome::Answered => {
                 idempotent && refusal.reason != Reason::TimedOut
             }
         },
     };
     let allowed = call.route.policy.retry.attempts;
-    let has_time = call.deadline.left(node.clock.now()) > LEAST_TIME;
-    if !may || !has_time || made.arrived >= allowed {
+    let has_time = call.deadline.left(node.clock.now()) > MIN_TIME_LEFT;
+    if !may || !has_time || history.arrived >= allowed {
         return false;
     }
-    !ended.arrived || take_retry(node, call)
+    !outcome.arrived || take_retry(node, call)
 }
 
-fn is_worth_asking_on(node: &Node, made: &mut Made, reason: Reason) -> bool {
+fn may_try_other_target(node: &Node, history: &mut AttemptHistory, reason: Reason) -> bool {
     let overloaded = if node.cfg.has(Mechanism::SecondQueue) {
         MAX_OVERLOADED
     } else {
         1
     };
     if matches!(reason, Reason::Overload | Reason::Deadline) {
-        made.overloaded += 1;
+        history.overloaded += 1;
     }
-    reason.allows_retry() && made.tried.len() < MAX_REFUSALS && made.overloaded < overloaded
+    reason.allows_retry() && history.tried.len() < MAX_REFUSED && history.overloaded < overloaded
 }
 
-fn earn(node: &Node, call: &Call) {
+/// Credits the retry budget of the call's service.
+fn earn_retries(node: &Node, call: &Call) {
     let mut tables = node.entry.tables.borrow_mut();
-    let (percent, reserve) = (percent(node), reserve(node));
+    let (percent, reserve) = (earned_percent(node), max_saved_retries(node));
     let budget = tables.budgets.entry(call.parts.service.clone());
     let budget = budget.or_default();
     budget.set_reserve(reserve);
     budget.earn(percent);
 }
 
-/// Retries that each call earns, in hundredths.
-fn percent(node: &Node) -> u32 {
-    node.cfg.retries.percent / BUDGET_SHARE
+/// Retries that each call adds to the budget, in hundredths.
+fn earned_percent(node: &Node) -> u32 {
+    node.cfg.retries.percent / BUDGET_DIVISOR
 }
 
-/// This daemon's part of what the whole fleet may save up.
-fn reserve(node: &Node) -> u32 {
+/// This daemon's share of the retries that the whole fleet may accumulate.
+fn max_saved_retries(node: &Node) -> u32 {
     let daemons = u32::try_from(node.fleet.size()).unwrap_or(u32::MAX);
-    node.cfg.retries.slack / BUDGET_SHARE / daemons.max(1)
+    node.cfg.retries.slack / BUDGET_DIVISOR / daemons.max(1)
 }
 
+/// Takes a retry from the budget of the call's service; `false` if none is left.
 fn take_retry(node: &Node, call: &Call) -> bool {
     let mut tables = node.entry.tables.borrow_mut();
     let budget = tables.budgets.entry(call.parts.service.clone());
@@ -233,11 +243,11 @@
     drop(tables);
     if !has_left {
         node.journal.count("retries.refused");
-        if let Some(left_out) = node.journal.admits("retry", node.clock.now()) {
+        if let Some(suppressed) = node.journal.admits("retry", node.clock.now()) {
             slog::info!(node.log, "retry budget spent";
                 fields::REQUEST => %call.parts.request_id, fields::SERVICE => %call.parts.service,
-                fields::PERCENT => percent(node), fields::RESERVE => reserve(node),
-                fields::LEFT_OUT => left_out);
+                fields::PERCENT => earned_percent(node), fields::RESERVE => max_saved_retries(node),
+                fields::LEFT_OUT => suppressed);
         }
     }
     has_left
--- a/crates/mesh/src/entry/divided.rs
+++ b/crates/mesh/src/entry/divided.rs
@@ -1,4 +1,4 @@
-//! Which side of a service under a roll-out a call goes to.
+//! Chooses the side of a roll-out to which a call goes.
 
 use rand::RngExt;
 use stoatstep_calls::{Among, Reason};
@@ -8,18 +8,19 @@
 use crate::node::Node;
 use crate::wire::End;
 
-/// The side of one call, and how it changes from attempt to attempt.
-pub(super) struct Divided(Option<(Lane, Side)>);
+/// The side of one call, which may change from attempt to attempt. Calls of services
+/// without a roll-out have none.
+pub(super) struct TrafficSplit(Option<(Lane, Side)>);
 
-impl Divided {
-    /// Draws the side of a call. One of a service that is not under a roll-out has none.
-    pub(super) fn of(node: &Node, call: &Call) -> Self {
+impl TrafficSplit {
+    /// Draws the side of a call at random, by the step that the roll-out has reached.
+    pub(super) fn draw(node: &Node, call: &Call) -> Self {
         let draw = node.entry.tables.borrow_mut().rng.random();
         Self(node.rollouts.divide(&call.parts, draw))
     }
 
-    /// The targets that the call may go to.
-    pub(super) fn among(&self) -> Among<'_> {
+    /// The targets to which the call may go.
+    pub(super) fn allowed_targets(&self) -> Among<'_> {
         match &self.0 {
             None => Among::All,
             Some((lane, Side::Old)) => Among::OtherSoftware(&lane.target),
@@ -28,10 +29,10 @@
         }
     }
 
-    /// Learns from an attempt. A side that refuses the call knows of a later step, and a
-    /// target that is tried gets each call once at most: its caller is served by the old
-    /// side if that did not go well.
-    pub(super) fn note(&mut self, end: &End) {
+    /// Changes the side after an attempt if needed. An executor that refuses the call as held
+    /// knows of a later step of the roll-out. A canary gets each call at most once: if that
+    /// attempt fails, the old side serves the call.
+    pub(super) fn update(&mut self, end: &End) {
         let Some((_, side)) = &mut self.0 else {
             return;
         };
@@ -41,9 +42,9 @@
         }
     }
 
-    /// Turns to the old side where the new one has no target left; `false` where the call
-    /// may not go there, or is there already.
-    pub(super) fn turns_back(&mut self) -> bool {
+    /// Changes to the old side, for a call whose side has no target left. Returns `false` if
+    /// the call is there already or the roll-out is completed.
+    pub(super) fn fall_back(&mut self) -> bool {
         let Some((lane, side)) = &mut self.0 else {
             return false;
         };
--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -1,5 +1,5 @@
-//! The entry: takes a caller's request, has it run, and brings back the whole
-//! answer or says truly why there is none.
+//! The entry: accepts a caller's request, forwards it to the executor beside a target, and
+//! returns either the target's complete answer or the reason why there is none.
 
 mod attempt;
 mod call;
@@ -34,10 +34,11 @@
 use call::Call;
 use carry::Carried;
 
-/// Routes of which more is remembered than the configuration says; a daemon's callers
-/// use a few dozen.
+/// Limit on the routes for which statistics are kept. The callers of one daemon use a few
+/// dozen.
 const MAX_ROUTES: usize = 1024;
 
+/// State of the entry that outlives single calls.
 pub(crate) struct Entry {
     tables: RefCell<Tables>,
 }
@@ -45,11 +46,11 @@
 struct Tables {
     placement: Placement,
     budgets: BTreeMap<ServiceName, RetryBudget>,
-    /// What the answers of each route in use are like.
+    /// Sizes and run times of the answers of each route in use.
     answers: HashMap<RouteName, Answers>,
-    /// How the calls of each route in use ended lately.
+    /// Recent failures and successes of each route in use.
     throttles: HashMap<RouteName, Throttle>,
-    /// The newest ticket of each executor.
+    /// The newest ticket that each executor issued.
     tickets: HashMap<SocketAddr, Ticket>,
     rng: Xoshiro256PlusPlus,
 }
@@ -83,35 +84,36 @@
     }
 }
 
-/// Answers one caller. Where the caller leaves, the future is dropped, and what
-/// runs for it is cancelled.
+/// Handles one caller's request. If the caller disconnects, the future is dropped, which
+/// cancels the call's attempt.
 pub(crate) async fn handle(node: &Rc<Node>, mut req: Request) -> Response {
     let _in_flight = InFlight::enter(node);
     let begun = node.clock.now();
     let call = match Call::read(node, &mut req).await {
         Ok(call) => call,
         Err(refusal) => {
-            refused(node, &req, &refusal);
+            log_refused(node, &req, &refusal);
             drop_body(req.take_payload()).await;
             return respond::refused(&refusal, node.is_leaving());
         }
     };
     let carried = if throttle::admits(node, &call) {
-        let mut awaited = Awaited::new(node, &call, begun);
-        let carried = charged(node, &call).await;
-        awaited.has_ended = true;
-        throttle::note(node, &call, &carried.end);
+        let mut guard = CallerLeftGuard::new(node, &call, begun);
+        let carried = forward_with_quota(node, &call).await;
+        guard.has_ended = true;
+        throttle::record(node, &call, &carried.end);
         carried
     } else {
         throttle::refused(node, &call)
     };
-    ended(node, &call, &carried, begun);
-    respond::ended(&carried.end, node.is_leaving())
+    record_call(node, &call, &carried, begun);
+    respond::completed(&carried.end, node.is_leaving())
 }
 
-/// Carries a call that its customer's quota has room for.
-async fn charged(node: &Rc<Node>, call: &Call) -> Carried {
-    let charge = match quota::admit(node, call).await {
+/// Charges the call to its customer's quota and forwards it if the quota allows. The
+/// charge is refunded if the call did not run.
+async fn forward_with_quota(node: &Rc<Node>, call: &Call) -> Carried {
+    let charge = match quota::charge(node, call).await {
         Ok(charge) => charge,
         Err(refusal) => return Carried::refused(refusal),
     };
@@ -119,21 +121,21 @@
     if let End::Refused(refusal) = &carried.end
         && refusal.outcome() == Outcome::NotRun
     {
-        charge.give_back(node);
+        charge.refund(node);
     }
     carried
 }
 
-/// A call that is let through and whose caller waits. Dropped before the call has
-/// ended, it says that the caller left.
-struct Awaited<'a> {
+/// Guard of a call that the throttle admitted. If it is dropped before the call has record_call,
+/// it records that the caller disconnected.
+struct CallerLeftGuard<'a> {
     node: &'a Node,
     call: &'a Call,
     begun: Time,
     has_ended: bool,
 }
 
-impl<'a> Awaited<'a> {
+impl<'a> CallerLeftGuard<'a> {
     fn new(node: &'a Node, call: &'a Call, begun: Time) -> Self {
         Self {
             node,
@@ -144,19 +146,20 @@
     }
 }
 
-impl Drop for Awaited<'_> {
+impl Drop for CallerLeftGuard<'_> {
     fn drop(&mut self) {
         if self.has_ended {
             return;
         }
-        throttle::left(self.node, self.call);
+        throttle::caller_left(self.node, self.call);
         let now = self.node.clock.now();
         let waited = now.saturating_sub(self.begun);
         self.node.journal.caller_left(&self.call.parts, waited, now);
     }
 }
 
-fn ended(node: &Rc<Node>, call: &Call, carried: &Carried, begun: Time) {
+/// Records a call that has ended in the log, the metrics and the route's statistics.
+fn record_call(node: &Rc<Node>, call: &Call, carried: &Carried, begun: Time) {
     let now = node.clock.now();
     if carried.end.is_success() {
         quarantine::answered(node, &call.parts);
@@ -175,12 +178,13 @@
         placed: carried.placed.clone(),
     };
     node.journal.call_ended(&ended, now);
-    note_answer(node, call, carried);
+    record_answer(node, call, carried);
 }
 
-/// Failures are left out: they are short whatever the route. So are calls with more than
-/// one attempt, whose times at targets are added up.
-fn note_answer(node: &Node, call: &Call, carried: &Carried) {
+/// Updates the statistics of the route's answers. Failures are skipped because they are
+/// short whatever the route, and calls with several attempts because their run times are
+/// summed.
+fn record_answer(node: &Node, call: &Call, carried: &Carried) {
     let End::Answered(answer) = &carried.end else {
         return;
     };
@@ -195,16 +199,16 @@
     }
 }
 
-/// A request that did not become a call.
-fn refused(node: &Node, req: &Request, refusal: &Refusal) {
+/// Logs a request that was refused before it was routed and read as a call.
+fn log_refused(node: &Node, req: &Request, refusal: &Refusal) {
     node.journal.count(&format!("calls.{}", refusal.reason));
     let kind = refusal.reason.as_str();
-    let Some(left_out) = node.journal.admits(kind, node.clock.now()) else {
+    let Some(suppressed) = node.journal.admits(kind, node.clock.now()) else {
         return;
     };
     let id = req.headers().get(node.cfg.dialect.request_id.as_str());
     let id = id.and_then(|it| it.to_str().ok()).unwrap_or_default();
     let version = node.fleet.in_force().map_or(0, |it| it.version());
     slog::info!(node.log, "request refused";
-        fields::REQUEST => id, fields::VERSION => version, fields::REASON => kind, fields::PATH => req.path(), fields::LEFT_OUT => left_out);
+        fields::REQUEST => id, fields::VERSION => version, fields::REASON => kind, fields::PATH => req.path(), fields::LEFT_OUT => suppressed);
 }
--- a/crates/mesh/src/entry/probes.rs
+++ b/crates/mesh/src/entry/probes.rs
@@ -1,6 +1,6 @@
-//! Asking targets of the own zone how occupied they are, beside calls.
+//! Load probes: asks executors of the same zone for their occupancy when a call is placed.
 //!
-//! The answers are for the calls that come next, so that no call waits for them.
+//! The replies serve the calls that follow, so no call waits for them.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,35 +14,35 @@
 use crate::node::Node;
 use crate::wire::{Ask, Reply};
 
-/// Targets asked beside each call. At 17 calls a second and entry some five words are fresh
-/// at any time, which are compared for the next call.
-const PROBES: usize = 3;
+/// Targets probed for each attempt. At 17 calls a second per entry, some five replies are
+/// fresh at any time and are compared for the next call.
+const PROBES_PER_ATTEMPT: usize = 3;
 
-/// Time for an answer. One that comes later says nothing new.
-const ANSWER_BOUND: Duration = Duration::from_millis(100);
+/// Time limit for a reply. A later one is out of date.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Asks a few targets of the service.
-pub(super) fn ask(node: &Rc<Node>, service: &ServiceName, among: Among<'_>) {
+/// Sends probes to a few targets of the service without waiting for their replies.
+pub(super) fn send(node: &Rc<Node>, service: &ServiceName, among: Among<'_>) {
     if !node.cfg.has(Mechanism::LoadProbes) {
         return;
     }
     let now = node.clock.now();
     let mut tables = node.entry.tables.borrow_mut();
     let Tables { placement, rng, .. } = &mut *tables;
-    let targets = placement.to_ask(service, among, PROBES, now, rng);
+    let targets = placement.to_ask(service, among, PROBES_PER_ATTEMPT, now, rng);
     drop(tables);
     for target in targets {
         let (node, service) = (Rc::clone(node), service.clone());
-        ntex::rt::spawn(async move { ask_one(&node, &service, &target).await });
+        ntex::rt::spawn(async move { probe(&node, &service, &target).await });
     }
 }
 
-async fn ask_one(node: &Rc<Node>, service: &ServiceName, target: &UpstreamName) {
+async fn probe(node: &Rc<Node>, service: &ServiceName, target: &UpstreamName) {
     let occupancy = match node.fleet.place(target) {
-        // Answers of the own target do not leave the instance.
+        // Answers of the local target are not sent over the uplink, so its load is left out.
         Some(Place::Local) => node.executor.occupancy(),
         Some(Place::Remote(addr)) => {
-            let asked = node.links.ask_within(addr, Ask::Occupancy, ANSWER_BOUND);
+            let asked = node.links.ask_within(addr, Ask::Occupancy, REPLY_TIMEOUT);
             match asked.await {
                 Ok(Reply::Occupancy(occupancy)) => occupancy,
                 Ok(_) | Err(_) => return,
--- a/crates/mesh/src/entry/quota.rs
+++ b/crates/mesh/src/entry/quota.rs
@@ -1,4 +1,4 @@
-//! Charges calls to the quotas of their customers.
+//! Charges calls to their customers' quotas.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,27 +10,28 @@
 use crate::node::Node;
 use crate::quota::{self, Verdict};
 
-/// Pause asked for where the home did not answer.
-const UNKNOWN_RETRY: Duration = Duration::from_millis(200);
+/// Retry delay given to callers if the quota's home did not answer.
+const HOME_UNREACHABLE_RETRY: Duration = Duration::from_millis(200);
 
-/// What a call was charged to.
+/// The customer to whose quota a call was charged, if any.
 pub(super) struct Charge(Option<CustomerName>);
 
 impl Charge {
-    /// The call did not run: another one may.
-    pub(super) fn give_back(self, node: &Node) {
+    /// Returns the token of a call that did not run.
+    pub(super) fn refund(self, node: &Node) {
         if let Some(customer) = self.0 {
             node.quotas.give_back(&customer, node.clock.now());
         }
     }
 }
 
-/// Charges a call, and waits for the home of its customer's quota where it has to.
+/// Charges a call to its customer's quota. Waits for the quota's home if this daemon holds
+/// no token.
 ///
 /// # Errors
 ///
-/// Where the quota is used up, or nobody can tell.
-pub(super) async fn admit(node: &Rc<Node>, call: &Call) -> Result<Charge, Refusal> {
+/// Fails if the quota is used up or the home does not answer.
+pub(super) async fn charge(node: &Rc<Node>, call: &Call) -> Result<Charge, Refusal> {
     let (Some(_), Some(identity)) = (call.quota, &call.parts.identity) else {
         return Ok(Charge(None));
     };
@@ -43,6 +44,6 @@
     match verdict {
         Verdict::Granted => Ok(Charge(Some(customer.clone()))),
         Verdict::Refused(pause) => Err(Refusal::retry(Reason::OverQuota, pause)),
-        Verdict::Unknown => Err(Refusal::retry(Reason::QuotaUnknown, UNKNOWN_RETRY)),
+        Verdict::Unknown => Err(Refusal::retry(Reason::QuotaUnknown, HOME_UNREACHABLE_RETRY)),
     }
 }
--- a/crates/mesh/src/entry/respond.rs
+++ b/crates/mesh/src/entry/respond.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Builds the responses to callers.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 use crate::wire::End;
 
-/// Shortest pause that callers are asked for: two of them at once would come
-/// back together.
-const LEAST_PAUSE: Duration = Duration::from_millis(5);
+/// Shortest retry delay given to callers. Without it, callers refused at the same time would
+/// retry at the same time.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// What a call ended with. `is_last` closes the caller's connection after it.
-pub(super) fn ended(end: &End, is_last: bool) -> Response {
+/// The response to a call that has completed. `is_last` closes the caller's connection after it.
+pub(super) fn completed(end: &End, is_last: bool) -> Response {
     match end {
         End::Answered(answer) => answered(answer, is_last),
         End::Refused(refusal) => refused(refusal, is_last),
@@ -21,20 +21,20 @@
 
 fn answered(answer: &Answer, is_last: bool) -> Response {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
-    let mut res = build(status, is_last);
+    let mut res = builder(status, is_last);
     for header in &answer.headers {
         res.header(header.name.as_str(), header.value.as_slice());
     }
     res.body(answer.body.clone())
 }
 
-/// An ending without the target's answer.
+/// The response to a call without an answer of its target.
 pub(super) fn refused(refusal: &Refusal, is_last: bool) -> Response {
-    let mut res = build(status(refusal), is_last);
+    let mut res = builder(status(refusal), is_last);
     if refusal.outcome() == Outcome::NotRun
         && let Some(pause) = refusal.retry_after
     {
-        let seconds = pause.max(LEAST_PAUSE).as_secs_f64();
+        let seconds = pause.max(MIN_RETRY_DELAY).as_secs_f64();
         res.header("retry-after", format!("{seconds:.3}"));
     }
     if refusal.reason == Reason::Unauthenticated {
@@ -43,7 +43,7 @@
     res.finish()
 }
 
-fn build(status: StatusCode, is_last: bool) -> ResponseBuilder {
+fn builder(status: StatusCode, is_last: bool) -> ResponseBuilder {
     let mut res = Response::build(status);
     if is_last {
         res.force_close();
--- a/crates/mesh/src/entry/throttle.rs
+++ b/crates/mesh/src/entry/throttle.rs
@@ -1,4 +1,4 @@
-//! Refuses calls of routes whose targets mostly fail.
+//! Refuses calls of routes whose targets fail most calls.
 
 use rand::RngExt;
 use stoatstep_calls::{Reason, Refusal, Throttle};
@@ -11,12 +11,12 @@
 use crate::node::Node;
 use crate::wire::End;
 
-/// Pause asked for, as a part of the time to the latency objective: whoever comes back
-/// after it can still be answered in time.
-const PAUSE_SHARE: f64 = 0.25;
+/// Retry delay as a share of the time left to the latency objective, so that a retry can
+/// still be answered in time.
+const RETRY_DELAY_SHARE: f64 = 0.25;
 
-/// Whether a call is let through. Where too many routes are watched, the others are let
-/// through unwatched.
+/// Whether the throttle admits a call. Calls of routes beyond the limit on tracked routes
+/// are always admitted.
 pub(super) fn admits(node: &Node, call: &Call) -> bool {
     if !node.cfg.has(Mechanism::Throttle) {
         return true;
@@ -29,46 +29,46 @@
         return true;
     }
     let throttle = throttles.entry(route.clone()).or_default();
-    let is_let_through = throttle.admits(draw, node.clock.now());
+    let is_admitted = throttle.admits(draw, node.clock.now());
     let seen = *throttle;
     drop(tables);
-    if !is_let_through {
-        note_refused(node, call, &seen);
+    if !is_admitted {
+        log_refused(node, call, &seen);
     }
-    is_let_through
+    is_admitted
 }
 
-fn note_refused(node: &Node, call: &Call, seen: &Throttle) {
-    if let Some(left_out) = node.journal.admits("throttle", node.clock.now()) {
+fn log_refused(node: &Node, call: &Call, seen: &Throttle) {
+    if let Some(suppressed) = node.journal.admits("throttle", node.clock.now()) {
         slog::info!(node.log, "route throttled";
             fields::REQUEST => %call.parts.request_id, fields::ROUTE => %call.parts.route,
             fields::ASKED => seen.asked(), fields::GOOD => seen.ended_well(),
-            fields::LEFT_OUT => left_out);
+            fields::LEFT_OUT => suppressed);
     }
 }
 
-/// What a call that is not let through ends with.
+/// The end of a call that the throttle refuses.
 pub(super) fn refused(node: &Node, call: &Call) -> Carried {
     let left = call.objective.saturating_sub(node.clock.now());
-    let pause = left.mul_f64(PAUSE_SHARE);
-    Carried::refused(Refusal::retry(Reason::Throttled, pause))
+    let delay = left.mul_f64(RETRY_DELAY_SHARE);
+    Carried::refused(Refusal::retry(Reason::Throttled, delay))
 }
 
-/// The caller of a call that was let through left before its end.
+/// Stops counting an admitted call whose caller disconnected before its end.
 ///
-/// A target that makes two calls at once gives up the second where the first is
-/// refused. Were such calls to count like failures, a route that is shut would stay
-/// so: hardly a pair is let through whole, and of the others nothing ends well.
-pub(super) fn left(node: &Node, call: &Call) {
+/// A target that makes two calls at once abandons the second if the first is refused. If
+/// such calls counted as failures, a throttled route would stay throttled: both calls of a
+/// pair are hardly ever admitted, and of the other pairs no call succeeds.
+pub(super) fn caller_left(node: &Node, call: &Call) {
     let mut tables = node.entry.tables.borrow_mut();
     if let Some(throttle) = tables.throttles.get_mut(&call.parts.route) {
         throttle.unknown();
     }
 }
 
-/// Learns from how a call ended. A call that was refused says nothing about what
-/// its target would have done.
-pub(super) fn note(node: &Node, call: &Call, end: &End) {
+/// Records how an admitted call ended. A refused call says nothing about its target and is
+/// not counted.
+pub(super) fn record(node: &Node, call: &Call, end: &End) {
     let now = node.clock.now();
     let mut tables = node.entry.tables.borrow_mut();
     let Some(throttle) = tables.throttles.get_mut(&call.parts.route) else {
