--- a/crates/mesh/src/entry/carry.rs
+++ b/crates/mesh/src/entry/forward.rs
@@ -10,8 +10,8 @@
 use super::Tables;
 use super::attempt::{self, AttemptOutcome};
 use super::call::Call;
-use super::divided::TrafficSplit;
 use super::probes;
+use super::traffic_split::TrafficSplit;
 use crate::fleet::Place;
 use crate::identity;
 use crate::journal::Times;
@@ -40,7 +40,7 @@
 const BUDGET_DIVISOR: u32 = 2;
 
 /// How a call ended, after all of its attempts.
-pub(super) struct Carried {
+pub(super) struct CompletedCall {
     pub(super) end: End,
     /// Time in queues and at targets. The total is filled in by the caller.
     pub(super) times: Times,
@@ -50,7 +50,7 @@
 }
 
 /// Makes attempts until the call has an answer or must not be tried again.
-pub(super) async fn carry(node: &Rc<Node>, call: &Call) -> Carried {
+pub(super) async fn forward(node: &Rc<Node>, call: &Call) -> CompletedCall {
     let mut history = AttemptHistory::default();
     let mut split = TrafficSplit::draw(node, call);
     earn_retries(node, call);
@@ -92,7 +92,7 @@
     best: Option<End>,
 }
 
-impl Carried {
+impl CompletedCall {
     /// A call that was refused before any attempt.
     pub(super) fn refused(refusal: Refusal) -> Self {
         Self {
@@ -120,9 +120,9 @@
         }
     }
 
-    fn finish(self) -> Carried {
+    fn finish(self) -> CompletedCall {
         let no_target = || End::Refused(Refusal::retry(Reason::NoUpstream, UNREACHABLE_RETRY));
-        Carried {
+        CompletedCall {
             end: self.best.unwrap_or_else(no_target),
             times: self.times,
             attempts: self.tried.len(),
--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -3,12 +3,12 @@
 
 mod attempt;
 mod call;
-mod carry;
-mod divided;
+mod forward;
 mod probes;
 mod quota;
 mod respond;
 mod throttle;
+mod traffic_split;
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -32,7 +32,7 @@
 use crate::quarantine;
 use crate::wire::End;
 use call::Call;
-use carry::Carried;
+use forward::CompletedCall;
 
 /// Limit on the routes for which statistics are kept. The callers of one daemon use a few
 /// dozen.
@@ -97,33 +97,33 @@
             return respond::refused(&refusal, node.is_leaving());
         }
     };
-    let carried = if throttle::admits(node, &call) {
+    let completed = if throttle::admits(node, &call) {
         let mut guard = CallerLeftGuard::new(node, &call, begun);
-        let carried = forward_with_quota(node, &call).await;
+        let completed = forward_with_quota(node, &call).await;
         guard.has_ended = true;
-        throttle::record(node, &call, &carried.end);
-        carried
+        throttle::record(node, &call, &completed.end);
+        completed
     } else {
         throttle::refused(node, &call)
     };
-    record_call(node, &call, &carried, begun);
-    respond::completed(&carried.end, node.is_leaving())
+    record_call(node, &call, &completed, begun);
+    respond::completed(&completed.end, node.is_leaving())
 }
 
 /// Charges the call to its customer's quota and forwards it if the quota allows. The
 /// charge is refunded if the call did not run.
-async fn forward_with_quota(node: &Rc<Node>, call: &Call) -> Carried {
+async fn forward_with_quota(node: &Rc<Node>, call: &Call) -> CompletedCall {
     let charge = match quota::charge(node, call).await {
         Ok(charge) => charge,
-        Err(refusal) => return Carried::refused(refusal),
+        Err(refusal) => return CompletedCall::refused(refusal),
     };
-    let carried = carry::carry(node, call).await;
-    if let End::Refused(refusal) = &carried.end
+    let completed = forward::forward(node, call).await;
+    if let End::Refused(refusal) = &completed.end
         && refusal.outcome() == Outcome::NotRun
     {
         charge.refund(node);
     }
-    carried
+    completed
 }
 
 /// Guard of a call that the throttle admitted. If it is dropped before the call has record_call,
@@ -159,43 +159,43 @@
 }
 
 /// Records a call that has ended in the log, the metrics and the route's statistics.
-fn record_call(node: &Rc<Node>, call: &Call, carried: &Carried, begun: Time) {
+fn record_call(node: &Rc<Node>, call: &Call, completed: &CompletedCall, begun: Time) {
     let now = node.clock.now();
-    if carried.end.is_success() {
+    if completed.end.is_success() {
         quarantine::answered(node, &call.parts);
     }
     let ended = CallEnded {
         call: &call.parts,
-        end: &carried.end,
+        end: &completed.end,
         version: call.version,
         given: call.deadline.left(begun),
         objective: call.objective.saturating_sub(begun),
         times: Times {
             total: now.saturating_sub(begun),
-            ..carried.times
+            ..completed.times
         },
-        attempts: carried.attempts,
-        placed: carried.placed.clone(),
+        attempts: completed.attempts,
+        placed: completed.placed.clone(),
     };
     node.journal.call_ended(&ended, now);
-    record_answer(node, call, carried);
+    record_answer(node, call, completed);
 }
 
 /// Updates the statistics of the route's answers. Failures are skipped because they are
 /// short whatever the route, and calls with several attempts because their run times are
 /// summed.
-fn record_answer(node: &Node, call: &Call, carried: &Carried) {
-    let End::Answered(answer) = &carried.end else {
+fn record_answer(node: &Node, call: &Call, completed: &CompletedCall) {
+    let End::Answered(answer) = &completed.end else {
         return;
     };
-    if answer.is_failure() || carried.attempts > 1 {
+    if answer.is_failure() || completed.attempts > 1 {
         return;
     }
     let answers = &mut node.entry.tables.borrow_mut().answers;
     let route = &call.parts.route;
     if answers.len() < MAX_ROUTES || answers.contains_key(route) {
         let seen = answers.entry(route.clone()).or_default();
-        seen.record(answer.body.len(), carried.times.target);
+        seen.record(answer.body.len(), completed.times.target);
     }
 }
 
--- a/crates/mesh/src/entry/throttle.rs
+++ b/crates/mesh/src/entry/throttle.rs
@@ -6,7 +6,7 @@
 
 use super::MAX_ROUTES;
 use super::call::Call;
-use super::carry::Carried;
+use super::forward::CompletedCall;
 use crate::mechanism::Mechanism;
 use crate::node::Node;
 use crate::wire::End;
@@ -48,10 +48,10 @@
 }
 
 /// The end of a call that the throttle refuses.
-pub(super) fn refused(node: &Node, call: &Call) -> Carried {
+pub(super) fn refused(node: &Node, call: &Call) -> CompletedCall {
     let left = call.objective.saturating_sub(node.clock.now());
     let delay = left.mul_f64(RETRY_DELAY_SHARE);
-    Carried::refused(Refusal::retry(Reason::Throttled, delay))
+    CompletedCall::refused(Refusal::retry(Reason::Throttled, delay))
 }
 
 /// Stops counting an admitted call whose caller disconnected before its end.
