--- a/crates/mesh/src/executor/confirm.rs
+++ b/crates/mesh/src/executor/confirm.rs
@@ -1,8 +1,8 @@
-//! Asking the target itself whether it takes calls, before the first one goes to
-//! a life of it that is new to this process.
+//! Confirms by a health request that a generation of the target accepts calls, before the
+//! first call is sent to it by this process.
 //!
-//! Heartbeats alone cannot tell: one that was sent before a good-bye may arrive
-//! after it, at a process that has just started and knows of neither.
+//! Heartbeats alone are not enough: one that was sent before the target deregistered may
+//! arrive after it, at a daemon that has just started and knows of neither.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,61 +13,63 @@
 use stoatstep_telemetry::fields;
 use tokio::time::timeout;
 
-use super::learn;
 use super::target::Health;
+use super::update_target;
 use crate::fleet::gossip;
 use crate::node::Node;
 
-/// Time for the target to answer. It queues the question behind the runs of the
-/// process before this one; those that last longer are asked for again.
-const ANSWER_BOUND: Duration = Duration::from_secs(1);
+/// Time limit for the health request. The target may queue it behind runs that the previous
+/// process of this daemon started; if those last longer, the request is repeated.
+const HEALTH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks, where a life of the target waits for it. Called at each heartbeat and at
-/// each tick, so that a question without an answer is put again.
+/// Sends a health request if a generation of the target is unconfirmed. Called at each
+/// heartbeat and at each tick, so that a request without an answer is repeated.
 pub(crate) fn ask_target(node: &Rc<Node>) {
-    if node.executor.is_asking.get() {
+    if node.executor.is_confirming.get() {
         return;
     }
     let now = node.clock.now();
     let tables = node.executor.tables.borrow();
-    let Some(beat) = tables.upstream.unconfirmed(now).cloned() else {
+    let Some(beat) = tables.local_target.unconfirmed(now).cloned() else {
         return;
     };
     drop(tables);
-    // Without a configuration no call comes here either.
+    // Without a configuration the path is unknown, and no call comes here either.
     let Some(path) = health_path(node, &beat.service) else {
         return;
     };
-    node.executor.is_asking.set(true);
+    node.executor.is_confirming.set(true);
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
-        let health = timeout(ANSWER_BOUND, node.executor.target.health(&path)).await;
-        node.executor.is_asking.set(false);
-        take_in(&node, &beat, health.ok().flatten());
+        let health = timeout(HEALTH_TIMEOUT, node.executor.target.health(&path)).await;
+        node.executor.is_confirming.set(false);
+        apply_health(&node, &beat, health.ok().flatten());
         gossip::target_changed(&node);
     });
 }
 
-/// The path that the configuration in force names for the service.
+/// The health path of the service in the active configuration, or the default one. `None`
+/// without a configuration.
 fn health_path(node: &Node, service: &SmolStr) -> Option<SmolStr> {
     let in_force = node.fleet.in_force()?;
     let path = in_force.service(service).map(Service::health_path);
     Some(path.unwrap_or(HEALTH_PATH).into())
 }
 
-fn take_in(node: &Node, beat: &Heartbeat, health: Option<Health>) {
+/// Confirms the generation if it answered the health request itself and with a success.
+fn apply_health(node: &Node, beat: &Heartbeat, health: Option<Health>) {
     let asked = &beat.upstream;
     let actual = health.as_ref().and_then(|it| it.upstream.clone());
     let status = health.as_ref().map(|it| it.status.as_u16());
     if let Some(actual) = &actual {
-        learn(node, |target, _| target.answered_as(asked, actual));
+        update_target(node, |target, _| target.answered_as(asked, actual));
     }
-    let is_well = health.is_some_and(|it| it.status.is_success());
-    if is_well && actual.as_deref() == Some(id_of_life(asked)) {
-        learn(node, |target, _| target.confirm(asked));
+    let is_healthy = health.is_some_and(|it| it.status.is_success());
+    if is_healthy && actual.as_deref() == Some(id_of_life(asked)) {
+        update_target(node, |target, _| target.confirm(asked));
         return;
     }
-    let Some(left_out) = node
+    let Some(suppressed) = node
         .journal
         .admits("target not confirmed", node.clock.now())
     else {
@@ -75,5 +77,5 @@
     };
     slog::warn!(node.log, "target not confirmed"; fields::UPSTREAM => %asked,
         fields::SEQUENCE => beat.sequence, fields::STATUS => status,
-        fields::ANSWERED_AS => actual.as_deref(), fields::LEFT_OUT => left_out);
+        fields::ANSWERED_AS => actual.as_deref(), fields::LEFT_OUT => suppressed);
 }
--- a/crates/mesh/src/executor/heard.rs
+++ b/crates/mesh/src/executor/heard.rs
@@ -1,4 +1,5 @@
-//! What the target says of itself, and what follows for the calls that wait for it.
+//! Heartbeats and deregistration of the target, and what follows for the calls that wait
+//! for it.
 
 use std::rc::Rc;
 
@@ -9,14 +10,14 @@
 use super::{ask_target, slot};
 use crate::node::Node;
 
-/// Takes in a heartbeat of the target. Once it returns, no call is sent to a
-/// target that drains, so that its drain may be acked.
+/// Processes a heartbeat of the target. If it says that the target drains, no call is sent
+/// to the target after this returns, so that the drain may be acknowledged.
 pub(crate) fn hear(node: &Rc<Node>, beat: Heartbeat) -> Heard {
-    if !names_known_service(node, &beat) {
+    if !has_known_service(node, &beat) {
         return Heard::UnknownService;
     }
     let slots = beat.slots;
-    let heard = learn(node, |target, now| target.hear(beat, now));
+    let heard = update_target(node, |target, now| target.hear(beat, now));
     if heard == Heard::Taken {
         node.executor.tables.borrow_mut().queue.set_slots(slots);
     }
@@ -24,54 +25,62 @@
     heard
 }
 
-/// Whether the configuration has the service. Before there is one every service may
-/// be; without the check, one heartbeat of another writer under the target's id would
-/// take the target out of its service until the next of its own.
-fn names_known_service(node: &Node, beat: &Heartbeat) -> bool {
+/// Whether the active configuration has the service of the heartbeat. Without a
+/// configuration every service is accepted. Without this check, a heartbeat that another
+/// process sends under the target's id would take the target out of its service until the
+/// target's next heartbeat.
+fn has_known_service(node: &Node, beat: &Heartbeat) -> bool {
     let Some(in_force) = node.fleet.in_force() else {
         return true;
     };
     in_force.service(&beat.service).is_some()
 }
 
-/// The target said good-bye under this id.
+/// Deregisters the target that has this id, or the generation of it that started at `born`.
 pub(crate) fn target_left(node: &Node, id: &str, born: Option<Birth>) {
-    let life = node.executor.tables.borrow().upstream.life_meant(id, born);
+    let life = node
+        .executor
+        .tables
+        .borrow()
+        .local_target
+        .life_meant(id, born);
     leave(node, &life);
 }
 
-/// A life of the target said good-bye, here or to the process before this one.
+/// Marks a generation of the target as leaving. It deregistered at this process or at the
+/// previous one.
 pub(crate) fn leave(node: &Node, upstream: &str) {
-    let is_news = learn(node, |target, _| target.leave(upstream));
-    if is_news {
+    let is_new = update_target(node, |target, _| target.leave(upstream));
+    if is_new {
         slog::info!(node.log, "target leaves"; fields::UPSTREAM => upstream);
     }
 }
 
-/// Has `change` act on what is known of the target, and on the queue what follows
-/// from it.
-pub(super) fn learn<T>(
+/// Applies `change` to the state of the target. Closes idle connections if the target is
+/// another one afterwards, and empties the queue if it does not accept calls.
+pub(super) fn update_target<T>(
     node: &Node,
     change: impl FnOnce(&mut LocalTarget, stoatstep_calls::Time) -> T,
 ) -> T {
     let now = node.clock.now();
     let mut tables = node.executor.tables.borrow_mut();
-    let before = tables.upstream.admits(now).cloned();
-    let learned = change(&mut tables.upstream, now);
-    let after = tables.upstream.admits(now).cloned();
+    let before = tables.local_target.admits(now).cloned();
+    let result = change(&mut tables.local_target, now);
+    let after = tables.local_target.admits(now).cloned();
     drop(tables);
     if let Some(change) = changed_target(before, after) {
-        // Idle connections led to the life before, if they lead anywhere.
-        node.executor.target.forget_connections();
+        // Idle connections belong to the previous generation, if they are open at all.
+        node.executor.target.close_idle();
         slog::info!(node.log, "target"; fields::UPSTREAM => %change.upstream,
             fields::SERVICE => %change.service, fields::SLOTS => change.slots,
             fields::SEQUENCE => change.sequence, fields::DRAINING => change.draining);
     }
-    flush_if_closed(node);
-    learned
+    flush_if_not_accepting(node);
+    result
 }
 
-/// The target that is announced now, where another one or none was before.
+/// The target that accepts calls now if that has changed; if none does, the previous one,
+/// marked as draining.
 fn changed_target(before: Option<Heartbeat>, after: Option<Heartbeat>) -> Option<Heartbeat> {
     let id = |beat: &Option<Heartbeat>| beat.as_ref().map(|it| it.upstream.clone());
     if id(&before) == id(&after) {
@@ -83,12 +92,18 @@
     }))
 }
 
-/// What waits for a target that takes no new calls is better off elsewhere, and
-/// must not be sent to it after its drain was acked.
-fn flush_if_closed(node: &Node) {
+/// Refuses the waiting calls if the target accepts no new ones. They are served sooner
+/// elsewhere, and must not be sent to the target after its drain was acknowledged.
+fn flush_if_not_accepting(node: &Node) {
     let now = node.clock.now();
-    let is_open = node.executor.tables.borrow().upstream.admits(now).is_some();
-    if !is_open {
+    let accepts_calls = node
+        .executor
+        .tables
+        .borrow()
+        .local_target
+        .admits(now)
+        .is_some();
+    if !accepts_calls {
         slot::flush(node, Reason::Draining);
     }
 }
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -1,8 +1,8 @@
-//! The executor: runs attempts of entries on the target beside this daemon.
+//! The executor: runs the attempts of entries on the target beside this daemon.
 //!
-//! Only this daemon talks to that target. So at most one run of an attempt, no
-//! call after the target's drain, and no more calls than it has slots are
-//! decided here, against what entries believe.
+//! No other daemon sends calls to that target. The executor therefore enforces, whatever
+//! the entries assume, that an attempt runs at most once, that no call is sent after the
+//! target's drain, and that no more calls run than the target has slots.
 
 mod answers;
 mod confirm;
@@ -35,61 +35,66 @@
 use crate::quarantine;
 use crate::wire::{Attempt, CallParts, End, Ran, WireSettled};
 pub(crate) use confirm::ask_target;
-use heard::learn;
+use heard::update_target;
 pub(crate) use heard::{hear, leave, target_left};
 use target::Target;
 
-/// Slots of the target until it has said how many it has.
+/// Slots of the target until its first heartbeat states their number.
 const SLOTS_UNKNOWN: u32 = 1;
 
-/// Pause asked for where the queue itself had to give up a call.
+/// Retry delay for a call that left the queue without a decision or too late to be run.
 const QUEUE_RETRY: Duration = Duration::from_millis(50);
 
-/// Pause after which another executor has heard of a drain.
+/// Retry delay for a call sent to a target that is not the one meant or does not accept it
+/// any more. By then its entry has most likely learned of the change.
 const DRAINING_RETRY: Duration = Duration::from_millis(50);
 
-/// Pause after which an entry has heard of a roll-out's step.
+/// Retry delay for a call held back by a roll-out. By then its entry has most likely learned
+/// of the roll-out's step.
 const HELD_RETRY: Duration = Duration::from_millis(50);
 
-/// Time in which an entry whose link broke comes back for its attempts. After
-/// it the runs that may be repeated are cancelled: nobody waits for them.
-const ORPHANED_FOR: Duration = Duration::from_millis(300);
+/// Time for an entry whose link broke to ask for its attempts over another link. After it,
+/// the idempotent ones that nobody asked for are cancelled.
+const REJOIN_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// Bytes of answers kept for entries whose links broke: ten seconds of answers
-/// of 2 KB at 50 calls a second. They are asked for within a second or never.
+/// Bytes of answers kept for entries whose links broke: ten seconds of answers of 2 KB at
+/// 50 calls a second. An entry asks for an answer within a second or never.
 const KEPT_ANSWER_BYTES: usize = 1 << 20;
 
-/// The executor's tables and its way to the target.
+/// The executor's state and its HTTP client for the target.
 pub(crate) struct Executor {
     tables: RefCell<Tables>,
     target: Target,
-    /// The target is being asked whether it takes calls.
-    is_asking: Cell<bool>,
+    /// Whether a health request to the target is in progress.
+    is_confirming: Cell<bool>,
 }
 
 struct Tables {
+    /// Which attempts have run, so that none runs twice.
     ledger: Ledger,
     queue: Queue,
+    /// Wakes the attempts that wait in the queue, with the queue's decision.
     waiting: HashMap<AttemptId, oneshot::Sender<Result<(), Refusal>>>,
     runs: BTreeMap<AttemptId, Run>,
-    upstream: LocalTarget,
-    /// What the answers of each route that runs here are like.
+    /// What the target's heartbeats and answers say about it.
+    local_target: LocalTarget,
+    /// Sizes and run times of the answers of each route that runs here.
     answers: HashMap<RouteName, Answers>,
-    /// How runs ended since the newest order for a roll-out of the service.
+    /// How runs ended since the newest roll-out order of the target's service.
     tally: Tally,
-    /// The last life of the target that was seen to end.
+    /// The last generation of the target whose process was seen to end.
     ended: Option<UpstreamName>,
-    /// What the target answered lately.
+    /// Requests that the target answered recently.
     recent: RecentAnswers,
 }
 
-/// A run that goes on.
+/// An attempt that waits for a slot or runs.
 struct Run {
     cancel: Option<oneshot::Sender<()>>,
     call: Rc<CallParts>,
-    /// The life of the target that it was handed to; none while it waits for a slot.
-    at: Option<UpstreamName>,
-    /// Wakes those that wait for its end.
+    /// The generation of the target to which it was sent; none while it waits for a slot.
+    upstream: Option<UpstreamName>,
+    /// Wakes the tasks that wait for its end.
     waiters: Vec<oneshot::Sender<()>>,
 }
 
@@ -105,7 +110,7 @@
             queue: Queue::new(SLOTS_UNKNOWN),
             waiting: HashMap::new(),
             runs: BTreeMap::new(),
-            upstream: LocalTarget::new(cfg.heartbeat),
+            local_target: LocalTarget::new(cfg.heartbeat),
             answers: HashMap::new(),
             tally: Tally::default(),
             ended: None,
@@ -114,18 +119,18 @@
         Self {
             tables: RefCell::new(tables),
             target: Target::new(cfg.addresses.target, &cfg.dialect, clock, log),
-            is_asking: Cell::new(false),
+            is_confirming: Cell::new(false),
         }
     }
 
-    /// A ticket for attempts of this daemon's own entry.
+    /// A ticket for attempts of this daemon's entry.
     pub(crate) fn ticket(&self, now: stoatstep_calls::Time) -> Ticket {
         self.tables.borrow().ledger.ticket(now)
     }
 
-    /// The service of the target, if one was ever heard of.
+    /// The service of the target, if it ever sent a heartbeat.
     pub(crate) fn service(&self) -> Option<ServiceName> {
-        self.tables.borrow().upstream.service().cloned()
+        self.tables.borrow().local_target.service().cloned()
     }
 
     /// How occupied the target is.
@@ -133,25 +138,29 @@
         self.tables.borrow().queue.occupancy()
     }
 
-    /// Whether calls go to the target.
+    /// Whether the target accepts calls now.
     pub(crate) fn takes_calls(&self, now: stoatstep_calls::Time) -> bool {
-        self.tables.borrow().upstream.admits(now).is_some()
+        self.tables.borrow().local_target.admits(now).is_some()
     }
 
-    /// The present life of the target, if one was ever heard of.
+    /// The present generation of the target, if it ever sent a heartbeat.
     pub(crate) fn upstream(&self) -> Option<UpstreamName> {
-        self.tables.borrow().upstream.life().cloned()
+        self.tables.borrow().local_target.life().cloned()
     }
 
-    /// An order for a roll-out of this service was heard of.
+    /// Starts counting runs for a roll-out order, if the target belongs to its service.
     pub(crate) fn begin_tally(&self, service: &str, order: OrderId) {
         let mut tables = self.tables.borrow_mut();
-        if tables.upstream.service().is_some_and(|it| it == service) {
+        if tables
+            .local_target
+            .service()
+            .is_some_and(|it| it == service)
+        {
             tables.tally.begin(order);
         }
     }
 
-    /// How the target's runs ended since the order.
+    /// How the target's runs ended since the roll-out order.
     pub(crate) fn evidence(
         &self,
         service: &str,
@@ -166,13 +175,13 @@
             .evidence(occupancy.running + occupancy.queued, now)
     }
 
-    /// What peers are told about the target.
+    /// What peers are told about the target, if anything.
     pub(crate) fn announced(&self, now: stoatstep_calls::Time) -> Option<Announced> {
-        self.tables.borrow().upstream.announced(now)
+        self.tables.borrow().local_target.announced(now)
     }
 }
 
-/// How occupied the target and the instance's link are, for entries.
+/// Occupancy of the target and of the instance's uplink, as entries need it for placement.
 pub(crate) fn occupancy(node: &Node) -> Occupancy {
     Occupancy {
         link_backlog: node.uplink.read(Uplink::backlog),
@@ -181,30 +190,30 @@
     }
 }
 
-/// How an attempt came, and its answer goes.
+/// Where an attempt came from, and where its answer goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Way {
-    /// From this daemon's own entry; its answer does not leave the instance.
+    /// This daemon's entry. The answer does not leave the instance.
     Local,
-    /// Over a link.
+    /// Another daemon, over a link.
     Link,
 }
 
-/// Runs one attempt. Also the way of an entry to its own target.
+/// Runs one attempt of this daemon's entry to its end.
 pub(crate) async fn execute(node: &Rc<Node>, attempt: Attempt) -> Ran {
     ended(node, begin(node, attempt, Way::Local)).await
 }
 
-/// An attempt that was taken, or what it ended with at once.
+/// An attempt that was accepted, or the result of one that was refused at once.
 pub(crate) type Begun = Result<oneshot::Receiver<Ran>, Box<Ran>>;
 
-/// Takes an attempt. From here on it can be cancelled, though nothing of it may
-/// have been done yet: word that its caller left can be the very next message.
+/// Accepts an attempt. When this returns it can be cancelled, even though it has not run
+/// yet: the next message on its link may be the cancellation.
 pub(crate) fn begin(node: &Rc<Node>, attempt: Attempt, way: Way) -> Begun {
-    match arrive(node, &attempt, way) {
+    match admit(node, &attempt, way) {
         Ok(()) => {
             if way == Way::Link {
-                answers::expect(node, &attempt);
+                answers::expect_answer(node, &attempt);
             }
             Ok(run::start(node, attempt))
         }
@@ -212,25 +221,28 @@
     }
 }
 
-/// What an attempt ends with.
+/// Waits for the result of an attempt.
 pub(crate) async fn ended(node: &Node, begun: Begun) -> Ran {
     match begun {
-        Ok(ended) => ended.await.unwrap_or_else(|_| run::refused(node, lost())),
+        Ok(ended) => ended
+            .await
+            .unwrap_or_else(|_| run::refused(node, lost_answer())),
         Err(ran) => *ran,
     }
 }
 
-fn arrive(node: &Node, attempt: &Attempt, way: Way) -> Result<(), End> {
+/// Checks whether the attempt may run here, and records it in the ledger.
+fn admit(node: &Node, attempt: &Attempt, way: Way) -> Result<(), End> {
     let now = node.clock.now();
     if let Some(refusal) = quarantine::refusal(node, &attempt.call) {
         return Err(End::Refused(refusal));
     }
     let mut tables = node.executor.tables.borrow_mut();
-    let present = tables.upstream.admits(now);
-    let is_meant = present
+    let present = tables.local_target.admits(now);
+    let is_right_target = present
         .is_some_and(|it| it.upstream == attempt.upstream && it.service == attempt.call.service);
     let expires = Deadline::after(attempt.left, now).expires();
-    if !is_meant || !node.departure.get().takes(expires, now) {
+    if !is_right_target || !node.departure.get().takes(expires, now) {
         let refusal = Refusal::retry(Reason::Draining, DRAINING_RETRY);
         return Err(End::Refused(refusal));
     }
@@ -243,22 +255,22 @@
         return Err(End::Refused(refusal));
     }
     if way == Way::Link {
-        answers::fits_link(node, &tables, attempt)?;
+        answers::check_uplink(node, &tables, attempt)?;
     }
     match tables.ledger.arrive(attempt.id, attempt.ticket, now) {
         Arrival::New => Ok(()),
         Arrival::Refused(refusal) => Err(End::Refused(refusal)),
         Arrival::Seen(Settled::Done(answer)) => Err(End::Answered(answer)),
-        Arrival::Seen(_) => Err(lost()),
+        Arrival::Seen(_) => Err(lost_answer()),
     }
 }
 
-fn lost() -> End {
+fn lost_answer() -> End {
     End::Refused(Refusal::permanent(Reason::LostAnswer))
 }
 
-/// Nobody waits for the attempt any more. What has not started never will; a run
-/// that may not be repeated goes on, since breaking it off half-way helps nobody.
+/// Cancels an attempt for which nobody waits any more. If it has not started, it never
+/// will. A run that is not idempotent continues, since stopping it half-way helps nobody.
 pub(crate) fn cancel(node: &Node, attempt: AttemptId) {
     let mut tables = node.executor.tables.borrow_mut();
     let is_waiting = tables.waiting.contains_key(&attempt);
@@ -269,36 +281,36 @@
     }
 }
 
-/// The link over which these attempts came is gone. Their entry may come back
-/// over another one within a moment.
+/// Handles the loss of the link over which these attempts came. They are cancelled unless
+/// their entry asks for them over another link in time.
 pub(crate) fn orphaned(node: &Rc<Node>, attempts: Vec<AttemptId>) {
     if attempts.is_empty() {
         return;
     }
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
-        tokio::time::sleep(ORPHANED_FOR).await;
+        tokio::time::sleep(REJOIN_TIMEOUT).await;
         for attempt in attempts {
             let tables = node.executor.tables.borrow();
             let run = tables.runs.get(&attempt);
-            let is_wanted = run.is_some_and(|it| !it.waiters.is_empty());
+            let is_claimed = run.is_some_and(|it| !it.waiters.is_empty());
             drop(tables);
-            if !is_wanted {
+            if !is_claimed {
                 cancel(&node, attempt);
             }
         }
     });
 }
 
-/// Settles an attempt whose link was lost: what has not started never will, and
-/// the answer to what runs is waited for.
+/// Determines the outcome of an attempt whose link was lost. If it has not started, it is
+/// revoked; if it runs, its end is waited for.
 pub(crate) async fn settle(node: &Rc<Node>, attempt: AttemptId, ticket: Ticket) -> WireSettled {
     let settled = revoke(node, attempt, ticket);
     if settled != Settled::Running {
         return settled.into();
     }
     let (tx, rx) = oneshot::channel();
-    if !wake_at_end(node, attempt, tx) {
+    if !notify_at_end(node, attempt, tx) {
         return WireSettled::Unknown;
     }
     let _ = rx.await;
@@ -307,8 +319,8 @@
     tables.ledger.peek(attempt, ticket, now).into()
 }
 
-/// Has `waiter` told when the attempt's run ends; `false` where none goes on.
-fn wake_at_end(node: &Node, attempt: AttemptId, waiter: oneshot::Sender<()>) -> bool {
+/// Notifies `waiter` when the attempt's run ends. Returns `false` if it is not running.
+fn notify_at_end(node: &Node, attempt: AttemptId, waiter: oneshot::Sender<()>) -> bool {
     let mut tables = node.executor.tables.borrow_mut();
     let run = tables.runs.get_mut(&attempt);
     run.map(|run| run.waiters.push(waiter)).is_some()
@@ -320,22 +332,23 @@
     let settled = tables.ledger.revoke(attempt, ticket, now);
     drop(tables);
     if settled == Settled::NotRun {
-        // It may wait in the queue, where it would only take a place.
+        // It may still occupy a place in the queue.
         cancel(node, attempt);
     }
     settled
 }
 
-/// What the executor does from time to time.
+/// Performs the executor's periodic work.
 pub(crate) fn tick(node: &Rc<Node>) {
     let now = node.clock.now();
     node.executor.tables.borrow_mut().ledger.tick(now);
-    node.executor.target.sweep();
+    node.executor.target.close_expired();
     ask_target(node);
-    slot::pump(node);
+    slot::dispatch_waiting(node);
 }
 
-/// After a suspension the queue holds calls whose callers gave up meanwhile.
+/// Empties the queue after a suspension of the instance: the callers of the waiting calls
+/// have given up meanwhile.
 pub(crate) fn woke(node: &Node) {
     slot::flush(node, Reason::Woke);
 }
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -1,4 +1,4 @@
-//! One run of an attempt, from the queue to the record of its end.
+//! One run of an attempt, from the queue to the record of its outcome.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-use super::target::TargetEnd;
+use super::target::TargetOutcome;
 use super::{QUEUE_RETRY, Run, Tables, answers, ended, judged, slot};
 use crate::drain::InFlight;
 use crate::identity;
@@ -16,18 +16,21 @@
 use crate::quarantine;
 use crate::wire::{Attempt, End, Ran};
 
-/// Largest answer that is kept for an entry whose link broke.
-const MAX_KEPT: usize = 256 << 10;
+/// Largest answer that is kept in the ledger for an entry whose link broke.
+const MAX_KEPT_ANSWER: usize = 256 << 10;
 
-/// How a run ended, and where its time went.
-pub(super) struct Report {
+/// How a run ended, and how long it took.
+pub(super) struct RunOutcome {
     pub(super) end: End,
+    /// Whether the request reached the target, or may have.
     arrived: bool,
+    /// Time in the queue.
     in_queue: Duration,
+    /// Time at the target.
     pub(super) at_target: Duration,
 }
 
-impl Report {
+impl RunOutcome {
     fn not_started(refusal: Refusal) -> Self {
         Self {
             end: End::Refused(refusal),
@@ -38,15 +41,15 @@
     }
 }
 
-/// Starts the run as a task of its own. It outlives the link over which the
-/// attempt came: an answer whose link broke is what the ledger is for.
+/// Starts the run as a separate task, which outlives the link over which the attempt arrived_at:
+/// the ledger keeps the answer for an entry whose link broke.
 pub(super) fn start(node: &Rc<Node>, attempt: Attempt) -> oneshot::Receiver<Ran> {
     let (tx, rx) = oneshot::channel();
     let (cancel, cancelled) = oneshot::channel();
     let run = Run {
         cancel: Some(cancel),
         call: Rc::clone(&attempt.call),
-        at: None,
+        upstream: None,
         waiters: Vec::new(),
     };
     let mut tables = node.executor.tables.borrow_mut();
@@ -55,53 +58,54 @@
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
         let _in_flight = InFlight::enter(&node);
-        let report = carry_or_cancel(&node, &attempt, cancelled).await;
-        finish(&node, &attempt, &report);
-        note_failure(&node, &attempt, &report);
-        // Where the link is gone, the ledger has the end.
-        let _ = tx.send(ran(&node, report));
+        let outcome = run_or_cancel(&node, &attempt, cancelled).await;
+        finish(&node, &attempt, &outcome);
+        log_failure(&node, &attempt, &outcome);
+        // If nobody receives it because the link broke, the ledger has the outcome.
+        let _ = tx.send(ran(&node, outcome));
     });
     rx
 }
 
-/// What goes back to the entry for an attempt that did not start.
+/// The result that the entry gets for an attempt that did not start.
 pub(super) fn refused(node: &Node, end: End) -> Ran {
-    let report = Report {
+    let outcome = RunOutcome {
         end,
         arrived: false,
         in_queue: Duration::ZERO,
         at_target: Duration::ZERO,
     };
-    ran(node, report)
+    ran(node, outcome)
 }
 
-fn ran(node: &Node, report: Report) -> Ran {
+fn ran(node: &Node, outcome: RunOutcome) -> Ran {
     let now = node.clock.now();
     let tables = node.executor.tables.borrow();
     Ran {
         ticket: tables.ledger.ticket(now),
         occupancy: super::occupancy(node),
-        in_queue: report.in_queue,
-        at_target: report.at_target,
-        arrived: report.arrived,
-        end: report.end,
+        in_queue: outcome.in_queue,
+        at_target: outcome.at_target,
+        arrived: outcome.arrived,
+        end: outcome.end,
     }
 }
 
-async fn carry_or_cancel(
+async fn run_or_cancel(
     node: &Rc<Node>,
     attempt: &Attempt,
     cancelled: oneshot::Receiver<()>,
-) -> Report {
+) -> RunOutcome {
     tokio::select! {
         biased;
-        // First, or an attempt that was cancelled before it began would begin.
-        Ok(()) = cancelled => cancelled_report(node, attempt),
-        report = carry(node, attempt) => report,
+        // Checked first, so that an attempt cancelled before its start does not start.
+        Ok(()) = cancelled => cancelled_outcome(node, attempt),
+        outcome = run(node, attempt) => outcome,
     }
 }
 
-fn cancelled_report(node: &Node, attempt: &Attempt) -> Report {
+/// The outcome of a cancelled attempt, which depends on whether it had started.
+fn cancelled_outcome(node: &Node, attempt: &Attempt) -> RunOutcome {
     let now = node.clock.now();
     let tables = node.executor.tables.borrow();
     let settled = tables.ledger.peek(attempt.id, attempt.ticket, now);
@@ -111,80 +115,82 @@
     } else {
         Reason::Revoked
     };
-    Report {
+    RunOutcome {
         arrived,
-        ..Report::not_started(Refusal::permanent(reason))
+        ..RunOutcome::not_started(Refusal::permanent(reason))
     }
 }
 
-async fn carry(node: &Rc<Node>, attempt: &Attempt) -> Report {
-    let came = node.clock.now();
-    let deadline = Deadline::after(attempt.left, came);
+/// Waits for a slot, sends the request to the target and waits for its answer.
+async fn run(node: &Rc<Node>, attempt: &Attempt) -> RunOutcome {
+    let arrived_at = node.clock.now();
+    let deadline = Deadline::after(attempt.left, arrived_at);
     let slot = match slot::take(node, attempt, deadline).await {
         Ok(slot) => slot,
-        Err(refusal) => return Report::not_started(refusal),
+        Err(refusal) => return RunOutcome::not_started(refusal),
     };
     let started = node.clock.now();
     let Some(left) = deadline.for_next_hop(started) else {
         let refusal = Refusal::retry(Reason::Deadline, QUEUE_RETRY);
-        return Report::not_started(refusal);
+        return RunOutcome::not_started(refusal);
     };
     let refusal = quarantine::refusal(node, &attempt.call);
     if let Some(refusal) = refusal.or_else(|| identity::refusal(node, &attempt.call)) {
-        return Report::not_started(refusal);
+        return RunOutcome::not_started(refusal);
     }
     let suspected = quarantine::suspected(node, &attempt.call);
     if suspected.is_some_and(|it| ended::running(node, &attempt.upstream).contains(&it)) {
         node.journal.count("requests.kept_apart");
-        return Report::not_started(quarantine::refusal_beside_itself());
+        return RunOutcome::not_started(quarantine::refusal_beside_itself());
     }
     if !may_start(node, attempt) {
-        return Report::not_started(Refusal::permanent(Reason::Revoked));
+        return RunOutcome::not_started(Refusal::permanent(Reason::Revoked));
     }
     let end = timeout(left, node.executor.target.call(attempt, left)).await;
-    let end = end.unwrap_or(TargetEnd::Unknown(Reason::TimedOut));
-    if matches!(end, TargetEnd::Unknown(Reason::LostAnswer)) {
-        ended::look(node, &attempt.upstream).await;
+    let end = end.unwrap_or(TargetOutcome::Unknown(Reason::TimedOut));
+    if matches!(end, TargetOutcome::Unknown(Reason::LostAnswer)) {
+        ended::check(node, &attempt.upstream).await;
     }
-    if matches!(end, TargetEnd::Answered(_)) {
+    if matches!(end, TargetOutcome::Answered(_)) {
         slot.finish();
     }
-    Report {
-        in_queue: started.saturating_sub(came),
+    RunOutcome {
+        in_queue: started.saturating_sub(arrived_at),
         at_target: node.clock.now().saturating_sub(started),
-        ..of_target(node, attempt, end)
+        ..outcome_of_target(node, attempt, end)
     }
 }
 
-/// `false` where the attempt was revoked meanwhile: its entry was told that it did
-/// not run.
+/// Records the start of the run in the ledger. Returns `false` if the attempt was revoked
+/// meanwhile: its entry was told that it did not run.
 fn may_start(node: &Node, attempt: &Attempt) -> bool {
     let mut tables = node.executor.tables.borrow_mut();
     let may_start = tables.ledger.start(attempt.id);
     if may_start && let Some(run) = tables.runs.get_mut(&attempt.id) {
-        run.at = Some(attempt.upstream.clone());
+        run.upstream = Some(attempt.upstream.clone());
     }
     may_start
 }
 
-fn of_target(node: &Node, attempt: &Attempt, end: TargetEnd) -> Report {
+/// The outcome of a run by what the target answered.
+fn outcome_of_target(node: &Node, attempt: &Attempt, end: TargetOutcome) -> RunOutcome {
     let (end, arrived) = match end {
-        TargetEnd::Answered(answer) => (End::Answered(answer), true),
-        TargetEnd::Unknown(reason) => (End::Refused(Refusal::permanent(reason)), true),
-        TargetEnd::NotRun {
+        TargetOutcome::Answered(answer) => (End::Answered(answer), true),
+        TargetOutcome::Unknown(reason) => (End::Refused(Refusal::permanent(reason)), true),
+        TargetOutcome::NotRun {
             refusal,
             arrived,
             actual,
         } => {
             if let Some(actual) = actual {
-                super::learn(node, |target, _| {
+                super::update_target(node, |target, _| {
                     target.answered_as(&attempt.upstream, &actual);
                 });
             }
             (End::Refused(refusal), arrived)
         }
     };
-    Report {
+    RunOutcome {
         end,
         arrived,
         in_queue: Duration::ZERO,
@@ -192,8 +198,8 @@
     }
 }
 
-fn note_failure(node: &Node, attempt: &Attempt, report: &Report) {
-    let End::Refused(refusal) = &report.end else {
+fn log_failure(node: &Node, attempt: &Attempt, outcome: &RunOutcome) {
+    let End::Refused(refusal) = &outcome.end else {
         return;
     };
     let occupancy = node.executor.tables.borrow().queue.occupancy();
@@ -202,10 +208,10 @@
         attempt: attempt.id,
         upstream: &attempt.upstream,
         reason: refusal.reason,
-        arrived: report.arrived,
+        arrived: outcome.arrived,
         times: Times {
-            queue: report.in_queue,
-            target: report.at_target,
+            queue: outcome.in_queue,
+            target: outcome.at_target,
             ..Times::default()
         },
         running: occupancy.running,
@@ -214,27 +220,29 @@
     node.journal.run_failed(&failed, node.clock.now());
 }
 
-fn finish(node: &Rc<Node>, attempt: &Attempt, report: &Report) {
+/// Records the end of a run in the statistics and in the ledger, and wakes its waiters.
+fn finish(node: &Rc<Node>, attempt: &Attempt, outcome: &RunOutcome) {
     let now = node.clock.now();
     node.uplink.ended(attempt.id);
-    // A target that fails a request may do so before the step under which it ends.
-    let speaks_for_it = report.end.is_success();
-    if speaks_for_it {
+    // A failure does not clear a suspected request: the target may have failed before it
+    // got to the step that crashes it.
+    let is_success = outcome.end.is_success();
+    if is_success {
         quarantine::answered(node, &attempt.call);
     }
     let mut tables = node.executor.tables.borrow_mut();
-    if let End::Answered(answer) = &report.end
+    if let End::Answered(answer) = &outcome.end
         && !answer.is_failure()
     {
-        answers::learn(&mut tables, &attempt.call.route, answer, report.at_target);
+        answers::record(&mut tables, &attempt.call.route, answer, outcome.at_target);
     }
     if node.rollouts.is_judged(&attempt.call.service) {
-        judged::count(&mut tables, attempt, report, now);
+        judged::record_run(&mut tables, attempt, outcome, now);
     }
-    if speaks_for_it {
+    if is_success {
         tables.recent.note(attempt.call.fingerprint(), now);
     }
-    record(&mut tables, attempt, &report.end);
+    record_in_ledger(&mut tables, attempt, &outcome.end);
     let run = tables.runs.remove(&attempt.id);
     drop(tables);
     for waiter in run.into_iter().flat_map(|it| it.waiters) {
@@ -242,10 +250,10 @@
     }
 }
 
-fn record(tables: &mut Tables, attempt: &Attempt, end: &End) {
+fn record_in_ledger(tables: &mut Tables, attempt: &Attempt, end: &End) {
     let ledger = &mut tables.ledger;
     match end {
-        End::Answered(answer) if answer.weight() <= MAX_KEPT => {
+        End::Answered(answer) if answer.weight() <= MAX_KEPT_ANSWER => {
             ledger.done(attempt.id, std::sync::Arc::clone(answer));
         }
         End::Answered(_) => ledger.done_without_answer(attempt.id),
--- a/crates/mesh/src/executor/slot.rs
+++ b/crates/mesh/src/executor/slot.rs
@@ -1,4 +1,4 @@
-//! Slots of the target: waiting for one, and giving it back.
+//! Slots of the target: waits for one in the queue, and releases it.
 
 use std::rc::Rc;
 
@@ -10,8 +10,8 @@
 use crate::node::Node;
 use crate::wire::Attempt;
 
-/// A slot, or a place in the queue. Dropping it gives back whichever it is, so
-/// that a run that is cancelled at any point cannot leak a slot.
+/// Guard of a slot or a place in the queue. Dropping it releases either, so that a run that
+/// is cancelled at any point cannot leak a slot.
 pub(super) struct Slot {
     node: Rc<Node>,
     attempt: AttemptId,
@@ -19,7 +19,8 @@
 }
 
 impl Slot {
-    /// The run ended by itself: its time counts for the estimate.
+    /// Releases the slot of a run that was answered, whose time counts for the estimate of
+    /// run times.
     pub(super) fn finish(mut self) {
         self.is_measured = true;
     }
@@ -36,11 +37,11 @@
             tables.queue.release_unmeasured(self.attempt);
         }
         drop(tables);
-        pump(&self.node);
+        dispatch_waiting(&self.node);
     }
 }
 
-/// Takes a slot, waiting for it where that is worthwhile.
+/// Takes a slot, waiting for it if the queue accepts the attempt.
 pub(super) async fn take(
     node: &Rc<Node>,
     attempt: &Attempt,
@@ -59,8 +60,8 @@
         objective,
         expires: deadline.expires(),
     };
-    let (verdict, pushed_out) = offer(node, ask, now);
-    deliver(node, pushed_out);
+    let (verdict, evicted) = offer(node, ask, now);
+    deliver(node, evicted);
     if let Verdict::Refused(refusal) = verdict {
         return Err(refusal);
     }
@@ -86,18 +87,18 @@
         .borrow_mut()
         .waiting
         .insert(attempt, tx);
-    let gone = Refusal::retry(Reason::Overload, QUEUE_RETRY);
-    rx.await.unwrap_or(Err(gone))
+    let dropped = Refusal::retry(Reason::Overload, QUEUE_RETRY);
+    rx.await.unwrap_or(Err(dropped))
 }
 
-/// Starts and refuses what waits, as the queue decides now.
-pub(super) fn pump(node: &Node) {
+/// Starts or refuses waiting attempts, as the queue decides now.
+pub(super) fn dispatch_waiting(node: &Node) {
     let now = node.clock.now();
     let dispatches = node.executor.tables.borrow_mut().queue.next(now);
     deliver(node, dispatches);
 }
 
-/// Refuses all that waits.
+/// Refuses all waiting attempts.
 pub(super) fn flush(node: &Node, reason: Reason) {
     let dispatches = node.executor.tables.borrow_mut().queue.flush(reason);
     deliver(node, dispatches);
@@ -105,15 +106,15 @@
 
 fn deliver(node: &Node, dispatches: Vec<Dispatch>) {
     for dispatch in dispatches {
-        let (attempt, word) = match dispatch {
+        let (attempt, decision) = match dispatch {
             Dispatch::Run(attempt) => (attempt, Ok(())),
             Dispatch::Refused(attempt, refusal) => (attempt, Err(refusal)),
         };
         let waiting = node.executor.tables.borrow_mut().waiting.remove(&attempt);
         if let Some(tx) = waiting {
-            // Where nobody listens any more, the waiter's own slot is being
-            // dropped and gives the place back.
-            let _ = tx.send(word);
+            // If the receiver is dropped, the attempt's own guard is being dropped and
+            // releases the slot.
+            let _ = tx.send(decision);
         }
     }
 }
--- a/crates/mesh/src/executor/target.rs
+++ b/crates/mesh/src/executor/target.rs
@@ -1,4 +1,4 @@
-//! Requests to the target beside this daemon.
+//! HTTP client for the target beside this daemon.
 
 mod lifetime;
 mod pool;
@@ -25,63 +25,62 @@
 use crate::wire::Attempt;
 use pool::{Connection, Pool};
 
-/// Largest answer that is passed on. It is kept whole until its last byte, so
-/// that a broken one never looks complete.
+/// Largest answer that is forwarded. It is held back until it is complete, so that a
+/// truncated one is never forwarded.
 const MAX_ANSWER: usize = 64 << 20;
 
-/// Largest answer to a question about the target's health. Nothing of its body
-/// is read.
-const MAX_HEALTH: usize = 16 << 10;
+/// Largest body of an answer to a health request. Its content is ignored.
+const MAX_HEALTH_BODY: usize = 16 << 10;
 
-/// Pause asked for where the target refuses without saying for how long.
-const SHED_RETRY: Duration = Duration::from_millis(100);
+/// Retry delay if the target is unreachable, or refuses a request without stating a delay.
+const DEFAULT_RETRY: Duration = Duration::from_millis(100);
 
-/// How a request ended.
+/// How a request to the target ended.
 #[derive(Clone, Debug)]
-pub(super) enum TargetEnd {
+pub(super) enum TargetOutcome {
     /// The target's whole answer.
     Answered(Arc<Answer>),
     /// It did not run.
     NotRun {
         refusal: Refusal,
-        /// Whether the target got to see it.
+        /// Whether it reached the target.
         arrived: bool,
-        /// The life of the target that answered, where it is not the one meant.
+        /// The generation of the target that answered, if it is not the one meant.
         actual: Option<UpstreamName>,
     },
     /// It may have run.
     Unknown(Reason),
 }
 
-impl TargetEnd {
+impl TargetOutcome {
     fn unreachable() -> Self {
         Self::NotRun {
-            refusal: Refusal::retry(Reason::NoUpstream, SHED_RETRY),
+            refusal: Refusal::retry(Reason::NoUpstream, DEFAULT_RETRY),
             arrived: false,
             actual: None,
         }
     }
 }
 
-/// What the target says of itself.
+/// The target's answer to a health request.
 #[derive(Clone, Debug)]
 pub(super) struct Health {
-    /// A success where it takes calls.
+    /// A success status if the target accepts calls.
     pub(super) status: StatusCode,
-    /// The life that answered.
+    /// The generation that answered.
     pub(super) upstream: Option<UpstreamName>,
 }
 
-/// The target's address, the connections to it, and the names of its headers.
+/// Client for one target: its address, a connection pool and the names of its headers.
 pub(super) struct Target {
     addr: SocketAddr,
     pool: Pool,
-    names: Names,
+    names: ParsedHeaderNames,
     log: Logger,
 }
 
-/// The dialect's names in the form that the HTTP library wants.
-struct Names {
+/// The header names of the dialect, parsed for the HTTP library.
+struct ParsedHeaderNames {
     request_id: HeaderName,
     timeout_ms: HeaderName,
     caller_service: HeaderName,
@@ -92,10 +91,10 @@
     signature: HeaderName,
 }
 
-impl Names {
+impl ParsedHeaderNames {
     /// # Panics
     ///
-    /// Where a name is none that HTTP allows; names are constants of adapters.
+    /// Panics if a name is not a valid header name. The names are constants of adapters.
     fn new(dialect: &Dialect) -> Self {
         let name = |text: &SmolStr| {
             HeaderName::from_bytes(text.as_bytes()).expect("header names are valid constants")
@@ -118,16 +117,16 @@
         Self {
             addr,
             pool: Pool::new(addr, clock),
-            names: Names::new(dialect),
+            names: ParsedHeaderNames::new(dialect),
             log,
         }
     }
 
-    /// Runs an attempt. Dropping the future closes the connection, by which the
-    /// target learns that nobody waits any more.
-    pub(super) async fn call(&self, attempt: &Attempt, left: Duration) -> TargetEnd {
+    /// Sends the attempt's request and waits for the answer. Dropping the future closes_connection the
+    /// connection, which tells the target that nobody waits any more.
+    pub(super) async fn call(&self, attempt: &Attempt, left: Duration) -> TargetOutcome {
         let Some(mut req) = self.request(attempt, left) else {
-            return TargetEnd::NotRun {
+            return TargetOutcome::NotRun {
                 refusal: Refusal::permanent(Reason::BadRequest),
                 arrived: false,
                 actual: None,
@@ -135,63 +134,64 @@
         };
         loop {
             let Some(mut connection) = self.pool.take().await else {
-                return TargetEnd::unreachable();
+                return TargetOutcome::unreachable();
             };
             match connection.send(req).await {
                 Ok(res) => return self.read(attempt, connection, res).await,
-                // The target closed an idle connection just before it was used,
-                // and not a byte of the request went out.
+                // The target closed an idle connection just before it was used, and no
+                // byte of the request was sent.
                 Err(Some(unsent)) => req = unsent,
                 Err(None) => {
-                    self.note_failed(&connection);
-                    return TargetEnd::Unknown(Reason::LostAnswer);
+                    self.report_failed(&connection);
+                    return TargetOutcome::Unknown(Reason::LostAnswer);
                 }
             }
         }
     }
 
-    fn note_failed(&self, connection: &Connection) {
+    fn report_failed(&self, connection: &Connection) {
         if let Some(limit) = self.pool.failed(connection) {
             slog::info!(self.log, "target drops idle connections";
                 fields::UNUSED_AFTER_MS => limit.as_millis());
         }
     }
 
-    /// Asks the target how it is; `None` where it does not answer.
+    /// Sends a health request; `None` if the target does not answer.
     pub(super) async fn health(&self, path: &str) -> Option<Health> {
         let req = Request::get(path).header(HOST, self.addr.to_string());
         let req = req.body(Full::default()).ok()?;
         let mut connection = self.pool.take().await?;
         let (head, body) = connection.send(req).await.ok()?.into_parts();
-        let body = Limited::new(body, MAX_HEALTH).collect().await;
+        let body = Limited::new(body, MAX_HEALTH_BODY).collect().await;
         body.ok()?;
         self.pool.put_back(connection, &head.headers);
         Some(Health {
             status: head.status,
-            upstream: text(&head.headers, &self.names.upstream),
+            upstream: header_text(&head.headers, &self.names.upstream),
         })
     }
 
-    /// Whether the target's process is there to take connections; `false` only where its
-    /// instance says that nobody listens.
+    /// Whether the target's process accepts connections; `false` only if a connection is
+    /// refused.
     pub(super) async fn listens(&self) -> bool {
         self.pool.listens().await
     }
 
-    /// The same a moment later; a connection that is still open says so as well.
+    /// Whether the target's process still accepts connections, a moment after it did. An
+    /// open idle connection counts as well.
     pub(super) async fn still_listens(&self) -> bool {
         self.pool.has_open() || self.pool.listens().await
     }
 
-    /// Closes all idle connections: another life of the target has begun. A request on
-    /// one of them would be reset, and its outcome unknown.
-    pub(super) fn forget_connections(&self) {
+    /// Closes all idle connections, after another generation of the target has started. A
+    /// request on one of them would be reset and its outcome unknown.
+    pub(super) fn close_idle(&self) {
         self.pool.clear();
     }
 
     /// Closes idle connections that the target is about to close itself.
-    pub(super) fn sweep(&self) {
-        self.pool.sweep();
+    pub(super) fn close_expired(&self) {
+        self.pool.close_expired();
     }
 
     fn request(&self, attempt: &Attempt, left: Duration) -> Option<Request<Full<Bytes>>> {
@@ -205,11 +205,16 @@
             let value = HeaderValue::from_bytes(&header.value).ok()?;
             parts.headers.append(name, value);
         }
-        self.add_own(&mut parts, attempt, left)?;
+        self.add_daemon_headers(&mut parts, attempt, left)?;
         Some(Request::from_parts(parts, body))
     }
 
-    fn add_own(&self, parts: &mut Parts, attempt: &Attempt, left: Duration) -> Option<()> {
+    fn add_daemon_headers(
+        &self,
+        parts: &mut Parts,
+        attempt: &Attempt,
+        left: Duration,
+    ) -> Option<()> {
         let call = &attempt.call;
         let millis = left.as_millis().to_string();
         let own = [
@@ -233,57 +238,57 @@
         attempt: &Attempt,
         connection: Connection,
         res: Response<Incoming>,
-    ) -> TargetEnd {
+    ) -> TargetOutcome {
         let (head, body) = res.into_parts();
         let body = Limited::new(body, MAX_ANSWER).collect().await;
-        // A body that was cut short is an error here, and never a shorter body.
+        // A truncated body is an error here, never a shorter body.
         let Ok(body) = body else {
-            return TargetEnd::Unknown(Reason::LostAnswer);
+            return TargetOutcome::Unknown(Reason::LostAnswer);
         };
         let headers = &head.headers;
-        if !self.answers(attempt, headers) {
-            // An answer to an earlier request that came twice. The one to ours
-            // would follow, but nothing says which bytes belong to it.
-            return TargetEnd::Unknown(Reason::LostAnswer);
+        if !self.matches_request(attempt, headers) {
+            // A duplicate answer to an earlier request. The answer to this one would follow,
+            // but nothing tells which bytes belong to it.
+            return TargetOutcome::Unknown(Reason::LostAnswer);
         }
         let end = self.interpret(head.status, headers, &body.to_bytes());
         self.pool.put_back(connection, headers);
         end
     }
 
-    /// Whether the answer is one to this request.
-    fn answers(&self, attempt: &Attempt, headers: &HeaderMap) -> bool {
+    /// Whether the answer belongs to this request; assumed if it states no request id.
+    fn matches_request(&self, attempt: &Attempt, headers: &HeaderMap) -> bool {
         let id = headers.get(&self.names.request_id);
         id.is_none_or(|it| it.as_bytes() == attempt.call.request_id.as_bytes())
     }
 
-    fn interpret(&self, status: StatusCode, headers: &HeaderMap, body: &Bytes) -> TargetEnd {
+    fn interpret(&self, status: StatusCode, headers: &HeaderMap, body: &Bytes) -> TargetOutcome {
         let has = |name: &HeaderName| headers.contains_key(name);
-        let misdirected = status == StatusCode::MISDIRECTED_REQUEST;
-        if misdirected || has(&self.names.not_run) {
-            let reason = if misdirected {
+        let is_misdirected = status == StatusCode::MISDIRECTED_REQUEST;
+        if is_misdirected || has(&self.names.not_run) {
+            let reason = if is_misdirected {
                 Reason::NoUpstream
             } else {
                 Reason::Shed
             };
-            return TargetEnd::NotRun {
+            return TargetOutcome::NotRun {
                 refusal: Refusal::retry(reason, retry_after(headers)),
                 arrived: true,
-                actual: text(headers, &self.names.upstream).filter(|_| misdirected),
+                actual: header_text(headers, &self.names.upstream).filter(|_| is_misdirected),
             };
         }
-        let is_whole = has(&self.names.signature) && has(&self.names.request_id);
-        if status.is_success() && !is_whole {
-            return TargetEnd::Unknown(Reason::LostAnswer);
+        let is_complete = has(&self.names.signature) && has(&self.names.request_id);
+        if status.is_success() && !is_complete {
+            return TargetOutcome::Unknown(Reason::LostAnswer);
         }
-        let passed = headers
+        let forwarded = headers
             .iter()
             .filter(|(name, _)| !is_of_connection(name.as_str()));
-        let headers = passed.map(|(name, value)| Header {
+        let headers = forwarded.map(|(name, value)| Header {
             name: name.as_str().to_smolstr(),
             value: value.as_bytes().to_vec(),
         });
-        TargetEnd::Answered(Arc::new(Answer {
+        TargetOutcome::Answered(Arc::new(Answer {
             status: status.as_u16(),
             headers: headers.collect(),
             body: body.to_vec(),
@@ -291,17 +296,17 @@
     }
 }
 
-fn text(headers: &HeaderMap, name: &HeaderName) -> Option<SmolStr> {
+fn header_text(headers: &HeaderMap, name: &HeaderName) -> Option<SmolStr> {
     headers.get(name)?.to_str().ok().map(SmolStr::new)
 }
 
 fn retry_after(headers: &HeaderMap) -> Duration {
-    let seconds = text(headers, &RETRY_AFTER).and_then(|it| it.parse().ok());
+    let seconds = header_text(headers, &RETRY_AFTER).and_then(|it| it.parse().ok());
     let stated = seconds.and_then(|it| Duration::try_from_secs_f64(it).ok());
-    stated.unwrap_or(SHED_RETRY)
+    stated.unwrap_or(DEFAULT_RETRY)
 }
 
-fn closes(headers: &HeaderMap) -> bool {
+fn closes_connection(headers: &HeaderMap) -> bool {
     let connection = headers.get(CONNECTION).and_then(|it| it.to_str().ok());
     connection.is_some_and(|it| it.to_ascii_lowercase().contains("close"))
 }
--- a/crates/mesh/src/executor/target/pool.rs
+++ b/crates/mesh/src/executor/target/pool.rs
@@ -1,9 +1,9 @@
-//! Connections to the target.
+//! Connection pool for the target.
 //!
-//! The daemon's HTTP library has a client with a pool of its own, which does not
-//! tell a request that was never sent from one whose answer is lost. That
-//! difference decides whether a call may be refused as not run, so connections
-//! are held here and used one by one through a client library that tells.
+//! The client of the daemon's HTTP library has a pool, but does not distinguish a request
+//! that was never sent from one whose answer was lost. That distinction decides whether a
+//! call may be refused as not run, so this pool uses single connections of a client library
+//! that makes it.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -22,34 +22,34 @@
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
-use super::closes;
-use super::lifetime::Lifetime;
+use super::closes_connection;
+use super::lifetime::IdleLimit;
 use crate::clock::Clock;
 
-/// Time for a connection to come up. The target is on this instance; one that
-/// takes longer is hung.
+/// Time limit for connecting. The target is on this instance; if connecting takes longer,
+/// the target hangs.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Idle time after which a connection is not used again where the target does
-/// not say how long it keeps one. Many servers keep one for 5 s.
-const IDLE: Duration = Duration::from_secs(4);
+/// Idle time after which a connection is not reused if the target does not state its
+/// keep-alive timeout. Many servers keep connections for 5 s.
+const DEFAULT_IDLE: Duration = Duration::from_secs(4);
 
-/// What is kept back of the idle time that the target states: a request that
-/// meets a connection just being closed may or may not have run.
+/// Safety margin below the keep-alive timeout that the target states: a request sent on a
+/// connection that is just being closed may or may not have run.
 const IDLE_MARGIN: Duration = Duration::from_secs(1);
 
-/// Idle connections kept. As many as there are slots suffice.
+/// Limit on idle connections. As many as the target has slots are enough.
 const MAX_IDLE: usize = 256;
 
 type Req = Request<Full<Bytes>>;
 
-/// One connection. Dropping it closes it.
+/// One connection. Dropping it closes_connection it.
 pub(super) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
     idle_since: Time,
     idle_until: Time,
-    taken: Time,
+    taken_at: Time,
 }
 
 impl Connection {
@@ -68,12 +68,11 @@
             driver,
             idle_since: now,
             idle_until: now,
-            taken: now,
+            taken_at: now,
         })
     }
 
-    /// Sends a request. An error that gives the request back says that not a
-    /// byte of it was sent.
+    /// Sends a request. An error that returns the request means that no byte of it was sent.
     pub(super) async fn send(&mut self, req: Req) -> Result<Response<Incoming>, Option<Req>> {
         let sent = self.sender.try_send_request(req).await;
         sent.map_err(|mut err| err.take_message())
@@ -83,9 +82,9 @@
         now < self.idle_until && self.sender.is_ready() && !self.sender.is_closed()
     }
 
-    /// How long it had been idle when it was taken; zero for a new one.
-    fn idled(&self) -> Duration {
-        self.taken.saturating_sub(self.idle_since)
+    /// How long the connection had been idle when it was taken; zero for a new one.
+    fn idle_time_when_taken(&self) -> Duration {
+        self.taken_at.saturating_sub(self.idle_since)
     }
 }
 
@@ -95,12 +94,12 @@
     }
 }
 
-/// Idle connections, the one used last on top.
+/// Idle connections, the most recently used one last.
 pub(super) struct Pool {
     addr: SocketAddr,
     clock: Clock,
     idle: RefCell<Vec<Connection>>,
-    lifetime: Cell<Lifetime>,
+    idle_limit: Cell<IdleLimit>,
 }
 
 impl Pool {
@@ -109,16 +108,19 @@
             addr,
             clock,
             idle: RefCell::default(),
-            lifetime: Cell::default(),
+            idle_limit: Cell::default(),
         }
     }
 
-    /// An idle connection or else a new one; `None` where none comes up.
+    /// Takes an idle connection or opens a new one; `None` if connecting fails.
     pub(super) async fn take(&self) -> Option<Connection> {
         let now = self.clock.now();
         while let Some(mut connection) = self.pop() {
-            connection.taken = now;
-            let is_fresh = self.lifetime.get().allows(connection.idled(), now);
+            connection.taken_at = now;
+            let is_fresh = self
+                .idle_limit
+                .get()
+                .allows(connection.idle_time_when_taken(), now);
             if is_fresh && connection.is_usable(now) {
                 return Some(connection);
             }
@@ -126,12 +128,13 @@
         Connection::open(self.addr, &self.clock).await.ok()
     }
 
-    /// Whether somebody takes connections at the target's address. A connection that comes
-    /// up is kept for the next request, in place of the one whose loss led to the question.
+    /// Whether a process accepts connections at the target's address; `false` only if the
+    /// connection is refused. A new connection is kept for the next request, in place of the
+    /// one whose loss led to this check.
     pub(super) async fn listens(&self) -> bool {
         match Connection::open(self.addr, &self.clock).await {
             Ok(mut connection) => {
-                connection.idle_until = connection.idle_since + IDLE;
+                connection.idle_until = connection.idle_since + DEFAULT_IDLE;
                 self.keep(connection);
                 true
             }
@@ -145,20 +148,20 @@
         idle.iter().any(|it| !it.sender.is_closed())
     }
 
-    /// A connection failed after a request was sent on it. Returns the idle time
-    /// from which others are not used any more, where that tells one.
+    /// Records that a connection failed after a request was sent on it. Returns the idle time
+    /// from which connections are not reused any more, if the failure suggests one.
     pub(super) fn failed(&self, connection: &Connection) -> Option<Duration> {
         let now = self.clock.now();
-        let took = now.saturating_sub(connection.taken);
-        let mut lifetime = self.lifetime.get();
-        let limit = lifetime.failed(connection.idled(), took, now);
-        self.lifetime.set(lifetime);
+        let took = now.saturating_sub(connection.taken_at);
+        let mut idle_limit = self.idle_limit.get();
+        let limit = idle_limit.failed(connection.idle_time_when_taken(), took, now);
+        self.idle_limit.set(idle_limit);
         limit
     }
 
-    /// Keeps a connection whose answer came in whole.
+    /// Returns a connection to the pool after a complete answer.
     pub(super) fn put_back(&self, mut connection: Connection, headers: &HeaderMap) {
-        if closes(headers) {
+        if closes_connection(headers) {
             return;
         }
         connection.idle_since = self.clock.now();
@@ -173,11 +176,13 @@
         }
     }
 
+    /// Closes all idle connections.
     pub(super) fn clear(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    pub(super) fn sweep(&self) {
+    /// Closes idle connections that are expired or already closed by the target.
+    pub(super) fn close_expired(&self) {
         let now = self.clock.now();
         let mut idle = self.idle.borrow_mut();
         idle.retain(|it| now < it.idle_until && !it.sender.is_closed());
@@ -188,7 +193,8 @@
     }
 }
 
-/// The time for which the target keeps an idle connection, less a margin.
+/// The idle time for which a connection is reused: the keep-alive timeout that the target
+/// states, less the margin, or the default.
 fn idle_time(headers: &HeaderMap) -> Duration {
     let text = headers.get("keep-alive").and_then(|it| it.to_str().ok());
     let stated = text.and_then(|text| {
@@ -198,7 +204,7 @@
             .find_map(|it| it.strip_prefix("timeout="))
     });
     let seconds = stated.and_then(|it| it.parse().ok());
-    seconds.map_or(IDLE, |it| {
+    seconds.map_or(DEFAULT_IDLE, |it| {
         Duration::from_secs(it).saturating_sub(IDLE_MARGIN)
     })
 }
