--- a/crates/mesh/src/executor/answers.rs
+++ b/crates/mesh/src/executor/answers.rs
@@ -36,7 +36,7 @@
     let answers = tables.answers.get(&attempt.call.route);
     let bytes = answers.map_or(0.0, Answers::bytes);
     drop(tables);
-    node.uplink.expects(attempt.id, bytes);
+    node.uplink.expect_answer(attempt.id, bytes);
 }
 
 /// Updates the statistics of a route with an answer.
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -223,7 +223,7 @@
 /// Records the end of a run in the statistics and in the ledger, and wakes its waiters.
 fn finish(node: &Rc<Node>, attempt: &Attempt, outcome: &RunOutcome) {
     let now = node.clock.now();
-    node.uplink.ended(attempt.id);
+    node.uplink.answer_completed(attempt.id);
     // A failure does not clear a suspected request: the target may have failed before it
     // got to the step that crashes it.
     let is_success = outcome.end.is_success();
--- a/crates/mesh/src/link/dial.rs
+++ b/crates/mesh/src/link/dial.rs
@@ -1,4 +1,4 @@
-//! The end of a link that asks.
+//! The end of a link that sends requests.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -16,40 +16,39 @@
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use super::pieces::{Assembly, Outgoing};
+use super::pieces::{Outgoing, Reassembler};
 use super::uplink::SharedUplink;
 use super::{Reader, codec, decode, encode, write};
 use crate::clock::Clock;
 use crate::wire::{Ask, AskId, Reply, ToClient, ToServer};
 
-/// Time for a connection to come up. Between zones of a region it takes a few
-/// milliseconds, and a call can still go elsewhere after it.
+/// Time limit for connecting. Between zones of a region connecting takes a few
+/// milliseconds. After the limit, a call can still be sent to another daemon.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Time after a failed connection in which no other one is tried. Without it
-/// each call for a daemon that is gone would wait for a timeout of its own.
-const DOWN_FOR: Duration = Duration::from_millis(250);
+/// Time after a failed attempt to connect in which no other is made. Without it, each call
+/// for an unreachable daemon would wait for the time limit again.
+const RECONNECT_DELAY: Duration = Duration::from_millis(250);
 
-/// How often a link with open questions is looked at, and the silence after
-/// which the other end is asked for a sign of life. A busy link is never silent
-/// for that long.
-const CHECK: Duration = Duration::from_millis(150);
+/// Interval at which a link with pending requests is checked for silence, and the silence
+/// after which a ping is sent. A became_busy link is never silent for that long.
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Silence after which the link is given up. A connection can go silent for
-/// good without an error, and nothing but a bound of our own shows it. Longer
-/// than a daemon ever takes to answer a ping on a busy instance.
-const SILENT: Duration = Duration::from_millis(600);
+/// Silence after which a link is closed. A connection can stop delivering data without an
+/// error, which only a timeout detects. It is longer than a daemon ever takes to answer a
+/// ping on a became_busy instance.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Why there is no answer to a question.
+/// Why a request got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkError {
-    /// It never left this process: the other daemon cannot have acted on it.
+    /// The request never left this process: the peer cannot have acted on it.
     NotSent,
-    /// It may have arrived.
+    /// The request may have reached the peer.
     Lost,
 }
 
-/// Links by address.
+/// The links to all peers, by address. A link is opened with the first request to its peer.
 pub(crate) struct Links {
     clock: Clock,
     log: Logger,
@@ -67,19 +66,20 @@
         }
     }
 
-    /// Asks the daemon at `addr`. Dropping the future cancels the question.
+    /// Sends a request to the daemon at `addr` and waits for the reply. Dropping the future
+    /// cancels the request.
     pub(crate) async fn ask(&self, addr: SocketAddr, ask: Ask) -> Result<Reply, LinkError> {
         let link = self.link(addr);
         let (tx, rx) = oneshot::channel();
         let id = link.register(tx, self.clock.now())?;
-        let question = Question { link: &link, id };
+        let guard = PendingGuard { link: &link, id };
         link.send(id, &ToServer::Ask(id, ask));
         let reply = rx.await.unwrap_or(Err(LinkError::Lost));
-        question.answered();
+        guard.disarm();
         reply
     }
 
-    /// The same, for at most `bound`.
+    /// Sends a request like [`Links::ask`], and waits at most `bound` for the reply.
     pub(crate) async fn ask_within(
         &self,
         addr: SocketAddr,
@@ -90,15 +90,16 @@
         reply.unwrap_or(Err(LinkError::Lost))
     }
 
-    /// Closes links that have been silent through a suspension of the instance:
-    /// their other ends may have given them up meanwhile.
+    /// Closes all links. Called after a suspension of the instance, during which the peers
+    /// may have closed them.
     pub(crate) fn close_all(&self) {
         let links: Vec<_> = self.table.borrow_mut().drain().collect();
         for (_, link) in links {
-            link.give_up.notify_one();
+            link.close_requested.notify_one();
         }
     }
 
+    /// The link to `addr`, which is opened if there is no usable one.
     fn link(&self, addr: SocketAddr) -> Rc<Link> {
         let now = self.clock.now();
         let mut links = self.table.borrow_mut();
@@ -110,23 +111,23 @@
         let (tx, rx) = mpsc::unbounded_channel();
         let link = Rc::new(Link::new(tx));
         links.insert(addr, Rc::clone(&link));
-        let way = Way {
+        let context = TaskContext {
             addr,
             uplink: Rc::clone(&self.uplink),
             clock: self.clock,
             log: self.log.clone(),
         };
-        ntex::rt::spawn(run(Rc::clone(&link), rx, way));
+        ntex::rt::spawn(run(Rc::clone(&link), rx, context));
         link
     }
 }
 
-/// How far a link has come.
+/// Connection state of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Connecting,
     Up,
-    /// It never came up; no other one is tried before this time.
+    /// Connecting failed; it is not tried again before this time.
     Down(Time),
     Closed,
 }
@@ -135,33 +136,35 @@
 
 struct Link {
     queue: UnboundedSender<Outgoing>,
-    open: RefCell<HashMap<AskId, Waiter>>,
+    /// Requests without a reply yet.
+    pending: RefCell<HashMap<AskId, Waiter>>,
     next: Cell<AskId>,
     stage: Cell<Stage>,
-    /// When the other end was last heard of while questions were open.
-    heard: Cell<Time>,
-    /// Wakes the reader when a question is open again.
-    busy: Notify,
-    give_up: Notify,
+    /// When something was last received, or a request was sent while none was pending.
+    last_received: Cell<Time>,
+    /// Wakes the reader when a request is sent while none is pending.
+    became_busy: Notify,
+    /// Has the link closed.
+    close_requested: Notify,
 }
 
 impl Link {
     fn new(queue: UnboundedSender<Outgoing>) -> Self {
         Self {
             queue,
-            open: RefCell::default(),
+            pending: RefCell::default(),
             next: Cell::new(0),
             stage: Cell::new(Stage::Connecting),
-            heard: Cell::default(),
-            busy: Notify::new(),
-            give_up: Notify::new(),
+            last_received: Cell::default(),
+            became_busy: Notify::new(),
+            close_requested: Notify::new(),
         }
     }
 
     fn is_usable(&self, now: Time) -> bool {
         match self.stage.get() {
             Stage::Connecting | Stage::Up => true,
-            // It answers every question with "not sent" at once.
+            // Every request fails as not sent at once.
             Stage::Down(until) => now < until,
             Stage::Closed => false,
         }
@@ -173,116 +176,118 @@
         }
         let id = self.next.get();
         self.next.set(id + 1);
-        let mut open = self.open.borrow_mut();
-        if open.is_empty() {
-            self.heard.set(now);
-            self.busy.notify_one();
+        let mut pending = self.pending.borrow_mut();
+        if pending.is_empty() {
+            self.last_received.set(now);
+            self.became_busy.notify_one();
         }
-        open.insert(id, waiter);
+        pending.insert(id, waiter);
         Ok(id)
     }
 
     fn send(&self, id: AskId, message: &ToServer) {
-        // It fails only where the link is closed, and then every open question
-        // has been told so.
+        // This fails only if the link is closed, and then every pending request has failed.
         let _ = self.queue.send(Outgoing::Message(id, encode(message)));
     }
 
     fn close(&self, stage: Stage, err: LinkError) {
         self.stage.set(stage);
-        let open = std::mem::take(&mut *self.open.borrow_mut());
-        for (_, waiter) in open {
+        let pending = std::mem::take(&mut *self.pending.borrow_mut());
+        for (_, waiter) in pending {
             let _ = waiter.send(Err(err));
         }
     }
 
     fn deliver(&self, ToClient(id, reply): ToClient) {
-        let waiter = self.open.borrow_mut().remove(&id);
+        let waiter = self.pending.borrow_mut().remove(&id);
         if let Some(waiter) = waiter {
             let _ = waiter.send(Ok(reply));
         }
     }
 }
 
-/// An open question. Dropping it tells the other end that nobody waits.
-struct Question<'a> {
+/// Guard of a pending request. Dropping it cancels the request at the peer.
+struct PendingGuard<'a> {
     link: &'a Link,
     id: AskId,
 }
 
-impl Question<'_> {
-    fn answered(self) {
+impl PendingGuard<'_> {
+    fn disarm(self) {
         std::mem::forget(self);
     }
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
-        self.link.open.borrow_mut().remove(&self.id);
-        // A large question may still be on its way out.
-        let _ = self.link.queue.send(Outgoing::Withdraw(self.id));
+        self.link.pending.borrow_mut().remove(&self.id);
+        // Pieces of a large request may not have been sent yet.
+        let _ = self.link.queue.send(Outgoing::Abort(self.id));
         self.link.send(self.id, &ToServer::Cancel(self.id));
     }
 }
 
-/// Where a link leads, and what it goes over.
-struct Way {
+/// What a link's task needs besides the link.
+struct TaskContext {
     addr: SocketAddr,
     uplink: Rc<SharedUplink>,
     clock: Clock,
     log: Logger,
 }
 
-async fn run(link: Rc<Link>, queue: UnboundedReceiver<Outgoing>, way: Way) {
-    let Way {
+async fn run(link: Rc<Link>, queue: UnboundedReceiver<Outgoing>, context: TaskContext) {
+    let TaskContext {
         addr,
         uplink,
         clock,
         log,
-    } = way;
+    } = context;
     let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
     let Ok(Ok(stream)) = connected else {
-        link.close(Stage::Down(clock.now() + DOWN_FOR), LinkError::NotSent);
+        link.close(
+            Stage::Down(clock.now() + RECONNECT_DELAY),
+            LinkError::NotSent,
+        );
         return;
     };
-    // Without it a short message waits for the ack of the one before.
+    // Without this, a short message waits for the acknowledgement of the previous one.
     if stream.set_nodelay(true).is_err() {
         link.close(Stage::Closed, LinkError::NotSent);
         return;
     }
     link.stage.set(Stage::Up);
-    link.heard.set(clock.now());
+    link.last_received.set(clock.now());
     let (reader, writer) = stream.into_split();
     let reader = FramedRead::new(reader, codec());
     let writer = FramedWrite::new(writer, codec());
     tokio::select! {
         () = write(writer, queue, uplink) => {}
         () = read(&link, reader, clock) => {}
-        () = link.give_up.notified() => {}
+        () = link.close_requested.notified() => {}
     }
-    let open = link.open.borrow().len();
-    if open > 0 {
-        let silent = clock.now().saturating_sub(link.heard.get());
+    let pending = link.pending.borrow().len();
+    if pending > 0 {
+        let silent = clock.now().saturating_sub(link.last_received.get());
         slog::warn!(log, "link lost";
-            fields::PEER => %addr, fields::OPEN => open, fields::SILENT_MS => silent.as_millis());
+            fields::PEER => %addr, fields::OPEN => pending, fields::SILENT_MS => silent.as_millis());
     }
     link.close(Stage::Closed, LinkError::Lost);
 }
 
-/// Delivers answers until the link ends or is silent for too long.
+/// Delivers replies until the connection ends or is silent for too long.
 async fn read(link: &Link, mut reader: Reader, clock: Clock) {
-    let mut assembly = Assembly::default();
-    let mut check = interval(CHECK);
+    let mut reassembler = Reassembler::default();
+    let mut check = interval(CHECK_INTERVAL);
     check.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        let is_busy = !link.open.borrow().is_empty();
+        let is_busy = !link.pending.borrow().is_empty();
         tokio::select! {
             frame = reader.next() => {
                 let Some(Ok(frame)) = frame else {
                     return;
                 };
-                link.heard.set(clock.now());
-                let message = match assembly.take(frame) {
+                link.last_received.set(clock.now());
+                let message = match reassembler.process(frame) {
                     Ok(Some(message)) => message,
                     Ok(None) => continue,
                     Err(_) => return,
@@ -292,13 +297,13 @@
                 };
                 link.deliver(message);
             }
-            () = link.busy.notified(), if !is_busy => {}
+            () = link.became_busy.notified(), if !is_busy => {}
             _ = check.tick(), if is_busy => {
-                let silent = clock.now().saturating_sub(link.heard.get());
-                if silent >= SILENT {
+                let silent = clock.now().saturating_sub(link.last_received.get());
+                if silent >= SILENCE_TIMEOUT {
                     return;
                 }
-                if silent >= CHECK {
+                if silent >= CHECK_INTERVAL {
                     link.send(AskId::MAX, &ToServer::Ask(AskId::MAX, Ask::Ping));
                 }
             }
--- a/crates/mesh/src/link/mod.rs
+++ b/crates/mesh/src/link/mod.rs
@@ -1,12 +1,12 @@
-//! Links: one connection from each daemon to each other one that it talks to,
-//! with many questions on it at a time.
+//! Links: connections between daemons. A daemon has one link to each peer to which it sends
+//! requests, and multiplexes its requests on it.
 //!
-//! A connection for each call in flight, as HTTP/1.1 would need, costs a wake-up
-//! and several system calls more for each call, and cancelling one call would
-//! mean to close its connection. Frames and their encoding come from libraries;
-//! large messages go in [`pieces`], at the pace of the instance's link.
+//! One connection per call in flight, as HTTP/1.1 needs, would cost a wake-up and several
+//! system calls more per call, and cancelling a call would mean closing its connection.
+//! Libraries provide the frames and the encoding of messages. Large messages are split into
+//! [`pieces`], which are sent at the rate of the instance's uplink.
 //!
-//! [`dial`] is the end that asks, [`serve`] the one that answers.
+//! [`dial`] is the end that sends requests, [`serve`] the one that replies.
 
 mod dial;
 mod pieces;
@@ -23,13 +23,13 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-use pieces::{Outbox, Outgoing};
+use pieces::{Outgoing, SendQueue};
 
 pub(crate) use dial::{LinkError, Links};
 pub(crate) use serve::serve;
 pub(crate) use uplink::SharedUplink;
 
-/// Largest message: a body of the largest size and its headers.
+/// Largest message: a call with the largest body, and its headers.
 const MAX_FRAME: usize = (64 << 20) + (1 << 20);
 
 type Reader = FramedRead<OwnedReadHalf, LengthDelimitedCodec>;
@@ -50,14 +50,14 @@
     rmp_serde::from_slice(frame).ok()
 }
 
-/// Writes messages until the link closes. Small ones that are queued go out in one
-/// write, the pieces of large ones when the instance's link has room.
+/// Writes messages until the link closes. Small messages that are queued are sent in one
+/// write, pieces of large ones as the instance's uplink has room.
 async fn write(
     mut writer: Writer,
     mut queue: UnboundedReceiver<Outgoing>,
     uplink: Rc<SharedUplink>,
 ) {
-    let mut outbox = Outbox::new(uplink);
+    let mut send_queue = SendQueue::new(uplink);
     loop {
         tokio::select! {
             biased;
@@ -65,13 +65,13 @@
                 let Some(outgoing) = outgoing else {
                     return;
                 };
-                outbox.push(outgoing);
+                send_queue.push(outgoing);
                 while let Ok(outgoing) = queue.try_recv() {
-                    outbox.push(outgoing);
+                    send_queue.push(outgoing);
                 }
             }
-            () = outbox.turn(), if outbox.has_large() => {
-                let Some(piece) = outbox.piece() else {
+            () = send_queue.wait_turn(), if send_queue.has_large() => {
+                let Some(piece) = send_queue.next_piece() else {
                     continue;
                 };
                 if writer.feed(piece).await.is_err() {
@@ -79,7 +79,7 @@
                 }
             }
         }
-        while let Some(frame) = outbox.small() {
+        while let Some(frame) = send_queue.next_small() {
             if writer.feed(frame).await.is_err() {
                 return;
             }
--- a/crates/mesh/src/link/pieces.rs
+++ b/crates/mesh/src/link/pieces.rs
@@ -1,7 +1,8 @@
-//! Messages as frames: small ones whole, large ones in pieces between them.
+//! Encodes messages as frames: small messages as one frame, large ones as several pieces,
+//! with frames of other messages in between.
 //!
-//! One answer of half a megabyte as a single frame holds up every other answer on its
-//! link, and the sign of life by which the other end knows that the link works.
+//! An answer of half a megabyte in a single frame would delay every other answer on its
+//! link, and the replies to pings by which the peer knows that the link works.
 
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
@@ -9,51 +10,54 @@
 use bytes::{BufMut, Bytes, BytesMut};
 
 use super::MAX_FRAME;
-use super::uplink::{Order, SharedUplink};
+use super::uplink::{SendOrder, SharedUplink};
 use crate::wire::AskId;
 
-/// First byte of a frame.
+/// First byte of a frame that holds a complete message.
 const WHOLE: u8 = 0;
+/// First byte of a frame that holds a piece of a message, but not the last one.
 const PIECE: u8 = 1;
+/// First byte of a frame that holds the last piece of a message.
 const LAST_PIECE: u8 = 2;
-const WITHDRAWN: u8 = 3;
+/// First byte of a frame which says that the rest of a message is not sent any more.
+const ABORTED: u8 = 3;
 
-/// Bytes of a frame before those of the message: its kind, and for pieces the number of
-/// the message.
-const PIECE_HEAD: usize = 1 + size_of::<u64>();
+/// Length of the header of a piece: the kind of frame and the request's id.
+const PIECE_HEADER: usize = 1 + size_of::<u64>();
 
-/// Large messages of one link that may be incomplete at a time. A daemon has fewer calls
-/// under way at one other.
+/// Limit on the incomplete messages of one link. A daemon has fewer calls in flight at one
+/// peer.
 const MAX_INCOMPLETE: usize = 1024;
 
-/// What a link is asked to send.
+/// An entry in the queue of a link's writer.
 #[derive(Clone, Debug)]
 pub(super) enum Outgoing {
-    /// A message about this question.
+    /// A message of this request: the request or its reply.
     Message(AskId, Bytes),
-    /// The same, for a message that goes before large answers and does not wait for the
-    /// link: a configuration has to be in force within seconds.
+    /// A message that is sent before large answers and does not wait for room on the uplink.
+    /// Used for configurations, which have to become active within seconds.
     Urgent(AskId, Bytes),
-    /// Nobody waits for the message about this question any more.
-    Withdraw(AskId),
+    /// Nobody waits for the message of this request any more.
+    Abort(AskId),
 }
 
+/// A message that is sent in pieces.
 struct Large {
     id: AskId,
     rest: Bytes,
     is_urgent: bool,
-    order: Order,
+    order: SendOrder,
 }
 
-/// What waits to be sent on one link.
-pub(super) struct Outbox {
+/// The frames and large messages that wait to be sent on one link.
+pub(super) struct SendQueue {
     uplink: Rc<SharedUplink>,
     small: VecDeque<Bytes>,
-    /// The one whose turn is next in front.
+    /// In the order in which they are sent.
     large: VecDeque<Large>,
 }
 
-impl Outbox {
+impl SendQueue {
     pub(super) fn new(uplink: Rc<SharedUplink>) -> Self {
         Self {
             uplink,
@@ -64,39 +68,42 @@
 
     pub(super) fn push(&mut self, outgoing: Outgoing) {
         match outgoing {
-            Outgoing::Message(id, bytes) => self.message(id, bytes, false),
-            Outgoing::Urgent(id, bytes) => self.message(id, bytes, true),
-            Outgoing::Withdraw(id) => self.withdraw(id),
+            Outgoing::Message(id, bytes) => self.push_message(id, bytes, false),
+            Outgoing::Urgent(id, bytes) => self.push_message(id, bytes, true),
+            Outgoing::Abort(id) => self.abort(id),
         }
     }
 
-    fn message(&mut self, id: AskId, bytes: Bytes, is_urgent: bool) {
+    fn push_message(&mut self, id: AskId, bytes: Bytes, is_urgent: bool) {
         let piece = self.uplink.read(stoatstep_calls::Uplink::piece_bytes);
         if bytes.len() <= piece {
             self.small.push_back(frame(WHOLE, None, &bytes));
             return;
         }
-        self.uplink.waits(bytes.len());
+        self.uplink.record_queued(bytes.len());
         let large = Large {
             id,
-            order: self.uplink.order(bytes.len()),
+            order: self.uplink.next_order(bytes.len()),
             rest: bytes,
             is_urgent,
         };
-        let place = |it: &Large| (!it.is_urgent, it.order);
-        let ahead = self.large.iter().take_while(|it| place(it) < place(&large));
+        let sort_key = |it: &Large| (!it.is_urgent, it.order);
+        let ahead = self
+            .large
+            .iter()
+            .take_while(|it| sort_key(it) < sort_key(&large));
         let at = ahead.count();
         self.large.insert(at, large);
     }
 
-    /// The bytes of an answer whose caller has gone would only delay others.
-    fn withdraw(&mut self, id: AskId) {
+    /// Drops the rest of a large message, which would only delay others: nobody waits for it.
+    fn abort(&mut self, id: AskId) {
         let Some(at) = self.large.iter().position(|it| it.id == id) else {
             return;
         };
         if let Some(large) = self.large.remove(at) {
-            self.uplink.waits_no_more(large.rest.len());
-            self.small.push_back(frame(WITHDRAWN, Some(id), &[]));
+            self.uplink.record_dequeued(large.rest.len());
+            self.small.push_back(frame(ABORTED, Some(id), &[]));
         }
     }
 
@@ -104,24 +111,24 @@
         !self.large.is_empty()
     }
 
-    /// Waits until the next piece may go.
-    pub(super) async fn turn(&self) {
+    /// Waits until the next piece may be sent.
+    pub(super) async fn wait_turn(&self) {
         match self.large.front() {
-            Some(large) if !large.is_urgent => self.uplink.turn(large.order).await,
+            Some(large) if !large.is_urgent => self.uplink.wait_turn(large.order).await,
             Some(_) | None => {}
         }
     }
 
-    /// The next frame that need not wait for the link.
-    pub(super) fn small(&mut self) -> Option<Bytes> {
+    /// The next frame that need not wait for room on the uplink.
+    pub(super) fn next_small(&mut self) -> Option<Bytes> {
         let frame = self.small.pop_front()?;
-        self.uplink.sent(frame.len());
+        self.uplink.record_sent(frame.len());
         Some(frame)
     }
 
-    /// The next piece of a large message. Messages go one after the other: in turns, all
-    /// of them would be late together.
-    pub(super) fn piece(&mut self) -> Option<Bytes> {
+    /// The next piece of a large message. Messages are sent one after the other: if they took
+    /// turns, all of them would be late.
+    pub(super) fn next_piece(&mut self) -> Option<Bytes> {
         let size = self.uplink.read(stoatstep_calls::Uplink::piece_bytes);
         let large = self.large.front_mut()?;
         let piece = large.rest.split_to(size.min(large.rest.len()));
@@ -131,22 +138,22 @@
         if is_last {
             self.large.pop_front();
         }
-        self.uplink.waits_no_more(piece.len());
-        self.uplink.sent(frame.len());
+        self.uplink.record_dequeued(piece.len());
+        self.uplink.record_sent(frame.len());
         Some(frame)
     }
 }
 
-impl Drop for Outbox {
+impl Drop for SendQueue {
     fn drop(&mut self) {
         for large in &self.large {
-            self.uplink.waits_no_more(large.rest.len());
+            self.uplink.record_dequeued(large.rest.len());
         }
     }
 }
 
 fn frame(kind: u8, id: Option<AskId>, bytes: &[u8]) -> Bytes {
-    let mut frame = BytesMut::with_capacity(PIECE_HEAD + bytes.len());
+    let mut frame = BytesMut::with_capacity(PIECE_HEADER + bytes.len());
     frame.put_u8(kind);
     if let Some(id) = id {
         frame.put_u64(id);
@@ -155,38 +162,38 @@
     frame.freeze()
 }
 
-/// Why a link's frames make no sense.
+/// A frame that does not follow the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct BadFrame;
 
-/// Puts the pieces of large messages together again.
+/// Reassembles large messages from their pieces.
 #[derive(Default)]
-pub(super) struct Assembly {
+pub(super) struct Reassembler {
     incomplete: HashMap<AskId, BytesMut>,
 }
 
-impl Assembly {
-    /// Takes in a frame; gives the message that it completes.
+impl Reassembler {
+    /// Processes a frame and returns the message that it completes, if any.
     ///
     /// # Errors
     ///
-    /// Where no daemon of this build sends such a frame. The link is given up then.
-    pub(super) fn take(&mut self, frame: BytesMut) -> Result<Option<Bytes>, BadFrame> {
+    /// Fails if no daemon of this build sends such a frame. The caller closes the link then.
+    pub(super) fn process(&mut self, frame: BytesMut) -> Result<Option<Bytes>, BadFrame> {
         let mut frame = frame.freeze();
         let kind = *frame.first().ok_or(BadFrame)?;
         if kind == WHOLE {
             return Ok(Some(frame.split_off(1)));
         }
-        let head = frame.get(1..PIECE_HEAD).and_then(|it| it.try_into().ok());
+        let head = frame.get(1..PIECE_HEADER).and_then(|it| it.try_into().ok());
         let id = AskId::from_be_bytes(head.ok_or(BadFrame)?);
-        let bytes = frame.split_off(PIECE_HEAD);
+        let bytes = frame.split_off(PIECE_HEADER);
         match kind {
             PIECE => self.append(id, &bytes).map(|()| None),
             LAST_PIECE => {
                 self.append(id, &bytes)?;
                 Ok(self.incomplete.remove(&id).map(BytesMut::freeze))
             }
-            WITHDRAWN => {
+            ABORTED => {
                 self.incomplete.remove(&id);
                 Ok(None)
             }
--- a/crates/mesh/src/link/serve.rs
+++ b/crates/mesh/src/link/serve.rs
@@ -1,4 +1,4 @@
-//! The end of a link that answers.
+//! The end of a link that receives requests and replies to them.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::{self, UnboundedSender};
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use super::pieces::{Assembly, Outgoing};
+use super::pieces::{Outgoing, Reassembler};
 use super::{Reader, codec, decode, encode, write};
 use crate::executor::{self, Way};
 use crate::fleet;
@@ -22,8 +22,8 @@
 use crate::rollout::{self, Source};
 use crate::wire::{Ask, AskId, Attempt, GrantWire, Reply, ToClient, ToServer};
 
-/// Pause after a failed accept, most often for lack of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, which is most often due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// Accepts links until the process ends.
 pub(crate) async fn serve(node: Rc<Node>, listener: TcpListener) {
@@ -34,22 +34,24 @@
             }
             Err(err) => {
                 slog::warn!(node.log, "link not accepted"; fields::ERROR => %err);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// One link, and the attempts that came over it and have not ended.
+/// A link that a peer has opened.
 struct Connection {
     node: Rc<Node>,
     queue: UnboundedSender<Outgoing>,
+    /// Attempts that came over this link and have not ended.
     running: RefCell<HashMap<AskId, AttemptId>>,
 }
 
 impl Connection {
     fn reply(&self, id: AskId, reply: Reply) {
-        // It fails only where the link is closed; whoever asked will settle.
+        // This fails only if the link is closed. The peer then asks for the outcome of its
+        // attempts over another link.
         let is_urgent = matches!(reply, Reply::Newer(..));
         let message = encode(&ToClient(id, reply));
         let _ = self.queue.send(if is_urgent {
@@ -80,29 +82,29 @@
 }
 
 async fn read(connection: &Rc<Connection>, mut reader: Reader) {
-    let mut assembly = Assembly::default();
+    let mut reassembler = Reassembler::default();
     while let Some(Ok(frame)) = reader.next().await {
-        let message = match assembly.take(frame) {
+        let message = match reassembler.process(frame) {
             Ok(Some(message)) => message,
             Ok(None) => continue,
             Err(_) => return,
         };
         match decode::<ToServer>(&message) {
-            Some(ToServer::Ask(id, ask)) => take(connection, id, ask),
+            Some(ToServer::Ask(id, ask)) => handle(connection, id, ask),
             Some(ToServer::Cancel(id)) => cancel(connection, id),
             None => return,
         }
     }
 }
 
-fn take(connection: &Rc<Connection>, id: AskId, ask: Ask) {
+fn handle(connection: &Rc<Connection>, id: AskId, ask: Ask) {
     let node = Rc::clone(&connection.node);
     match ask {
         Ask::Run(attempt) => run(connection, id, attempt),
-        Ask::Settle(attempt, ticket) => later(connection, id, async move {
+        Ask::Settle(attempt, ticket) => reply_later(connection, id, async move {
             Reply::Settled(executor::settle(&node, attempt, ticket).await)
         }),
-        Ask::Gossip(message, news) => later(connection, id, async move {
+        Ask::Gossip(message, news) => reply_later(connection, id, async move {
             fleet::gossip::hear_news(&node, news);
             let reply = fleet::gossip::answer(&node, message).await;
             Reply::Gossip(reply, fleet::gossip::news(&node))
@@ -158,8 +160,12 @@
     }
 }
 
-/// Sends a reply when it is there; messages behind the question go on meanwhile.
-fn later(connection: &Rc<Connection>, id: AskId, reply: impl Future<Output = Reply> + 'static) {
+/// Sends a reply once it is available, without delaying the link's next messages.
+fn reply_later(
+    connection: &Rc<Connection>,
+    id: AskId,
+    reply: impl Future<Output = Reply> + 'static,
+) {
     let connection = Rc::clone(connection);
     ntex::rt::spawn(async move {
         let reply = reply.await;
@@ -167,7 +173,8 @@
     });
 }
 
-/// Takes an attempt before the next message is read, which may cancel it.
+/// Accepts an attempt. This happens before the next message is read, since that may cancel
+/// the attempt.
 fn run(connection: &Rc<Connection>, id: AskId, attempt: Attempt) {
     connection.running.borrow_mut().insert(id, attempt.id);
     let begun = executor::begin(&connection.node, attempt, Way::Link);
@@ -184,6 +191,6 @@
     if let Some(attempt) = attempt {
         executor::cancel(&connection.node, attempt);
     }
-    // Its answer may be on its way out.
-    let _ = connection.queue.send(Outgoing::Withdraw(id));
+    // Pieces of its reply may not have been sent yet.
+    let _ = connection.queue.send(Outgoing::Abort(id));
 }
--- a/crates/mesh/src/link/uplink.rs
+++ b/crates/mesh/src/link/uplink.rs
@@ -1,4 +1,4 @@
-//! The instance's link, shared by all connections that send over it.
+//! The instance's uplink, which all links of this daemon share.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -9,40 +9,40 @@
 
 use crate::clock::Clock;
 
-/// Step in which sizes of messages are compared. Answers that are hardly large, which a
-/// caller waits for with a short objective, are below one.
+/// Granularity in which the sizes of messages are compared. Answers that are barely large,
+/// for which callers wait with a short latency objective, are smaller than one step.
 const SIZE_STEP: usize = 32 << 10;
 
-/// Place of a large message among those of all links: smaller ones first, by steps, and
-/// then the earlier one. What is admitted is bounded by the link, so that the largest do
-/// not wait for ever.
+/// SendOrder of the large messages of all links: by size in steps, smaller ones first, then by
+/// arrival. Answers are admitted only as the uplink can carry them, so the largest ones do
+/// not wait forever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct Order {
+pub(super) struct SendOrder {
     steps: usize,
     number: u64,
 }
 
-/// The one [`Uplink`] of this daemon.
+/// The [`Uplink`] of this daemon, and the order in which links send over it.
 pub(crate) struct SharedUplink {
     state: RefCell<Uplink>,
-    next: Cell<u64>,
-    /// Messages whose links could take a piece now.
-    ready: RefCell<BTreeSet<Order>>,
-    /// Wakes those that wait for an earlier message.
-    moved: Notify,
+    next_number: Cell<u64>,
+    /// Messages whose connections could send a piece now.
+    ready: RefCell<BTreeSet<SendOrder>>,
+    /// Wakes the messages that wait for another one.
+    ready_changed: Notify,
     clock: Clock,
 }
 
-/// A message that waits for its turn.
-struct Ready<'a> {
+/// Guard of a message that waits for its wait_turn.
+struct ReadyGuard<'a> {
     uplink: &'a SharedUplink,
-    order: Order,
+    order: SendOrder,
 }
 
-impl Drop for Ready<'_> {
+impl Drop for ReadyGuard<'_> {
     fn drop(&mut self) {
         self.uplink.ready.borrow_mut().remove(&self.order);
-        self.uplink.moved.notify_waiters();
+        self.uplink.ready_changed.notify_waiters();
     }
 }
 
@@ -50,54 +50,54 @@
     pub(crate) fn new(bytes_per_s: Option<f64>, clock: Clock) -> Self {
         Self {
             state: RefCell::new(Uplink::new(bytes_per_s)),
-            next: Cell::new(0),
+            next_number: Cell::new(0),
             ready: RefCell::default(),
-            moved: Notify::new(),
+            ready_changed: Notify::new(),
             clock,
         }
     }
 
-    /// Reads what is known, which must not outlast the present step.
+    /// Reads the state of the uplink. The result is out of date after the next `await`.
     pub(crate) fn read<T>(&self, read: impl FnOnce(&Uplink) -> T) -> T {
         read(&self.state.borrow())
     }
 
-    /// A target works on an answer of which so many bytes are expected.
-    pub(crate) fn expects(&self, attempt: AttemptId, bytes: f64) {
+    /// Counts an answer of this expected size on which the target works.
+    pub(crate) fn expect_answer(&self, attempt: AttemptId, bytes: f64) {
         self.state.borrow_mut().expects(attempt, bytes);
     }
 
-    /// The target's work has ended.
-    pub(crate) fn ended(&self, attempt: AttemptId) {
+    /// Ends the count of an expected answer: the target's work has ended.
+    pub(crate) fn answer_completed(&self, attempt: AttemptId) {
         self.state.borrow_mut().ended(attempt);
     }
 
-    /// The place of the next large message, of so many bytes.
-    pub(super) fn order(&self, bytes: usize) -> Order {
-        let number = self.next.get();
-        self.next.set(number + 1);
-        Order {
+    /// Assigns the order of the next large message, which has this size.
+    pub(super) fn next_order(&self, bytes: usize) -> SendOrder {
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
+        SendOrder {
             steps: bytes / SIZE_STEP,
             number,
         }
     }
 
-    /// Waits until the next piece of this message may go: when the link is free and no
-    /// earlier message has a piece that its own link could take.
+    /// Waits until the next piece of this message may be sent: when the uplink is free and no
+    /// message that comes before it could send a piece on its own link.
     ///
-    /// In turns, every answer would take as long as all of them together, and most would
-    /// be late; one after the other, the first ones are in time. A message whose peer
-    /// does not read is not ready, so it holds up nobody.
-    pub(super) async fn turn(&self, order: Order) {
+    /// If messages took turns, every answer would take as long as all of them together, and
+    /// most would be late. One after the other, the first ones are in time. A message whose
+    /// peer does not read is not ready, so it does not delay others.
+    pub(super) async fn wait_turn(&self, order: SendOrder) {
         self.ready.borrow_mut().insert(order);
-        let _ready = Ready {
+        let _guard = ReadyGuard {
             uplink: self,
             order,
         };
         loop {
-            let moved = self.moved.notified();
+            let ready_changed = self.ready_changed.notified();
             if self.ready.borrow().first() != Some(&order) {
-                moved.await;
+                ready_changed.await;
                 continue;
             }
             let wait = self.read(|it| it.until_free(self.clock.now()));
@@ -106,20 +106,23 @@
             }
             tokio::select! {
                 () = sleep(wait) => {}
-                () = moved => {}
+                () = ready_changed => {}
             }
         }
     }
 
-    pub(super) fn sent(&self, bytes: usize) {
+    /// Counts bytes that were sent.
+    pub(super) fn record_sent(&self, bytes: usize) {
         self.state.borrow_mut().sent(bytes, self.clock.now());
     }
 
-    pub(super) fn waits(&self, bytes: usize) {
+    /// Counts bytes of a large message that wait to be sent.
+    pub(super) fn record_queued(&self, bytes: usize) {
         self.state.borrow_mut().waits(bytes);
     }
 
-    pub(super) fn waits_no_more(&self, bytes: usize) {
+    /// Ends the count of waiting bytes, which were sent or dropped.
+    pub(super) fn record_dequeued(&self, bytes: usize) {
         self.state.borrow_mut().waits_no_more(bytes);
     }
 }
