--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -4,11 +4,11 @@
 //! the entries assume, that an attempt runs at most once, that no call is sent after the
 //! target's drain, and that no more calls run than the target has slots.
 
-mod answers;
+mod answer_stats;
 mod confirm;
-mod ended;
-mod heard;
-mod judged;
+mod heartbeat;
+mod process_exit;
+mod rollout_tally;
 mod run;
 mod slot;
 mod target;
@@ -35,8 +35,8 @@
 use crate::quarantine;
 use crate::wire::{Attempt, CallParts, End, Ran, WireSettled};
 pub(crate) use confirm::ask_target;
-use heard::update_target;
-pub(crate) use heard::{hear, leave, target_left};
+use heartbeat::update_target;
+pub(crate) use heartbeat::{hear, leave, target_left};
 use target::Target;
 
 /// Slots of the target until its first heartbeat states their number.
@@ -213,7 +213,7 @@
     match admit(node, &attempt, way) {
         Ok(()) => {
             if way == Way::Link {
-                answers::expect_answer(node, &attempt);
+                answer_stats::expect_answer(node, &attempt);
             }
             Ok(run::start(node, attempt))
         }
@@ -255,7 +255,7 @@
         return Err(End::Refused(refusal));
     }
     if way == Way::Link {
-        answers::check_uplink(node, &tables, attempt)?;
+        answer_stats::check_uplink(node, &tables, attempt)?;
     }
     match tables.ledger.arrive(attempt.id, attempt.ticket, now) {
         Arrival::New => Ok(()),
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use super::target::TargetOutcome;
-use super::{QUEUE_RETRY, Run, Tables, answers, ended, judged, slot};
+use super::{QUEUE_RETRY, Run, Tables, answer_stats, process_exit, rollout_tally, slot};
 use crate::drain::InFlight;
 use crate::identity;
 use crate::journal::{RunFailed, Times};
@@ -139,7 +139,7 @@
         return RunOutcome::not_started(refusal);
     }
     let suspected = quarantine::suspected(node, &attempt.call);
-    if suspected.is_some_and(|it| ended::running(node, &attempt.upstream).contains(&it)) {
+    if suspected.is_some_and(|it| process_exit::running(node, &attempt.upstream).contains(&it)) {
         node.journal.count("requests.kept_apart");
         return RunOutcome::not_started(quarantine::refusal_beside_itself());
     }
@@ -149,7 +149,7 @@
     let end = timeout(left, node.executor.target.call(attempt, left)).await;
     let end = end.unwrap_or(TargetOutcome::Unknown(Reason::TimedOut));
     if matches!(end, TargetOutcome::Unknown(Reason::LostAnswer)) {
-        ended::check(node, &attempt.upstream).await;
+        process_exit::check(node, &attempt.upstream).await;
     }
     if matches!(end, TargetOutcome::Answered(_)) {
         slot.finish();
@@ -234,10 +234,10 @@
     if let End::Answered(answer) = &outcome.end
         && !answer.is_failure()
     {
-        answers::record(&mut tables, &attempt.call.route, answer, outcome.at_target);
+        answer_stats::record(&mut tables, &attempt.call.route, answer, outcome.at_target);
     }
     if node.rollouts.is_judged(&attempt.call.service) {
-        judged::record_run(&mut tables, attempt, outcome, now);
+        rollout_tally::record_run(&mut tables, attempt, outcome, now);
     }
     if is_success {
         tables.recent.note(attempt.call.fingerprint(), now);
--- a/crates/mesh/src/executor/target.rs
+++ b/crates/mesh/src/executor/target.rs
@@ -1,6 +1,6 @@
 //! HTTP client for the target beside this daemon.
 
-mod lifetime;
+mod idle_limit;
 mod pool;
 
 use std::net::SocketAddr;
--- a/crates/mesh/src/executor/target/pool.rs
+++ b/crates/mesh/src/executor/target/pool.rs
@@ -23,7 +23,7 @@
 use tokio::time::timeout;
 
 use super::closes_connection;
-use super::lifetime::IdleLimit;
+use super::idle_limit::IdleLimit;
 use crate::clock::Clock;
 
 /// Time limit for connecting. The target is on this instance; if connecting takes longer,
--- a/crates/mesh/src/link/dial.rs
+++ b/crates/mesh/src/link/client.rs
@@ -16,7 +16,7 @@
 use tokio::time::{MissedTickBehavior, interval, timeout};
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use super::pieces::{Outgoing, Reassembler};
+use super::framing::{Outgoing, Reassembler};
 use super::uplink::SharedUplink;
 use super::{Reader, codec, decode, encode, write};
 use crate::clock::Clock;
--- a/crates/mesh/src/link/mod.rs
+++ b/crates/mesh/src/link/mod.rs
@@ -3,14 +3,14 @@
 //!
 //! One connection per call in flight, as HTTP/1.1 needs, would cost a wake-up and several
 //! system calls more per call, and cancelling a call would mean closing its connection.
-//! Libraries provide the frames and the encoding of messages. Large messages are split into
-//! [`pieces`], which are sent at the rate of the instance's uplink.
+//! Libraries provide the frames and the encoding of messages. Large messages are split by
+//! [`framing`] into pieces, which are sent at the rate of the instance's uplink.
 //!
-//! [`dial`] is the end that sends requests, [`serve`] the one that replies.
+//! [`client`] is the end that sends requests, [`server`] the one that replies.
 
-mod dial;
-mod pieces;
-mod serve;
+mod client;
+mod framing;
+mod server;
 mod uplink;
 
 use std::rc::Rc;
@@ -23,10 +23,10 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-use pieces::{Outgoing, SendQueue};
+use framing::{Outgoing, SendQueue};
 
-pub(crate) use dial::{LinkError, Links};
-pub(crate) use serve::serve;
+pub(crate) use client::{LinkError, Links};
+pub(crate) use server::serve;
 pub(crate) use uplink::SharedUplink;
 
 /// Largest message: a call with the largest body, and its headers.
--- a/crates/mesh/src/link/serve.rs
+++ b/crates/mesh/src/link/server.rs
@@ -12,7 +12,7 @@
 use tokio::sync::mpsc::{self, UnboundedSender};
 use tokio_util::codec::{FramedRead, FramedWrite};
 
-use super::pieces::{Outgoing, Reassembler};
+use super::framing::{Outgoing, Reassembler};
 use super::{Reader, codec, decode, encode, write};
 use crate::executor::{self, Way};
 use crate::fleet;
