--- a/crates/mesh/src/entry/attempt.rs
+++ b/crates/mesh/src/entry/attempt.rs
@@ -39,7 +39,7 @@
 /// Retry delay after an attempt that was revoked before it ran.
 const REVOKED_RETRY: Duration = Duration::from_millis(10);
 
-/// How an attempt outcome, as the entry knows it.
+/// How an attempt ended, as the entry knows it.
 pub(super) struct AttemptOutcome {
     pub(super) end: End,
     /// Whether the request reached the target, or may have.
@@ -91,7 +91,7 @@
             let refusal = Refusal::retry(Reason::Deadline, UNREACHABLE_RETRY);
             return (AttemptOutcome::refused(refusal, false), None);
         };
-        let begun = node.clock.now();
+        let started_at = node.clock.now();
         let id = node.entry.tables.borrow_mut().rng.random();
         let attempt = Attempt {
             id,
@@ -107,7 +107,7 @@
         };
         let is_stale = matches!(&outcome.end, End::Refused(it) if it.reason == Reason::StaleTicket);
         if !is_stale {
-            log_failure(node, call, (id, upstream), &outcome, begun);
+            log_failure(node, call, (id, upstream), &outcome, started_at);
             return (outcome, occupancy);
         }
     }
@@ -120,7 +120,7 @@
     call: &Call,
     (attempt, upstream): (AttemptId, &str),
     outcome: &AttemptOutcome,
-    begun: Time,
+    started_at: Time,
 ) {
     let End::Refused(refusal) = &outcome.end else {
         return;
@@ -132,7 +132,7 @@
         upstream,
         reason: refusal.reason,
         arrived: outcome.arrived,
-        took: now.saturating_sub(begun),
+        took: now.saturating_sub(started_at),
     };
     node.journal.attempt_failed(&failed, now);
 }
@@ -281,7 +281,7 @@
     }
 }
 
-/// Guard of an attempt that placement counts as guard. It ends the count also if the
+/// Guard of an attempt that placement counts as outstanding. It ends the count also if the
 /// caller disconnects: otherwise the upstream would look busier with each such call until
 /// it is never chosen again.
 struct OutstandingGuard<'a> {
--- a/crates/mesh/src/entry/forward.rs
+++ b/crates/mesh/src/entry/forward.rs
@@ -31,7 +31,7 @@
 /// queues of so many targets are too long, the next one most likely is as well.
 const MAX_OVERLOADED: usize = 3;
 
-/// Least time left to the deadline for which another attempt is history.
+/// Least time left to the deadline for which another attempt is made.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 
 /// Divisor of the configured retry budget. A run that is repeated also repeats the calls
@@ -42,7 +42,7 @@
 /// How a call ended, after all of its attempts.
 pub(super) struct CompletedCall {
     pub(super) end: End,
-    /// Time in queues and at targets. The total is filled in by the caller.
+    /// Time in queues and at targets. The total is added when the call is recorded.
     pub(super) times: Times,
     pub(super) attempts: usize,
     /// The target of the last attempt, and whether it is in another zone.
--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -88,7 +88,7 @@
 /// cancels the call's attempt.
 pub(crate) async fn handle(node: &Rc<Node>, mut req: Request) -> Response {
     let _in_flight = InFlight::enter(node);
-    let begun = node.clock.now();
+    let started_at = node.clock.now();
     let call = match Call::read(node, &mut req).await {
         Ok(call) => call,
         Err(refusal) => {
@@ -98,7 +98,7 @@
         }
     };
     let completed = if throttle::admits(node, &call) {
-        let mut guard = CallerLeftGuard::new(node, &call, begun);
+        let mut guard = CallerLeftGuard::new(node, &call, started_at);
         let completed = forward_with_quota(node, &call).await;
         guard.has_ended = true;
         throttle::record(node, &call, &completed.end);
@@ -106,7 +106,7 @@
     } else {
         throttle::refused(node, &call)
     };
-    record_call(node, &call, &completed, begun);
+    record_call(node, &call, &completed, started_at);
     respond::completed(&completed.end, node.is_leaving())
 }
 
@@ -126,21 +126,21 @@
     completed
 }
 
-/// Guard of a call that the throttle admitted. If it is dropped before the call has record_call,
+/// Guard of a call that the throttle admitted. If it is dropped before the call has ended,
 /// it records that the caller disconnected.
 struct CallerLeftGuard<'a> {
     node: &'a Node,
     call: &'a Call,
-    begun: Time,
+    started_at: Time,
     has_ended: bool,
 }
 
 impl<'a> CallerLeftGuard<'a> {
-    fn new(node: &'a Node, call: &'a Call, begun: Time) -> Self {
+    fn new(node: &'a Node, call: &'a Call, started_at: Time) -> Self {
         Self {
             node,
             call,
-            begun,
+            started_at,
             has_ended: false,
         }
     }
@@ -153,13 +153,13 @@
         }
         throttle::caller_left(self.node, self.call);
         let now = self.node.clock.now();
-        let waited = now.saturating_sub(self.begun);
+        let waited = now.saturating_sub(self.started_at);
         self.node.journal.caller_left(&self.call.parts, waited, now);
     }
 }
 
 /// Records a call that has ended in the log, the metrics and the route's statistics.
-fn record_call(node: &Rc<Node>, call: &Call, completed: &CompletedCall, begun: Time) {
+fn record_call(node: &Rc<Node>, call: &Call, completed: &CompletedCall, started_at: Time) {
     let now = node.clock.now();
     if completed.end.is_success() {
         quarantine::answered(node, &call.parts);
@@ -168,10 +168,10 @@
         call: &call.parts,
         end: &completed.end,
         version: call.version,
-        given: call.deadline.left(begun),
-        objective: call.objective.saturating_sub(begun),
+        given: call.deadline.left(started_at),
+        objective: call.objective.saturating_sub(started_at),
         times: Times {
-            total: now.saturating_sub(begun),
+            total: now.saturating_sub(started_at),
             ..completed.times
         },
         attempts: completed.attempts,
--- a/crates/mesh/src/entry/respond.rs
+++ b/crates/mesh/src/entry/respond.rs
@@ -11,7 +11,7 @@
 /// retry at the same time.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// The response to a call that has completed. `is_last` closes the caller's connection after it.
+/// The response to a call that has ended. `is_last` closes the caller's connection after it.
 pub(super) fn completed(end: &End, is_last: bool) -> Response {
     match end {
         End::Answered(answer) => answered(answer, is_last),
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -45,8 +45,8 @@
 /// Retry delay for a call that left the queue without a decision or too late to be run.
 const QUEUE_RETRY: Duration = Duration::from_millis(50);
 
-/// Retry delay for a call sent to a target that is not the one meant or does not accept it
-/// any more. By then its entry has most likely learned of the change.
+/// Retry delay for a call that the target does not accept any more. By then other daemons
+/// have learned of its drain.
 const DRAINING_RETRY: Duration = Duration::from_millis(50);
 
 /// Retry delay for a call held back by a roll-out. By then its entry has most likely learned
@@ -54,7 +54,7 @@
 const HELD_RETRY: Duration = Duration::from_millis(50);
 
 /// Time for an entry whose link broke to ask for its attempts over another link. After it,
-/// the idempotent ones that nobody asked for are cancelled.
+/// the idempotent runs that no entry asked for are cancelled.
 const REJOIN_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Bytes of answers kept for entries whose links broke: ten seconds of answers of 2 KB at
@@ -133,7 +133,7 @@
         self.tables.borrow().local_target.service().cloned()
     }
 
-    /// How occupied the target is.
+    /// The occupancy of the target.
     pub(crate) fn occupancy(&self) -> Occupancy {
         self.tables.borrow().queue.occupancy()
     }
@@ -192,7 +192,7 @@
 
 /// Where an attempt came from, and where its answer goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Origin {
     /// This daemon's entry. The answer does not leave the instance.
     Local,
     /// Another daemon, over a link.
@@ -201,18 +201,19 @@
 
 /// Runs one attempt of this daemon's entry to its end.
 pub(crate) async fn execute(node: &Rc<Node>, attempt: Attempt) -> Ran {
-    ended(node, begin(node, attempt, Way::Local)).await
+    wait(node, accept(node, attempt, Origin::Local)).await
 }
 
-/// An attempt that was accepted, or the result of one that was refused at once.
-pub(crate) type Begun = Result<oneshot::Receiver<Ran>, Box<Ran>>;
+/// An attempt that was accepted, or the result of one that was not: a refusal, or the answer
+/// if it has run before.
+pub(crate) type Accepted = Result<oneshot::Receiver<Ran>, Box<Ran>>;
 
 /// Accepts an attempt. When this returns it can be cancelled, even though it has not run
 /// yet: the next message on its link may be the cancellation.
-pub(crate) fn begin(node: &Rc<Node>, attempt: Attempt, way: Way) -> Begun {
-    match admit(node, &attempt, way) {
+pub(crate) fn accept(node: &Rc<Node>, attempt: Attempt, origin: Origin) -> Accepted {
+    match admit(node, &attempt, origin) {
         Ok(()) => {
-            if way == Way::Link {
+            if origin == Origin::Link {
                 answer_stats::expect_answer(node, &attempt);
             }
             Ok(run::start(node, attempt))
@@ -222,9 +223,9 @@
 }
 
 /// Waits for the result of an attempt.
-pub(crate) async fn ended(node: &Node, begun: Begun) -> Ran {
-    match begun {
-        Ok(ended) => ended
+pub(crate) async fn wait(node: &Node, accepted: Accepted) -> Ran {
+    match accepted {
+        Ok(running) => running
             .await
             .unwrap_or_else(|_| run::refused(node, lost_answer())),
         Err(ran) => *ran,
@@ -232,7 +233,7 @@
 }
 
 /// Checks whether the attempt may run here, and records it in the ledger.
-fn admit(node: &Node, attempt: &Attempt, way: Way) -> Result<(), End> {
+fn admit(node: &Node, attempt: &Attempt, origin: Origin) -> Result<(), End> {
     let now = node.clock.now();
     if let Some(refusal) = quarantine::refusal(node, &attempt.call) {
         return Err(End::Refused(refusal));
@@ -254,7 +255,7 @@
         let refusal = Refusal::retry(Reason::Held, HELD_RETRY);
         return Err(End::Refused(refusal));
     }
-    if way == Way::Link {
+    if origin == Origin::Link {
         answer_stats::check_uplink(node, &tables, attempt)?;
     }
     match tables.ledger.arrive(attempt.id, attempt.ticket, now) {
@@ -283,7 +284,7 @@
 
 /// Handles the loss of the link over which these attempts came. They are cancelled unless
 /// their entry asks for them over another link in time.
-pub(crate) fn orphaned(node: &Rc<Node>, attempts: Vec<AttemptId>) {
+pub(crate) fn link_lost(node: &Rc<Node>, attempts: Vec<AttemptId>) {
     if attempts.is_empty() {
         return;
     }
--- a/crates/mesh/src/executor/process_exit.rs
+++ b/crates/mesh/src/executor/process_exit.rs
@@ -24,7 +24,7 @@
 
 /// Checks whether the target's process ended. Called when the answer of a run at this
 /// generation was lost, before the entry is told. A single lost answer and the end of the
-/// process check the same at first; if nothing listens at the target's address any more, the
+/// process look the same at first; if nothing listens at the target's address any more, the
 /// process ended.
 pub(super) async fn check(node: &Rc<Node>, upstream: &UpstreamName) {
     if is_recorded(node, upstream) {
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// Starts the run as a separate task, which outlives the link over which the attempt arrived_at:
+/// Starts the run as a separate task, which outlives the link over which the attempt came:
 /// the ledger keeps the answer for an entry whose link broke.
 pub(super) fn start(node: &Rc<Node>, attempt: Attempt) -> oneshot::Receiver<Ran> {
     let (tx, rx) = oneshot::channel();
--- a/crates/mesh/src/executor/slot.rs
+++ b/crates/mesh/src/executor/slot.rs
@@ -112,7 +112,7 @@
         };
         let waiting = node.executor.tables.borrow_mut().waiting.remove(&attempt);
         if let Some(tx) = waiting {
-            // If the receiver is dropped, the attempt's own guard is being dropped and
+            // If nobody receives it, the attempt's own guard is being dropped and
             // releases the slot.
             let _ = tx.send(decision);
         }
--- a/crates/mesh/src/executor/target.rs
+++ b/crates/mesh/src/executor/target.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Sends the attempt's request and waits for the answer. Dropping the future closes_connection the
+    /// Sends the attempt's request and waits for the answer. Dropping the future closes the
     /// connection, which tells the target that nobody waits any more.
     pub(super) async fn call(&self, attempt: &Attempt, left: Duration) -> TargetOutcome {
         let Some(mut req) = self.request(attempt, left) else {
--- a/crates/mesh/src/executor/target/pool.rs
+++ b/crates/mesh/src/executor/target/pool.rs
@@ -43,7 +43,7 @@
 
 type Req = Request<Full<Bytes>>;
 
-/// One connection. Dropping it closes_connection it.
+/// One connection. Dropping it closes it.
 pub(super) struct Connection {
     sender: SendRequest<Full<Bytes>>,
     driver: JoinHandle<()>,
--- a/crates/mesh/src/link/client.rs
+++ b/crates/mesh/src/link/client.rs
@@ -31,12 +31,12 @@
 const RECONNECT_DELAY: Duration = Duration::from_millis(250);
 
 /// Interval at which a link with pending requests is checked for silence, and the silence
-/// after which a ping is sent. A became_busy link is never silent for that long.
+/// after which a ping is sent. A busy link is never silent for that long.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Silence after which a link is closed. A connection can stop delivering data without an
 /// error, which only a timeout detects. It is longer than a daemon ever takes to answer a
-/// ping on a became_busy instance.
+/// ping on a busy instance.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Why a request got no reply.
--- a/crates/mesh/src/link/server.rs
+++ b/crates/mesh/src/link/server.rs
@@ -14,7 +14,7 @@
 
 use super::framing::{Outgoing, Reassembler};
 use super::{Reader, codec, decode, encode, write};
-use crate::executor::{self, Way};
+use crate::executor::{self, Origin};
 use crate::fleet;
 use crate::node::Node;
 use crate::quarantine;
@@ -78,7 +78,7 @@
         () = read(&connection, FramedRead::new(reader, codec())) => {}
     }
     let running = std::mem::take(&mut *connection.running.borrow_mut());
-    executor::orphaned(&node, running.into_values().collect());
+    executor::link_lost(&node, running.into_values().collect());
 }
 
 async fn read(connection: &Rc<Connection>, mut reader: Reader) {
@@ -177,10 +177,10 @@
 /// the attempt.
 fn run(connection: &Rc<Connection>, id: AskId, attempt: Attempt) {
     connection.running.borrow_mut().insert(id, attempt.id);
-    let begun = executor::begin(&connection.node, attempt, Way::Link);
+    let accepted = executor::accept(&connection.node, attempt, Origin::Link);
     let connection = Rc::clone(connection);
     ntex::rt::spawn(async move {
-        let ran = executor::ended(&connection.node, begun).await;
+        let ran = executor::wait(&connection.node, accepted).await;
         connection.running.borrow_mut().remove(&id);
         connection.reply(id, Reply::Ran(ran));
     });
--- a/crates/mesh/src/link/uplink.rs
+++ b/crates/mesh/src/link/uplink.rs
@@ -13,7 +13,7 @@
 /// for which callers wait with a short latency objective, are smaller than one step.
 const SIZE_STEP: usize = 32 << 10;
 
-/// SendOrder of the large messages of all links: by size in steps, smaller ones first, then by
+/// Order of the large messages of all links: by size in steps, smaller ones first, then by
 /// arrival. Answers are admitted only as the uplink can carry them, so the largest ones do
 /// not wait forever.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -33,7 +33,7 @@
     clock: Clock,
 }
 
-/// Guard of a message that waits for its wait_turn.
+/// Guard of a message that waits for its turn.
 struct ReadyGuard<'a> {
     uplink: &'a SharedUplink,
     order: SendOrder,
