--- a/crates/mesh/src/entry/attempt.rs
+++ b/crates/mesh/src/entry/attempt.rs
@@ -72,9 +72,9 @@
 ) -> AttemptOutcome {
     let mut guard = OutstandingGuard::new(node, call, upstream);
     let (outcome, occupancy) = attempt(node, call, upstream, place).await;
-    guard.seen = match placement_result(&outcome) {
+    guard.feedback = match feedback(&outcome) {
         Seen::Failed if !node.cfg.has(Mechanism::Ejection) => Seen::Nothing,
-        seen => seen,
+        feedback => feedback,
     };
     guard.occupancy = occupancy;
     outcome
@@ -265,7 +265,7 @@
 }
 
 /// What an attempt's end says about the target, for placement.
-fn placement_result(outcome: &AttemptOutcome) -> Seen {
+fn feedback(outcome: &AttemptOutcome) -> Seen {
     let refusal = match &outcome.end {
         End::Answered(answer) if answer.is_failure() => return Seen::Failed,
         End::Answered(_) => return Seen::Answered,
@@ -288,7 +288,7 @@
     node: &'a Node,
     call: &'a Call,
     upstream: &'a UpstreamName,
-    seen: Seen,
+    feedback: Seen,
     occupancy: Option<Occupancy>,
 }
 
@@ -300,7 +300,7 @@
             node,
             call,
             upstream,
-            seen: Seen::Nothing,
+            feedback: Seen::Nothing,
             occupancy: None,
         }
     }
@@ -312,8 +312,8 @@
         let service = &self.call.parts.service;
         let mut tables = self.node.entry.tables.borrow_mut();
         let placement = &mut tables.placement;
-        let (seen, occupancy) = (self.seen, self.occupancy);
-        let ejected = placement.finished(service, self.upstream, seen, occupancy, now);
+        let (feedback, occupancy) = (self.feedback, self.occupancy);
+        let ejected = placement.finished(service, self.upstream, feedback, occupancy, now);
         drop(tables);
         if let Some(time) = ejected {
             self.node.journal.count("targets.ejected");
--- a/crates/mesh/src/entry/quota.rs
+++ b/crates/mesh/src/entry/quota.rs
@@ -38,12 +38,12 @@
     let customer = &identity.customer;
     let verdict = match node.quotas.take(customer, node.clock.now()) {
         Taken::Token => Verdict::Granted,
-        Taken::Refused(pause) => Verdict::Refused(pause),
+        Taken::Refused(delay) => Verdict::Refused(delay),
         Taken::Ask => quota::wait(node, customer).await,
     };
     match verdict {
         Verdict::Granted => Ok(Charge(Some(customer.clone()))),
-        Verdict::Refused(pause) => Err(Refusal::retry(Reason::OverQuota, pause)),
+        Verdict::Refused(delay) => Err(Refusal::retry(Reason::OverQuota, delay)),
         Verdict::Unknown => Err(Refusal::retry(Reason::QuotaUnknown, HOME_UNREACHABLE_RETRY)),
     }
 }
--- a/crates/mesh/src/entry/respond.rs
+++ b/crates/mesh/src/entry/respond.rs
@@ -32,9 +32,9 @@
 pub(super) fn refused(refusal: &Refusal, is_last: bool) -> Response {
     let mut res = builder(status(refusal), is_last);
     if refusal.outcome() == Outcome::NotRun
-        && let Some(pause) = refusal.retry_after
+        && let Some(delay) = refusal.retry_after
     {
-        let seconds = pause.max(MIN_RETRY_DELAY).as_secs_f64();
+        let seconds = delay.max(MIN_RETRY_DELAY).as_secs_f64();
         res.header("retry-after", format!("{seconds:.3}"));
     }
     if refusal.reason == Reason::Unauthenticated {
--- a/crates/mesh/src/executor/confirm.rs
+++ b/crates/mesh/src/executor/confirm.rs
@@ -48,7 +48,7 @@
     });
 }
 
-/// The health path of the service in the active configuration, or the default one. `None`
+/// The health path of the service in the configuration in force, or the default one. `None`
 /// without a configuration.
 fn health_path(node: &Node, service: &SmolStr) -> Option<SmolStr> {
     let in_force = node.fleet.in_force()?;
--- a/crates/mesh/src/executor/heartbeat.rs
+++ b/crates/mesh/src/executor/heartbeat.rs
@@ -17,15 +17,15 @@
         return Heard::UnknownService;
     }
     let slots = beat.slots;
-    let heard = update_target(node, |target, now| target.hear(beat, now));
-    if heard == Heard::Taken {
+    let outcome = update_target(node, |target, now| target.hear(beat, now));
+    if outcome == Heard::Taken {
         node.executor.tables.borrow_mut().queue.set_slots(slots);
     }
     ask_target(node);
-    heard
+    outcome
 }
 
-/// Whether the active configuration has the service of the heartbeat. Without a
+/// Whether the configuration in force has the service of the heartbeat. Without a
 /// configuration every service is accepted. Without this check, a heartbeat that another
 /// process sends under the target's id would take the target out of its service until the
 /// target's next heartbeat.
@@ -38,13 +38,13 @@
 
 /// Deregisters the target that has this id, or the generation of it that started at `born`.
 pub(crate) fn target_left(node: &Node, id: &str, born: Option<Birth>) {
-    let life = node
+    let generation = node
         .executor
         .tables
         .borrow()
         .local_target
         .life_meant(id, born);
-    leave(node, &life);
+    leave(node, &generation);
 }
 
 /// Marks a generation of the target as leaving. It deregistered at this process or at the
--- a/crates/mesh/src/executor/process_exit.rs
+++ b/crates/mesh/src/executor/process_exit.rs
@@ -38,8 +38,8 @@
     }
     let (node, upstream) = (Rc::clone(node), upstream.clone());
     ntex::rt::spawn(async move {
-        for pause in RECHECK_DELAYS {
-            sleep(pause).await;
+        for delay in RECHECK_DELAYS {
+            sleep(delay).await;
             if !node.executor.target.still_listens().await {
                 record(&node, &upstream, &fingerprints);
                 return;
--- a/crates/mesh/src/link/client.rs
+++ b/crates/mesh/src/link/client.rs
@@ -221,7 +221,7 @@
 impl Drop for PendingGuard<'_> {
     fn drop(&mut self) {
         self.link.pending.borrow_mut().remove(&self.id);
-        // Pieces of a large request may not have been sent yet.
+        // Chunks of a large request may not have been sent yet.
         let _ = self.link.queue.send(Outgoing::Abort(self.id));
         self.link.send(self.id, &ToServer::Cancel(self.id));
     }
--- a/crates/mesh/src/link/framing.rs
+++ b/crates/mesh/src/link/framing.rs
@@ -1,4 +1,4 @@
-//! Encodes messages as frames: small messages as one frame, large ones as several pieces,
+//! Encodes messages as frames: small messages as one frame, large ones as several chunks,
 //! with frames of other messages in between.
 //!
 //! An answer of half a megabyte in a single frame would delay every other answer on its
@@ -15,15 +15,15 @@
 
 /// First byte of a frame that holds a complete message.
 const WHOLE: u8 = 0;
-/// First byte of a frame that holds a piece of a message, but not the last one.
-const PIECE: u8 = 1;
-/// First byte of a frame that holds the last piece of a message.
-const LAST_PIECE: u8 = 2;
+/// First byte of a frame that holds a chunk of a message, but not the last one.
+const CHUNK: u8 = 1;
+/// First byte of a frame that holds the last chunk of a message.
+const LAST_CHUNK: u8 = 2;
 /// First byte of a frame which says that the rest of a message is not sent any more.
 const ABORTED: u8 = 3;
 
-/// Length of the header of a piece: the kind of frame and the request's id.
-const PIECE_HEADER: usize = 1 + size_of::<u64>();
+/// Length of the header of a chunk: the kind of frame and the request's id.
+const CHUNK_HEADER: usize = 1 + size_of::<u64>();
 
 /// Limit on the incomplete messages of one link. A daemon has fewer calls in flight at one
 /// peer.
@@ -35,13 +35,13 @@
     /// A message of this request: the request or its reply.
     Message(AskId, Bytes),
     /// A message that is sent before large answers and does not wait for room on the uplink.
-    /// Used for configurations, which have to become active within seconds.
+    /// Used for configurations, which have to be in force within seconds.
     Urgent(AskId, Bytes),
     /// Nobody waits for the message of this request any more.
     Abort(AskId),
 }
 
-/// A message that is sent in pieces.
+/// A message that is sent in chunks.
 struct Large {
     id: AskId,
     rest: Bytes,
@@ -75,8 +75,8 @@
     }
 
     fn push_message(&mut self, id: AskId, bytes: Bytes, is_urgent: bool) {
-        let piece = self.uplink.read(stoatstep_calls::Uplink::piece_bytes);
-        if bytes.len() <= piece {
+        let chunk_bytes = self.uplink.read(stoatstep_calls::Uplink::piece_bytes);
+        if bytes.len() <= chunk_bytes {
             self.small.push_back(frame(WHOLE, None, &bytes));
             return;
         }
@@ -111,7 +111,7 @@
         !self.large.is_empty()
     }
 
-    /// Waits until the next piece may be sent.
+    /// Waits until the next chunk may be sent.
     pub(super) async fn wait_turn(&self) {
         match self.large.front() {
             Some(large) if !large.is_urgent => self.uplink.wait_turn(large.order).await,
@@ -126,19 +126,19 @@
         Some(frame)
     }
 
-    /// The next piece of a large message. Messages are sent one after the other: if they took
+    /// The next chunk of a large message. Messages are sent one after the other: if they took
     /// turns, all of them would be late.
-    pub(super) fn next_piece(&mut self) -> Option<Bytes> {
+    pub(super) fn next_chunk(&mut self) -> Option<Bytes> {
         let size = self.uplink.read(stoatstep_calls::Uplink::piece_bytes);
         let large = self.large.front_mut()?;
-        let piece = large.rest.split_to(size.min(large.rest.len()));
+        let chunk = large.rest.split_to(size.min(large.rest.len()));
         let is_last = large.rest.is_empty();
-        let kind = if is_last { LAST_PIECE } else { PIECE };
-        let frame = frame(kind, Some(large.id), &piece);
+        let kind = if is_last { LAST_CHUNK } else { CHUNK };
+        let frame = frame(kind, Some(large.id), &chunk);
         if is_last {
             self.large.pop_front();
         }
-        self.uplink.record_dequeued(piece.len());
+        self.uplink.record_dequeued(chunk.len());
         self.uplink.record_sent(frame.len());
         Some(frame)
     }
@@ -153,7 +153,7 @@
 }
 
 fn frame(kind: u8, id: Option<AskId>, bytes: &[u8]) -> Bytes {
-    let mut frame = BytesMut::with_capacity(PIECE_HEADER + bytes.len());
+    let mut frame = BytesMut::with_capacity(CHUNK_HEADER + bytes.len());
     frame.put_u8(kind);
     if let Some(id) = id {
         frame.put_u64(id);
@@ -166,7 +166,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct BadFrame;
 
-/// Reassembles large messages from their pieces.
+/// Reassembles large messages from their chunks.
 #[derive(Default)]
 pub(super) struct Reassembler {
     incomplete: HashMap<AskId, BytesMut>,
@@ -184,12 +184,12 @@
         if kind == WHOLE {
             return Ok(Some(frame.split_off(1)));
         }
-        let head = frame.get(1..PIECE_HEADER).and_then(|it| it.try_into().ok());
+        let head = frame.get(1..CHUNK_HEADER).and_then(|it| it.try_into().ok());
         let id = AskId::from_be_bytes(head.ok_or(BadFrame)?);
-        let bytes = frame.split_off(PIECE_HEADER);
+        let bytes = frame.split_off(CHUNK_HEADER);
         match kind {
-            PIECE => self.append(id, &bytes).map(|()| None),
-            LAST_PIECE => {
+            CHUNK => self.append(id, &bytes).map(|()| None),
+            LAST_CHUNK => {
                 self.append(id, &bytes)?;
                 Ok(self.incomplete.remove(&id).map(BytesMut::freeze))
             }
--- a/crates/mesh/src/link/mod.rs
+++ b/crates/mesh/src/link/mod.rs
@@ -4,7 +4,7 @@
 //! One connection per call in flight, as HTTP/1.1 needs, would cost a wake-up and several
 //! system calls more per call, and cancelling a call would mean closing its connection.
 //! Libraries provide the frames and the encoding of messages. Large messages are split by
-//! [`framing`] into pieces, which are sent at the rate of the instance's uplink.
+//! [`framing`] into chunks, which are sent at the rate of the instance's uplink.
 //!
 //! [`client`] is the end that sends requests, [`server`] the one that replies.
 
@@ -51,7 +51,7 @@
 }
 
 /// Writes messages until the link closes. Small messages that are queued are sent in one
-/// write, pieces of large ones as the instance's uplink has room.
+/// write, chunks of large ones as the instance's uplink has room.
 async fn write(
     mut writer: Writer,
     mut queue: UnboundedReceiver<Outgoing>,
@@ -71,10 +71,10 @@
                 }
             }
             () = send_queue.wait_turn(), if send_queue.has_large() => {
-                let Some(piece) = send_queue.next_piece() else {
+                let Some(chunk) = send_queue.next_chunk() else {
                     continue;
                 };
-                if writer.feed(piece).await.is_err() {
+                if writer.feed(chunk).await.is_err() {
                     return;
                 }
             }
--- a/crates/mesh/src/link/server.rs
+++ b/crates/mesh/src/link/server.rs
@@ -191,6 +191,6 @@
     if let Some(attempt) = attempt {
         executor::cancel(&connection.node, attempt);
     }
-    // Pieces of its reply may not have been sent yet.
+    // Chunks of its reply may not have been sent yet.
     let _ = connection.queue.send(Outgoing::Abort(id));
 }
--- a/crates/mesh/src/link/uplink.rs
+++ b/crates/mesh/src/link/uplink.rs
@@ -26,7 +26,7 @@
 pub(crate) struct SharedUplink {
     state: RefCell<Uplink>,
     next_number: Cell<u64>,
-    /// Messages whose connections could send a piece now.
+    /// Messages whose connections could send a chunk now.
     ready: RefCell<BTreeSet<SendOrder>>,
     /// Wakes the messages that wait for another one.
     ready_changed: Notify,
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Waits until the next piece of this message may be sent: when the uplink is free and no
-    /// message that comes before it could send a piece on its own link.
+    /// Waits until the next chunk of this message may be sent: when the uplink is free and no
+    /// message that comes before it could send a chunk on its own link.
     ///
     /// If messages took turns, every answer would take as long as all of them together, and
     /// most would be late. One after the other, the first ones are in time. A message whose
