--- a/crates/mesh/src/executor/confirm.rs
+++ b/crates/mesh/src/executor/confirm.rs
@@ -24,7 +24,7 @@
 
 /// Sends a health request if a generation of the target is unconfirmed. Called at each
 /// heartbeat and at each tick, so that a request without an answer is repeated.
-pub(crate) fn ask_target(node: &Rc<Node>) {
+pub(crate) fn confirm_target(node: &Rc<Node>) {
     if node.executor.is_confirming.get() {
         return;
     }
--- a/crates/mesh/src/executor/heartbeat.rs
+++ b/crates/mesh/src/executor/heartbeat.rs
@@ -7,12 +7,12 @@
 use stoatstep_membership::{Birth, Heard, Heartbeat, LocalTarget};
 use stoatstep_telemetry::fields;
 
-use super::{ask_target, slot};
+use super::{confirm_target, slot};
 use crate::node::Node;
 
 /// Processes a heartbeat of the target. If it says that the target drains, no call is sent
 /// to the target after this returns, so that the drain may be acknowledged.
-pub(crate) fn hear(node: &Rc<Node>, beat: Heartbeat) -> Heard {
+pub(crate) fn handle_heartbeat(node: &Rc<Node>, beat: Heartbeat) -> Heard {
     if !has_known_service(node, &beat) {
         return Heard::UnknownService;
     }
@@ -21,7 +21,7 @@
     if outcome == Heard::Taken {
         node.executor.tables.borrow_mut().queue.set_slots(slots);
     }
-    ask_target(node);
+    confirm_target(node);
     outcome
 }
 
@@ -37,19 +37,19 @@
 }
 
 /// Deregisters the target that has this id, or the generation of it that started at `born`.
-pub(crate) fn target_left(node: &Node, id: &str, born: Option<Birth>) {
+pub(crate) fn deregister_target(node: &Node, id: &str, born: Option<Birth>) {
     let generation = node
         .executor
         .tables
         .borrow()
         .local_target
         .life_meant(id, born);
-    leave(node, &generation);
+    mark_leaving(node, &generation);
 }
 
 /// Marks a generation of the target as leaving. It deregistered at this process or at the
 /// previous one.
-pub(crate) fn leave(node: &Node, upstream: &str) {
+pub(crate) fn mark_leaving(node: &Node, upstream: &str) {
     let is_new = update_target(node, |target, _| target.leave(upstream));
     if is_new {
         slog::info!(node.log, "target leaves"; fields::UPSTREAM => upstream);
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -34,9 +34,9 @@
 use crate::node::Node;
 use crate::quarantine;
 use crate::wire::{Attempt, CallParts, End, Ran, WireSettled};
-pub(crate) use confirm::ask_target;
+pub(crate) use confirm::confirm_target;
 use heartbeat::update_target;
-pub(crate) use heartbeat::{hear, leave, target_left};
+pub(crate) use heartbeat::{deregister_target, handle_heartbeat, mark_leaving};
 use target::Target;
 
 /// Slots of the target until its first heartbeat states their number.
@@ -139,7 +139,7 @@
     }
 
     /// Whether the target accepts calls now.
-    pub(crate) fn takes_calls(&self, now: stoatstep_calls::Time) -> bool {
+    pub(crate) fn accepts_calls(&self, now: stoatstep_calls::Time) -> bool {
         self.tables.borrow().local_target.admits(now).is_some()
     }
 
@@ -344,12 +344,12 @@
     let now = node.clock.now();
     node.executor.tables.borrow_mut().ledger.tick(now);
     node.executor.target.close_expired();
-    ask_target(node);
+    confirm_target(node);
     slot::dispatch_waiting(node);
 }
 
 /// Empties the queue after a suspension of the instance: the callers of the waiting calls
 /// have given up meanwhile.
-pub(crate) fn woke(node: &Node) {
+pub(crate) fn resumed(node: &Node) {
     slot::flush(node, Reason::Woke);
 }
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -211,7 +211,7 @@
                     fields::ZONE => %zone, fields::REACHABLE => reachable);
             }
             Action::Woke { gap } => woke(node, gap),
-            Action::TargetDrained(upstream) => executor::leave(node, &upstream),
+            Action::TargetDrained(upstream) => executor::mark_leaving(node, &upstream),
             Action::Superseded { birth } => {
                 slog::error!(node.log, "a newer process runs under this id"; fields::BIRTH => birth);
                 drain::begin(node);
@@ -245,7 +245,7 @@
 /// The instance was suspended. Everything that waits here is old.
 fn woke(node: &Rc<Node>, gap: Duration) {
     slog::warn!(node.log, "woke from a suspension"; fields::GAP_MS => gap.as_millis());
-    executor::woke(node);
+    executor::resumed(node);
     node.links.close_all();
     node.fleet.woke.notify_waiters();
 }
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -173,7 +173,7 @@
     node.journal
         .gauge("queue.running", occupancy.running.into());
     node.journal.gauge("queue.waiting", occupancy.queued.into());
-    let takes_calls = node.executor.takes_calls(node.clock.now());
+    let takes_calls = node.executor.accepts_calls(node.clock.now());
     node.journal.gauge("target.takes_calls", takes_calls.into());
     let follows_host = role::follows_host(node);
     node.journal.gauge("host.followed", follows_host.into());
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -56,7 +56,7 @@
     gossip::input(node, Input::Holds(mark));
     tell(node, source);
     // The first configuration names the path at which targets are asked.
-    executor::ask_target(node);
+    executor::confirm_target(node);
     true
 }
 
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -121,7 +121,7 @@
     /// no further call goes to a target that drains.
     #[must_use = "a stale heartbeat is acked like any other, but may be worth a log line"]
     pub fn hear(&self, beat: Heartbeat) -> Heard {
-        let heard = executor::hear(&self.0, beat);
+        let heard = executor::handle_heartbeat(&self.0, beat);
         gossip::target_changed(&self.0);
         heard
     }
@@ -129,7 +129,7 @@
     /// The target with this id said good-bye, for the life that began at `born` where
     /// it tells. Once this returns, no further call goes to that life.
     pub fn target_left(&self, id: &str, born: Option<Birth>) {
-        executor::target_left(&self.0, id, born);
+        executor::deregister_target(&self.0, id, born);
         gossip::target_changed(&self.0);
     }
 
