--- a/crates/mesh/src/executor/slot.rs
+++ b/crates/mesh/src/executor/slot.rs
@@ -1,4 +1,4 @@
-//! Slots of the target: waiting for one, and giving it back.
+//! Slots of the target: waits for one in the queue, and releases it.
 
 use std::rc::Rc;
 
@@ -12,8 +12,8 @@
 use crate::node::Node;
 use crate::wire::Attempt;
 
-/// A slot, or a place in the queue. Dropping it gives back whichever it is, so
-/// that a run that is cancelled at any point cannot leak a slot.
+/// Guard of a slot or a place in the queue. Dropping it releases either, so that a run that
+/// is cancelled at any point cannot leak a slot.
 pub(super) struct Slot {
     node: Rc<Node>,
     attempt: AttemptId,
@@ -21,7 +21,8 @@
 }
 
 impl Slot {
-    /// The run ended by itself: its time counts for the estimate.
+    /// Releases the slot of a run that was answered, whose time counts for the estimate of
+    /// run times.
     pub(super) fn finish(mut self) {
         self.is_measured = true;
     }
@@ -38,11 +39,11 @@
             tables.queue.release_unmeasured(self.attempt);
         }
         drop(tables);
-        pump(&self.node);
+        dispatch_waiting(&self.node);
     }
 }
 
-/// Takes a slot, waiting for it where that is worthwhile.
+/// Takes a slot, waiting for it if the queue accepts the attempt.
 pub(super) async fn take(
     node: &Rc<Node>,
     attempt: &Attempt,
@@ -61,8 +62,8 @@
         objective,
         expires: deadline.expires(),
     };
-    let (verdict, pushed_out) = offer(node, ask, now);
-    deliver(node, pushed_out);
+    let (verdict, evicted) = offer(node, ask, now);
+    deliver(node, evicted);
     if let AdmissionDecision::Refused(refusal) = verdict {
         return Err(refusal);
     }
@@ -88,18 +89,18 @@
         .borrow_mut()
         .waiting
         .insert(attempt, tx);
-    let gone = Refusal::retry(Reason::Overload, QUEUE_RETRY);
-    rx.await.unwrap_or(Err(gone))
+    let dropped = Refusal::retry(Reason::Overload, QUEUE_RETRY);
+    rx.await.unwrap_or(Err(dropped))
 }
 
-/// Starts and refuses what waits, as the queue decides now.
-pub(super) fn pump(node: &Node) {
+/// Starts or refuses waiting attempts, as the queue decides now.
+pub(super) fn dispatch_waiting(node: &Node) {
     let now = node.clock.now();
     let dispatches = node.executor.tables.borrow_mut().queue.next(now);
     deliver(node, dispatches);
 }
 
-/// Refuses all that waits.
+/// Refuses all waiting attempts.
 pub(super) fn flush(node: &Node, reason: Reason) {
     let dispatches = node.executor.tables.borrow_mut().queue.flush(reason);
     deliver(node, dispatches);
@@ -107,15 +108,15 @@
 
 fn deliver(node: &Node, dispatches: Vec<Dispatch>) {
     for dispatch in dispatches {
-        let (attempt, word) = match dispatch {
+        let (attempt, decision) = match dispatch {
             Dispatch::Run(attempt) => (attempt, Ok(())),
             Dispatch::Refused(attempt, refusal) => (attempt, Err(refusal)),
         };
         let waiting = node.executor.tables.borrow_mut().waiting.remove(&attempt);
         if let Some(tx) = waiting {
-            // Where nobody listens any more, the waiter's own slot is being
-            // dropped and gives the place back.
-            let _ = tx.send(word);
+            // If nobody receives it, the attempt's own guard is being dropped and
+            // releases the slot.
+            let _ = tx.send(decision);
         }
     }
 }
--- /dev/null
+++ b/crates/mesh/src/link/framing.rs
@@ -0,0 +1,216 @@
+//! Encodes messages as frames: small messages as one frame, large ones as several chunks,
+//! with frames of other messages in between.
+//!
+//! An answer of half a megabyte in a single frame would delay every other answer on its
+//! link, and the replies to pings by which the peer knows that the link works.
+
+use std::collections::{HashMap, VecDeque};
+use std::rc::Rc;
+
+use bytes::{BufMut, Bytes, BytesMut};
+
+use super::MAX_FRAME;
+use super::uplink::{SendOrder, SharedUplink};
+use crate::wire::AskId;
+
+/// First byte of a frame that holds a complete message.
+const WHOLE: u8 = 0;
+/// First byte of a frame that holds a chunk of a message, but not the last one.
+const CHUNK: u8 = 1;
+/// First byte of a frame that holds the last chunk of a message.
+const LAST_CHUNK: u8 = 2;
+/// First byte of a frame which says that the rest of a message is not sent any more.
+const ABORTED: u8 = 3;
+
+/// Length of the header of a chunk: the kind of frame and the request's id.
+const CHUNK_HEADER: usize = 1 + size_of::<u64>();
+
+/// Limit on the incomplete messages of one link. A daemon has fewer calls in flight at one
+/// peer.
+const MAX_INCOMPLETE: usize = 1024;
+
+/// An entry in the queue of a link's writer.
+#[derive(Clone, Debug)]
+pub(super) enum Outgoing {
+    /// A message of this request: the request or its reply.
+    Message(AskId, Bytes),
+    /// A message that is sent before large answers and does not wait for room on the uplink.
+    /// Used for configurations, which have to be in force within seconds.
+    Urgent(AskId, Bytes),
+    /// Nobody waits for the message of this request any more.
+    Abort(AskId),
+}
+
+/// A message that is sent in chunks.
+struct Large {
+    id: AskId,
+    rest: Bytes,
+    is_urgent: bool,
+    order: SendOrder,
+}
+
+/// The frames and large messages that wait to be sent on one link.
+pub(super) struct SendQueue {
+    uplink: Rc<SharedUplink>,
+    small: VecDeque<Bytes>,
+    /// In the order in which they are sent.
+    large: VecDeque<Large>,
+}
+
+impl SendQueue {
+    pub(super) fn new(uplink: Rc<SharedUplink>) -> Self {
+        Self {
+            uplink,
+            small: VecDeque::new(),
+            large: VecDeque::new(),
+        }
+    }
+
+    pub(super) fn push(&mut self, outgoing: Outgoing) {
+        match outgoing {
+            Outgoing::Message(id, bytes) => self.push_message(id, bytes, false),
+            Outgoing::Urgent(id, bytes) => self.push_message(id, bytes, true),
+            Outgoing::Abort(id) => self.abort(id),
+        }
+    }
+
+    fn push_message(&mut self, id: AskId, bytes: Bytes, is_urgent: bool) {
+        let chunk_bytes = self.uplink.read(stoatstep_calls::Uplink::chunk_bytes);
+        if bytes.len() <= chunk_bytes {
+            self.small.push_back(frame(WHOLE, None, &bytes));
+            return;
+        }
+        self.uplink.record_queued(bytes.len());
+        let large = Large {
+            id,
+            order: self.uplink.next_order(bytes.len()),
+            rest: bytes,
+            is_urgent,
+        };
+        let sort_key = |it: &Large| (!it.is_urgent, it.order);
+        let ahead = self
+            .large
+            .iter()
+            .take_while(|it| sort_key(it) < sort_key(&large));
+        let at = ahead.count();
+        self.large.insert(at, large);
+    }
+
+    /// Drops the rest of a large message, which would only delay others: nobody waits for it.
+    fn abort(&mut self, id: AskId) {
+        let Some(at) = self.large.iter().position(|it| it.id == id) else {
+            return;
+        };
+        if let Some(large) = self.large.remove(at) {
+            self.uplink.record_dequeued(large.rest.len());
+            self.small.push_back(frame(ABORTED, Some(id), &[]));
+        }
+    }
+
+    pub(super) fn has_large(&self) -> bool {
+        !self.large.is_empty()
+    }
+
+    /// Waits until the next chunk may be sent.
+    pub(super) async fn wait_turn(&self) {
+        match self.large.front() {
+            Some(large) if !large.is_urgent => self.uplink.wait_turn(large.order).await,
+            Some(_) | None => {}
+        }
+    }
+
+    /// The next frame that need not wait for room on the uplink.
+    pub(super) fn next_small(&mut self) -> Option<Bytes> {
+        let frame = self.small.pop_front()?;
+        self.uplink.record_sent(frame.len());
+        Some(frame)
+    }
+
+    /// The next chunk of a large message. Messages are sent one after the other: if they took
+    /// turns, all of them would be late.
+    pub(super) fn next_chunk(&mut self) -> Option<Bytes> {
+        let size = self.uplink.read(stoatstep_calls::Uplink::chunk_bytes);
+        let large = self.large.front_mut()?;
+        let chunk = large.rest.split_to(size.min(large.rest.len()));
+        let is_last = large.rest.is_empty();
+        let kind = if is_last { LAST_CHUNK } else { CHUNK };
+        let frame = frame(kind, Some(large.id), &chunk);
+        if is_last {
+            self.large.pop_front();
+        }
+        self.uplink.record_dequeued(chunk.len());
+        self.uplink.record_sent(frame.len());
+        Some(frame)
+    }
+}
+
+impl Drop for SendQueue {
+    fn drop(&mut self) {
+        for large in &self.large {
+            self.uplink.record_dequeued(large.rest.len());
+        }
+    }
+}
+
+fn frame(kind: u8, id: Option<AskId>, bytes: &[u8]) -> Bytes {
+    let mut frame = BytesMut::with_capacity(CHUNK_HEADER + bytes.len());
+    frame.put_u8(kind);
+    if let Some(id) = id {
+        frame.put_u64(id);
+    }
+    frame.put_slice(bytes);
+    frame.freeze()
+}
+
+/// A frame that does not follow the protocol.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct BadFrame;
+
+/// Reassembles large messages from their chunks.
+#[derive(Default)]
+pub(super) struct Reassembler {
+    incomplete: HashMap<AskId, BytesMut>,
+}
+
+impl Reassembler {
+    /// Processes a frame and returns the message that it completes, if any.
+    ///
+    /// # Errors
+    ///
+    /// Fails if no daemon of this build sends such a frame. The caller closes the link then.
+    pub(super) fn process(&mut self, frame: BytesMut) -> Result<Option<Bytes>, BadFrame> {
+        let mut frame = frame.freeze();
+        let kind = *frame.first().ok_or(BadFrame)?;
+        if kind == WHOLE {
+            return Ok(Some(frame.split_off(1)));
+        }
+        let head = frame.get(1..CHUNK_HEADER).and_then(|it| it.try_into().ok());
+        let id = AskId::from_be_bytes(head.ok_or(BadFrame)?);
+        let bytes = frame.split_off(CHUNK_HEADER);
+        match kind {
+            CHUNK => self.append(id, &bytes).map(|()| None),
+            LAST_CHUNK => {
+                self.append(id, &bytes)?;
+                Ok(self.incomplete.remove(&id).map(BytesMut::freeze))
+            }
+            ABORTED => {
+                self.incomplete.remove(&id);
+                Ok(None)
+            }
+            _ => Err(BadFrame),
+        }
+    }
+
+    fn append(&mut self, id: AskId, bytes: &[u8]) -> Result<(), BadFrame> {
+        let is_known = self.incomplete.contains_key(&id);
+        if !is_known && self.incomplete.len() >= MAX_INCOMPLETE {
+            return Err(BadFrame);
+        }
+        let message = self.incomplete.entry(id).or_default();
+        if message.len() + bytes.len() > MAX_FRAME {
+            return Err(BadFrame);
+        }
+        message.extend_from_slice(bytes);
+        Ok(())
+    }
+}
