--- a/crates/mesh/src/clock.rs
+++ b/crates/mesh/src/clock.rs
@@ -1,4 +1,4 @@
-//! Clock readings for the tables.
+//! Clock readings for the state machines.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
@@ -7,10 +7,9 @@
 
 /// The clock of this process.
 ///
-/// It goes on while the instance is suspended, which the usual steady clock
-/// does not. By that one a process that slept for seconds would take the
-/// deadlines, queues and news that it holds for fresh, and run calls whose
-/// callers had been told long ago that they did not run.
+/// It keeps running while the instance is suspended, unlike the usual monotonic clock. With that
+/// one, a process that was suspended for seconds would consider its deadlines, queues and state
+/// fresh, and run calls whose callers had been told long ago that they did not run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     started: Duration,
@@ -34,7 +33,7 @@
     reading.map_or(Duration::ZERO, Duration::from)
 }
 
-/// The time of day, which numbers the lives of this instance.
+/// The time of day, from which the incarnations of this instance are numbered.
 pub(crate) fn unix_time() -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default()
--- a/crates/mesh/src/config.rs
+++ b/crates/mesh/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, which its host's adapter fills in.
+//! Settings of the daemon, which the adapter to its environment fills in.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,29 +10,27 @@
 use crate::dialect::Dialect;
 use crate::mechanism::Mechanism;
 
-/// Time between two heartbeats of a target, unless the host says otherwise.
+/// Default time between two heartbeats of a target.
 const HEARTBEAT: Duration = Duration::from_secs(1);
 
-/// Time between the request to stop and the end by force, unless the host says
-/// otherwise.
+/// Default time between the request to stop and the forced end of the process.
 const GRACE: Duration = Duration::from_secs(10);
 
-/// Time in which a version has to be in force, unless the host says otherwise, and the
-/// shortest one that is gone by.
+/// Default time within which a version has to be in force, and the shortest one that can be set.
 const APPLY_WITHIN: Duration = Duration::from_secs(2);
 const SHORTEST_APPLY: Duration = Duration::from_millis(500);
 
-/// Part of a service's calls that a bad version may get, unless the host says otherwise.
+/// Default share of a service's calls that a bad version may get.
 const EXPOSURE: f64 = 0.1;
 
-/// Where a daemon listens, and where its target does.
+/// Addresses of a daemon and of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Addresses {
-    /// Callers on this instance connect here, and the target for its own calls.
+    /// Listening address for callers on this instance, and for the target's own calls.
     pub callers: SocketAddr,
-    /// Other daemons connect here.
+    /// Listening address for other daemons.
     pub peers: SocketAddr,
-    /// The target.
+    /// Address of the target.
     pub target: SocketAddr,
 }
 
@@ -58,18 +56,17 @@
     pub(crate) apply_within: Duration,
 }
 
-/// What all daemons together may add to a service's load by retries.
+/// Limit on the load that the retries of all daemons together add to a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct RetryBounds {
-    /// Retries for each hundred requests.
+    /// Retries per hundred requests.
     pub(crate) percent: u32,
-    /// Retries on top, over all daemons.
+    /// Additional retries, over all daemons.
     pub(crate) slack: u32,
 }
 
 impl MeshConfig {
-    /// Settings of the daemon of `instance` in `zone`, beside a target of
-    /// `service`.
+    /// Settings of the daemon of `instance` in `zone`, beside a target of `service`.
     #[must_use]
     pub fn new(
         instance: InstanceId,
@@ -109,31 +106,31 @@
         self
     }
 
-    /// Time between two heartbeats of the target. Default 1 s. After a few of
-    /// them without one the target counts as gone.
+    /// Time between two heartbeats of the target. Default 1 s. The target counts as gone after a
+    /// few of them are missing.
     #[must_use]
     pub fn heartbeat(mut self, interval: Duration) -> Self {
         self.heartbeat = interval;
         self
     }
 
-    /// Time from the request to stop until the process is ended by force.
-    /// Default 10 s. Calls in flight get nearly all of it.
+    /// Time from the request to stop until the process is ended by force. Default 10 s. Calls in
+    /// flight get nearly all of it.
     #[must_use]
     pub fn grace(mut self, grace: Duration) -> Self {
         self.grace = grace;
         self
     }
 
-    /// Where metrics are served as text. Default: nowhere.
+    /// Address at which metrics are served as text. Default: none.
     #[must_use]
     pub fn metrics(mut self, addr: SocketAddr) -> Self {
         self.metrics = Some(addr);
         self
     }
 
-    /// Mechanisms that are switched off. Default: none. Each one measured is worth what
-    /// `docs/design/further.md` says.
+    /// Mechanisms that are switched off. Default: none. `docs/design/further.md` lists the measured
+    /// effect of each.
     #[must_use]
     pub fn without(mut self, mechanisms: BTreeSet<Mechanism>) -> Self {
         self.without = mechanisms;
@@ -144,58 +141,58 @@
         !self.without.contains(&mechanism)
     }
 
-    /// What the instance's link carries, in bytes a second. Default: not known, and large
-    /// answers are sent as fast as connections take them.
+    /// Capacity of the instance's link, in bytes per second. Default: unknown, and large answers
+    /// are sent as fast as connections accept them.
     #[must_use]
     pub fn link(mut self, bytes_per_s: f64) -> Self {
         self.link_bytes_per_s = Some(bytes_per_s);
         self
     }
 
-    /// Whether the whole fleet starts for the first time, before it has callers. Default:
-    /// no. Daemons then take their time over finding each other, and ask the host less.
+    /// Whether the whole fleet starts for the first time, before it has callers. Default: no.
+    /// Daemons then take longer to find each other, and send fewer requests to the control plane.
     #[must_use]
     pub fn first_start(mut self, is_first_start: bool) -> Self {
         self.is_first_start = is_first_start;
         self
     }
 
-    /// Part of a service's calls that a bad version may get between the order for its
-    /// roll-out and the deadline. Default 0.1. With less, the last step begins later.
+    /// Share of a service's calls that a bad version may get between the order for its roll-out and
+    /// the deadline. Default 0.1. With a smaller share, the last step begins later.
     #[must_use]
     pub fn exposure(mut self, share: f64) -> Self {
         self.exposure = share;
         self
     }
 
-    /// Longest time for which a key may open something after it was taken away, also at a
-    /// daemon that the host cannot reach. Default: no bound, and a daemon that is cut off
-    /// goes by what it holds.
+    /// Longest time for which a key may still be accepted after it was revoked, also at a daemon
+    /// that cannot reach the control plane. Default: no bound, and a daemon that is cut off keeps
+    /// using the configuration that it holds.
     #[must_use]
     pub fn key_lifetime(mut self, bound: Duration) -> Self {
         self.key_lifetime = Some(bound);
         self
     }
 
-    /// Time in which a version of the configuration has to be in force. Default 2 s. The
-    /// daemon finds out within it that those who tell it of versions are gone; a shorter
-    /// one costs more questions to them.
+    /// Time within which a version of the configuration has to be in force. Default 2 s. The daemon
+    /// detects within it that the followers of its zone are gone; a shorter time costs more
+    /// requests to them.
     #[must_use]
     pub fn apply_within(mut self, bound: Duration) -> Self {
         self.apply_within = bound.max(SHORTEST_APPLY);
         self
     }
 
-    /// Availability zones of the whole fleet, among which quotas are divided. Default 1. It
-    /// has to be the same at all daemons, and must not be too low.
+    /// Number of availability zones of the whole fleet, among which quotas are divided. Default 1.
+    /// It has to be the same at all daemons, and must not be too low.
     #[must_use]
     pub fn zones(mut self, zones: usize) -> Self {
         self.zones = zones.max(1);
         self
     }
 
-    /// What all daemons together may add to a service's load by retries: this
-    /// many for each hundred requests, and `slack` on top. Default 20 and 10.
+    /// Limit on the load that the retries of all daemons together add to a service: `percent`
+    /// retries per hundred requests, plus `slack`. Default 20 and 10.
     #[must_use]
     pub fn retries(mut self, percent: u32, slack: u32) -> Self {
         self.retries = RetryBounds { percent, slack };
--- a/crates/mesh/src/drain.rs
+++ b/crates/mesh/src/drain.rs
@@ -1,5 +1,5 @@
-//! Graceful stop of this daemon. What it still takes, and when it may end, is
-//! decided by [`Departure`](stoatstep_calls::Departure).
+//! Graceful stop of this daemon. [`Departure`](stoatstep_calls::Departure) decides what it still
+//! accepts, and when it may end.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use crate::node::Node;
 use stoatstep_telemetry::fields;
 
-/// How often it is looked whether all calls are answered.
+/// How often the calls in flight are checked.
 const POLL: Duration = Duration::from_millis(50);
 
-/// One call that was taken and not yet answered.
+/// Counts a call as in flight until it is dropped.
 pub(crate) struct InFlight(Rc<Node>);
 
 impl InFlight {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Begins the stop; a second call changes nothing.
+/// Begins the graceful stop. Further calls have no effect.
 pub(crate) fn begin(node: &Rc<Node>) {
     if node.is_leaving() {
         return;
@@ -40,11 +40,11 @@
     fleet::gossip::leave(node);
 }
 
-/// Ends when the process may end.
+/// Returns once the process may end.
 pub(crate) async fn finished(node: &Node) {
     let may_end = || {
         let departure = node.departure.get();
-        // An answer that waits to be written counts like a call that is not answered.
+        // An answer that is not yet written counts like an unanswered call.
         let unwritten = u32::from(!node.unwritten.is_empty());
         departure.may_end(node.in_flight.get() + unwritten, node.clock.now())
     };
--- a/crates/mesh/src/fleet/configuration.rs
+++ b/crates/mesh/src/fleet/configuration.rs
@@ -1,4 +1,5 @@
-//! Following the host's configuration. What comes of an answer is in [`versions`].
+//! Follows the control plane's configuration. What happens with a version that it returns is in
+//! [`versions`].
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,49 +21,51 @@
 use crate::node::Node;
 use crate::rollout;
 
-/// Longest wait for a change. A wait that the host will never answer, since it
-/// lost the connection or was away, looks like one without a change: this bounds
-/// for how long a daemon may miss changes after the host is back.
+/// Longest wait for a change. A request that the control plane will never answer, because the
+/// connection was lost or it restarted, looks like a wait without a change. This bounds how long a
+/// daemon can miss changes after the control plane is back.
 const WAIT: Duration = Duration::from_secs(3);
 
-/// The same for the first wait after a pause, and for a daemon that asks for itself, which
-/// looks for others in between. Where the host was away meanwhile and came back from an
-/// older copy, it may have given out the version again from which the wait goes on; only
-/// the end of the wait tells, and a version has to be in force in 2 s.
+/// Longest wait for a change after a pause, and for a daemon that polls on its own behalf and looks
+/// for other members in between. If the control plane was restored from an older copy meanwhile, it
+/// may have assigned again the version from which the wait continues. Only the end of the wait
+/// reveals that, and a version has to be in force within 2 s.
 const SHORT_WAIT: Duration = Duration::from_secs(1);
 
-/// Time for an answer that waits for nothing.
+/// Timeout of a request that does not wait for a change.
 const ANSWER_BOUND: Duration = Duration::from_secs(1);
 
-/// Time for an answer beyond the wait. A host that takes longer is taken for lost, which
-/// costs a question of another daemon.
+/// Time added to the wait for the timeout of a long poll. A control plane that takes longer is
+/// considered lost, which costs a request by another daemon.
 const WAIT_MARGIN: Duration = Duration::from_millis(600);
 
-/// How often a daemon looks whether it has met its zone, or whether its turn has come.
+/// How often a starting daemon checks whether it has met its zone, or whether its first request is
+/// due.
 const START_STEP: Duration = Duration::from_millis(100);
 
-/// Time after a look at the list of instances in which a daemon of a fleet that starts for
-/// the first time has the configuration from a peer. Nobody calls yet.
+/// Time after the first read of the registry within which a daemon gets the configuration from a
+/// peer in the first start of a fleet. There are no callers yet.
 const PEER_FIRST: Duration = Duration::from_millis(1500);
 
-/// Longest time for which it does not ask the host for it, whatever the list says.
+/// Longest time for which a daemon defers its first request in a first start, whether or not it has
+/// read the registry.
 const LONGEST_FIRST_TURN: Duration = Duration::from_millis(4500);
 
-/// Pause after a change. Changes in quick succession are then fetched a few at a
-/// time, and still come into force well within two seconds.
+/// Pause after a change. It batches changes in quick succession, and each still comes into force
+/// well within two seconds.
 const GAP: Duration = Duration::from_millis(500);
 
-/// Longest time of an answer that did not wait for a change.
+/// An answer that took at most this long did not wait for a change.
 const AT_ONCE: Duration = Duration::from_millis(100);
 
-/// First pause after a failure; it doubles up to the longest one.
+/// First pause after a failure; it doubles up to `LONGEST_PAUSE`.
 const FIRST_PAUSE: Duration = Duration::from_millis(200);
 const LONGEST_PAUSE: Duration = Duration::from_millis(800);
 
-/// Follows the host's configuration until the process ends.
+/// Follows the control plane's configuration until the process ends.
 ///
-/// Two daemons of each zone wait for changes and tell the others; see
-/// [`PollRole`]. A daemon that has nothing yet asks at once, whatever its role.
+/// Two daemons of each zone wait for changes and notify the others; see [`PollRole`]. A daemon that
+/// has no configuration yet asks at once, whatever its role.
 pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
     first_turn(&node).await;
     let mut cursor = None;
@@ -124,7 +127,7 @@
                 if matches!(err, HostError::Unavailable(_)) {
                     contact::lost_host(&node);
                 }
-                // Read anew, which is answered at once or not at all.
+                // Read the whole configuration next: that is answered at once or not at all.
                 cursor = None;
                 failures += 1;
                 let pause = pause_after(&err, is_new, failures);
@@ -143,11 +146,11 @@
     }
 }
 
-/// Time until the host is asked again after a failure.
+/// Time until the control plane is asked again after a failure.
 ///
-/// A host that answers that the history is gone can be read at once: a pause would only
-/// keep an old version in force. Not twice in a row, or a host that always says so would
-/// be asked without end.
+/// If it answers that the history is gone, it can be read at once: a pause would only keep an old
+/// version in force. This applies only once in a row, or a control plane that always answers so
+/// would be asked without end.
 fn pause_after(err: &HostError, is_new: bool, failures: u32) -> Duration {
     if is_new && *err == HostError::HistoryLost {
         return Duration::ZERO;
@@ -157,9 +160,9 @@
     bound.min(LONGEST_PAUSE).mul_f64(share)
 }
 
-/// Longest time for which a row that an answer brought may have been there before. A wait
-/// that took some time ended when the row was written; where it ended at once, the row was
-/// written after the answer before.
+/// Longest time for which a row in an answer may have been written before. A wait that took some
+/// time ended when the row was written; if the answer came at once, the row was written after the
+/// previous answer.
 fn order_age(last_answer: Option<Time>, asked_at: Time, now: Time) -> Duration {
     let has_waited = now.saturating_sub(asked_at) > AT_ONCE;
     match last_answer {
@@ -168,8 +171,8 @@
     }
 }
 
-/// Waits for this daemon's turn in a first start, or for a peer to be faster. Those that
-/// others meet first, since they are on the list, ask at once.
+/// In a first start, waits until this daemon's request is due or a peer has delivered the
+/// configuration. Daemons in the registry ask at once, since the others contact them first.
 async fn first_turn(node: &Node) {
     let is_due = || {
         let now = node.clock.now();
@@ -182,9 +185,9 @@
     }
 }
 
-/// One line where the host is lost, and one for each answer that makes no sense. A
-/// document that makes none stays until the operator writes another, and is read
-/// about three times a second until then.
+/// Logs once that the control plane is lost, and every answer that cannot be decoded. An invalid
+/// document stays until the operator writes another one, and is read about three times a second
+/// until then.
 fn note_failure(node: &Node, err: &HostError) {
     match err {
         HostError::HistoryLost => slog::info!(node.log, "host's history lost, read anew"),
--- a/crates/mesh/src/fleet/confirmation.rs
+++ b/crates/mesh/src/fleet/confirmation.rs
@@ -1,7 +1,7 @@
-//! How this daemon knows that its configuration is recent enough to act on keys.
+//! Tracks whether the configuration is recent enough to accept keys by it.
 //!
-//! Those that follow the host know from its answers; the others ask them from time to
-//! time. What that bounds is in [`Confirmation`] and `docs/design/demands.md`.
+//! Daemons that follow the control plane know that from its answers; the others ask them at
+//! intervals. [`Confirmation`] and `docs/design/demands.md` describe the bound.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,41 +18,42 @@
 use crate::node::Node;
 use crate::wire::{Ask, Confirmed as ConfirmedWire, Reply};
 
-/// How often a daemon looks whether it has to ask.
+/// How often a daemon checks whether it has to ask.
 const STEP: Duration = Duration::from_millis(250);
 
-/// Age from which a daemon asks, and that of an answer with which it is content, as parts
-/// of the bound: between them an answer of those that follow the host stays in use.
+/// Age of the confirmation from which a daemon asks, and the age of an answer that it accepts, as
+/// fractions of the bound. The gap between the two lets it use an answer of a follower for a while.
 const ASKS_FROM: f64 = 0.25;
 const CONTENT_WITH: f64 = 0.35;
 
-/// Part of the bound that is used; the rest is a margin for the time between a look at the
-/// clock and what follows from it.
+/// Fraction of the bound that is used. The rest is a margin for the time between a clock reading
+/// and the action that follows from it.
 const USED: f64 = 0.96;
 
-/// Longest wait for a change, as a part of the bound.
+/// Longest wait for a change, as a fraction of the bound.
 const LONGEST_WAIT: f64 = 0.2;
 
-/// Time for an answer of a peer.
+/// Timeout of a request to a peer.
 const ANSWER_BOUND: Duration = Duration::from_millis(300);
 
-/// Peers asked one after the other in one go.
+/// Peers asked one after another in one round.
 const TRIES: usize = 3;
 
-/// Time after the host came back from an older copy in which its answers confirm nothing:
-/// the newest configuration may be among what it lost, and the operator writes it again.
+/// Time after the control plane was restored from an older copy in which its answers confirm
+/// nothing. The newest configuration may be among the writes that it lost, and the operator has to
+/// write it again.
 const RETURN_SETTLES: Duration = Duration::from_secs(2);
 
-/// What is known of the age of the configuration in force.
+/// Age of the configuration in force, as far as it is known.
 #[derive(Debug, Default)]
 pub(super) struct Confirmed {
     confirmation: Confirmation,
     host_clock: HostClock,
-    /// Version that the host holds.
+    /// Newest version known to be held by the control plane.
     newest: Option<Version>,
-    /// Answers of the host given before this time confirm nothing.
+    /// Answers that the control plane gave before this time confirm nothing.
     not_before: Time,
-    /// Whether the last look found it recent enough, for the log.
+    /// Result of the last check, so that only changes are logged.
     was_recent: bool,
 }
 
@@ -63,8 +64,8 @@
     }
 }
 
-/// Takes in that the host answered; `read` is the version that it told, if any was written
-/// since its answer before.
+/// Records an answer of the control plane. `read` is the version that it contained, if one was
+/// written since the previous answer.
 pub(super) fn host_answered(
     node: &Node,
     asked_at: Time,
@@ -82,12 +83,12 @@
     }
 }
 
-/// Longest time to wait for a change of the host, where that has to be bounded.
+/// Longest time to wait for a change, if there is a bound on it.
 pub(super) fn longest_wait(node: &Node) -> Option<Duration> {
     bound(node).map(|it| it.mul_f64(LONGEST_WAIT))
 }
 
-/// Whether this daemon may act on keys.
+/// Whether the configuration is recent enough to accept or reject keys.
 pub(crate) fn is_recent(node: &Node) -> bool {
     let Some(bound) = bound(node) else {
         return true;
@@ -104,13 +105,14 @@
     is_recent
 }
 
-/// The bound on the use of keys, where there are customers and there is one.
+/// The bound on the age of the configuration; `None` without customers or without a configured key
+/// lifetime.
 fn bound(node: &Node) -> Option<Duration> {
     let in_force = node.fleet.in_force()?;
     node.cfg.key_lifetime.filter(|_| !in_force.keys.is_empty())
 }
 
-/// What this daemon tells others.
+/// The confirmation that this daemon reports to peers.
 pub(crate) fn own(node: &Node) -> Option<ConfirmedWire> {
     let in_force = node.fleet.in_force()?;
     let confirmed = node.fleet.confirmed.borrow();
@@ -120,7 +122,7 @@
     })
 }
 
-/// Asks others until the process ends.
+/// Keeps the confirmation recent by asking peers, until the process ends.
 pub(crate) async fn run(node: Rc<Node>) {
     let mut next = rand::rng().random_range(0..usize::from(u8::MAX));
     loop {
@@ -130,7 +132,7 @@
             while is_older(&node, bound.mul_f64(ASKS_FROM)) && tries < TRIES {
                 tries += 1;
                 ask(&node, next).await;
-                // Whoever knows no better is asked again only after the others.
+                // A peer whose confirmation is no more recent is asked again only after the others.
                 if is_older(&node, content) {
                     next += 1;
                 } else {
@@ -148,7 +150,7 @@
     own.is_none_or(|own| own > age)
 }
 
-/// Those that follow the host: for the own zone first, then for the others.
+/// The other daemons that follow the control plane, those of the own zone first.
 fn followers(node: &Node) -> Vec<Addressed> {
     let me = node.fleet.membership.borrow().me();
     let all = contact::followers(node).chain(gossip::followers_elsewhere(node));
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -1,10 +1,11 @@
-//! Whether this daemon would hear of a version from those that follow the host for its zone.
+//! Checks that the daemons which follow the control plane for this zone are there to announce new
+//! versions.
 //!
-//! Word of a version comes unasked, and a daemon that hears nothing can't tell whether
-//! there is nothing to hear. So it asks them from time to time, more often than a version
-//! has to be in force, and [asks the host for itself](super::configuration) as soon as none
-//! of them answers. One that the host does not answer says so to all at once: others of its
-//! zone take its place, and those that follow the host ask it anew.
+//! Versions are announced unasked, so a daemon that receives nothing cannot tell whether there is
+//! nothing to announce. It therefore asks the followers at intervals shorter than the time within
+//! which a version has to be in force, and [polls the control plane itself](super::configuration)
+//! as soon as none of them answers. A follower that has lost the control plane tells all daemons at
+//! once: others of its zone take its place, and the other followers ask the control plane again.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,23 +19,23 @@
 use crate::node::Node;
 use crate::wire::{Ask, Following, Reply};
 
-/// Time between two questions, and for an answer, as parts of the time in which a version
-/// has to be in force. Two answers that never come fit into it after the longest pause, and
-/// a question to the host.
+/// Time between two checks, and the timeout of one, as fractions of the time within which a version
+/// has to be in force. After the longest pause, two timeouts and a request to the control plane fit
+/// into that time.
 const ASKS_EVERY: f64 = 0.3;
 const ANSWER_BOUND: f64 = 0.15;
 
-/// Answers that never come after which the others are not asked: there is no time for more,
-/// and the zone may be out of reach.
+/// Timeouts after which no further follower is asked: there is no time for more, and the whole zone
+/// may be unreachable.
 const MOST_SILENT: u32 = 2;
 
-/// Time until a daemon of a zone that starts as a whole has begun to follow the host,
-/// beyond the time for which it meets its zone. In a first start nobody calls yet, and
+/// Time until a daemon of a zone that starts as a whole has begun to follow the control plane, in
+/// addition to the time in which it meets its zone. In a first start there are no callers yet, and
 /// the last daemons may start seconds after the first ones.
 const STARTS_TO_FOLLOW: Duration = Duration::from_secs(1);
 const STARTS_AT_FIRST: Duration = Duration::from_secs(3);
 
-/// Waits until the next question is due, or sooner if somebody has lost the host.
+/// Waits until the next check is due, or until a member reports that it has lost the control plane.
 pub(super) async fn pause(node: &Node) {
     let share = rand::rng().random_range(0.75..1.25);
     let pause = node.cfg.apply_within.mul_f64(ASKS_EVERY * share);
@@ -44,20 +45,19 @@
     }
 }
 
-/// Members of the own zone from among whom those are chosen that follow the host for it.
+/// Members of the own zone from which its followers are chosen.
 pub(super) fn eligible(node: &Node) -> Vec<MemberKey> {
     let zone: Vec<_> = gossip::own_zone(node).iter().map(|(key, _)| *key).collect();
     let contact = node.fleet.contact.borrow();
     contact.eligible(&zone, node.clock.now())
 }
 
-/// Whether this daemon leaves the host to others: one of those that follow it for the zone
-/// answers. While the zone starts, nobody follows the host yet, and the daemon takes it that
-/// someone will.
+/// Whether this daemon may leave polling to others, because a follower of its zone answers. While
+/// the zone starts, nobody follows the control plane yet, and the daemon assumes that someone will.
 ///
-/// One that has lost the host is passed over, and whoever takes its place is asked. Where
-/// all that answer have lost it, it is away from the zone, and one daemon more would not
-/// find it.
+/// A follower that has lost the control plane is skipped, and its replacement is asked. If all that
+/// answer have lost it, the control plane is unreachable from the zone, and another daemon would
+/// not reach it either.
 pub(super) async fn leaves_host_to_others(node: &Rc<Node>) -> bool {
     let starts = if node.cfg.is_first_start {
         STARTS_AT_FIRST
@@ -87,7 +87,7 @@
     all_lost_host && !asked.is_empty()
 }
 
-/// Those that follow the host for the own zone, as far as this daemon knows.
+/// The followers of the own zone, as far as this daemon knows.
 pub(super) fn followers(node: &Node) -> impl Iterator<Item = Addressed> {
     let eligible = eligible(node);
     let mut zone = gossip::own_zone(node);
@@ -123,7 +123,7 @@
     Some(following)
 }
 
-/// What this daemon answers to others of its zone.
+/// Answers [`Ask::Following`] of another daemon in the zone.
 pub(crate) fn answer(node: &Node) -> Reply {
     let mark = node.fleet.membership.borrow().mark();
     let following = if node.fleet.reaches_host.get() == Some(false) {
@@ -136,14 +136,14 @@
     Reply::Following(following, mark)
 }
 
-/// The host answers this daemon.
+/// Records that the control plane answers this daemon.
 pub(super) fn host_answered(node: &Node) {
     let me = node.fleet.membership.borrow().me();
     node.fleet.contact.borrow_mut().regained(me);
 }
 
-/// The host does not answer this daemon. Those that it would tell of versions hear so at
-/// once, since they have less time than it takes until they ask.
+/// Records that the control plane does not answer this daemon. The daemons that rely on it are told
+/// at once, since their time is shorter than the interval of their checks.
 pub(super) fn lost_host(node: &Rc<Node>) {
     let me = node.fleet.membership.borrow().me();
     let now = node.clock.now();
@@ -156,8 +156,8 @@
     }
 }
 
-/// The host does not answer this member. It may not answer this daemon either, which would
-/// notice only at the end of its wait.
+/// Records that the control plane does not answer a member. It may not answer this daemon either,
+/// which would notice only at the end of its wait.
 pub(crate) fn peer_lost_host(node: &Node, peer: MemberKey) {
     if node.fleet.is_in_own_zone(peer) {
         let now = node.clock.now();
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership over links.
+//! Runs the membership protocol over links, and sends one-way messages to peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,64 +18,64 @@
 use crate::wire::{Ask, News, Reply};
 use crate::{drain, executor, quarantine};
 
-/// Time for a probe. A round trip in a region takes a few milliseconds.
+/// Timeout of a probe. A round trip in a region takes a few milliseconds.
 const PROBE_BOUND: Duration = Duration::from_millis(500);
 
-/// Time for a helper, which probes with the bound above.
+/// Timeout of an indirect probe, in which the helper itself waits for up to [`PROBE_BOUND`].
 const HELPER_BOUND: Duration = Duration::from_millis(1200);
 
-/// Time for a table.
+/// Timeout of a pull of the membership table.
 const TABLE_BOUND: Duration = Duration::from_secs(2);
 
-/// A daemon, and where it listens.
+/// A daemon with the address at which it listens for peers.
 pub(crate) type Addressed = (MemberKey, SocketAddr);
 
-/// Feeds the machine and does what it asks for.
+/// Passes an input to the membership state machine and carries out the resulting actions.
 pub(crate) fn input(node: &Rc<Node>, input: Input) {
     let now = node.clock.now();
     let actions = node.fleet.membership.borrow_mut().handle(now, input);
     act(node, actions);
 }
 
-/// Moves the machine's time on.
+/// Advances the membership state machine's time.
 pub(crate) fn tick(node: &Rc<Node>) {
     input(node, Input::Tick);
 }
 
-/// Tells the fleet that this daemon stops.
+/// Announces that this daemon stops.
 pub(crate) fn leave(node: &Rc<Node>) {
     input(node, Input::Leave);
 }
 
-/// Tells the fleet what the target beside this daemon last announced. Nothing
-/// goes out where that has not changed.
+/// Updates this member with the last announcement of the target beside the daemon. Nothing is sent
+/// if it has not changed.
 pub(crate) fn target_changed(node: &Rc<Node>) {
     let announced = node.executor.announced(node.clock.now());
     input(node, Input::TargetAnnounced(announced));
 }
 
-/// Tells the peers of the own zone at once what this daemon holds. The regular exchanges
-/// would take seconds to reach all of them.
+/// Announces the held configuration to the peers of the own zone at once. Regular exchanges would
+/// take seconds to reach all of them.
 pub(crate) fn tell_zone(node: &Rc<Node>) {
     tell(node, own_zone(node), &holds(node));
 }
 
-/// The daemons of the own zone.
+/// The daemons of the own zone, this one included.
 pub(crate) fn own_zone(node: &Node) -> Vec<Addressed> {
     let membership = node.fleet.membership.borrow();
     let zone = membership.table().in_zone(&node.cfg.zone);
     zone.map(|(key, it)| (key, it.member.peer)).collect()
 }
 
-/// Tells the daemons of other zones that follow the host for them. The host may turn away
-/// all that follow it for a zone: callers there would meet an old version until the regular
-/// exchanges bring the new one, which is too late. Telling everyone there would cost a
+/// Announces the held configuration to the followers in other zones. The control plane may reject
+/// all followers of a zone; callers there would then be served by an old version until regular
+/// exchanges bring the new one, which is too late. Announcing it to every daemon there would cost a
 /// message to each daemon of the fleet for every version.
 pub(crate) fn tell_other_zones(node: &Rc<Node>) {
     tell(node, followers_elsewhere(node), &holds(node));
 }
 
-/// The daemons of other zones that follow the host for them.
+/// The followers in the other zones.
 pub(crate) fn followers_elsewhere(node: &Node) -> Vec<Addressed> {
     let membership = node.fleet.membership.borrow();
     let mut zones: BTreeMap<&str, Vec<Addressed>> = BTreeMap::new();
@@ -87,47 +87,47 @@
     zones.into_values().flat_map(followers_of).collect()
 }
 
-/// Those of one zone's daemons that follow the host for it.
+/// The members of one zone that follow the control plane for it.
 pub(crate) fn followers_of(zone: Vec<Addressed>) -> impl Iterator<Item = Addressed> {
     let keys: Vec<_> = zone.iter().map(|(key, _)| *key).collect();
     let follows = move |(key, _): &Addressed| PollRole::polls(*key, &keys);
     zone.into_iter().filter(follows)
 }
 
-/// What this daemon holds, for others.
+/// The message that announces the configuration which this daemon holds.
 fn holds(node: &Node) -> Ask {
     let membership = node.fleet.membership.borrow();
     Ask::Holds(membership.me(), membership.mark())
 }
 
-/// Sends these daemons a word that needs no answer.
+/// Sends a message without waiting for the answer.
 pub(crate) fn tell(node: &Rc<Node>, peers: Vec<Addressed>, word: &Ask) {
     let me = node.fleet.membership.borrow().me();
     for (_, addr) in peers.into_iter().filter(|(key, _)| *key != me) {
         let (node, word) = (Rc::clone(node), word.clone());
         ntex::rt::spawn(async move {
-            // Whoever misses it hears of it in the regular exchanges.
+            // A peer that misses the message receives its content in the regular exchanges.
             let _ = node.links.ask_within(addr, word, PROBE_BOUND).await;
         });
     }
 }
 
-/// Tells every daemon in reach: those of the own zone, and for each other zone those that
-/// follow the host for it, which [pass it on](relay).
+/// Sends a message to the daemons of the own zone and to the followers of each other zone, which
+/// [forward it](relay).
 pub(crate) fn tell_fleet(node: &Rc<Node>, word: &Ask) {
     tell(node, own_zone(node), word);
     tell(node, followers_elsewhere(node), word);
 }
 
-/// Passes on to the own zone what came from another one, where this daemon is one of those
-/// that are told for it.
+/// Forwards a message from another zone to the own zone, if this daemon is one of those that
+/// receive messages for it.
 pub(crate) fn relay(node: &Rc<Node>, word: &Ask) {
     if role::hears_for_zone(node) {
         tell(node, own_zone(node), word);
     }
 }
 
-/// What goes along with an exchange.
+/// State that is sent along with an exchange.
 pub(crate) fn news(node: &Node) -> News {
     let now = node.clock.now();
     News {
@@ -136,32 +136,32 @@
     }
 }
 
-/// Takes in what came along with an exchange.
+/// Applies the state that came along with an exchange.
 pub(crate) fn hear_news(node: &Rc<Node>, news: News) {
     hear_rollouts(node, news.rollouts);
     quarantine::hear(node, &news.findings, quarantine::Way::Exchange);
 }
 
-/// Takes in what a peer says of roll-outs.
+/// Applies the roll-out progress that a peer reports.
 pub(crate) fn hear_rollouts(node: &Rc<Node>, rollouts: Vec<Progress>) {
     for progress in rollouts {
         rollout::hear(node, &progress, Source::Peer);
     }
 }
 
-/// A peer said what it holds, unasked.
+/// Handles a peer's unsolicited announcement of the configuration that it holds.
 pub(crate) fn told(node: &Rc<Node>, peer: MemberKey, mark: Mark) {
     let addr = {
         let membership = node.fleet.membership.borrow();
         membership.table().get(peer).map(|it| it.member.peer)
     };
-    // One that is not known yet is asked in the exchange that makes it known.
+    // A peer that is not yet known is asked in the exchange that makes it known.
     if let Some(addr) = addr {
         versions::peer_holds(node, peer, addr, mark);
     }
 }
 
-/// Answers one message of another daemon.
+/// Answers a membership message of another daemon.
 pub(crate) async fn answer(node: &Rc<Node>, message: GossipRequest) -> GossipReply {
     match message {
         GossipRequest::Exchange(exchange) => {
@@ -223,7 +223,7 @@
     }
 }
 
-/// One line for each change of what is believed about a member.
+/// Logs a change in the believed state of a member.
 fn note_member(node: &Node, key: MemberKey) {
     let Some(left_out) = node.journal.admits("member", node.clock.now()) else {
         return;
@@ -242,7 +242,7 @@
         fields::DRAINING => announced.is_some_and(|it| it.draining), fields::LEFT_OUT => left_out);
 }
 
-/// The instance was suspended. Everything that waits here is old.
+/// Handles the end of a suspension of the instance: connections and pending requests are stale.
 fn woke(node: &Rc<Node>, gap: Duration) {
     slog::warn!(node.log, "woke from a suspension"; fields::GAP_MS => gap.as_millis());
     executor::woke(node);
@@ -288,7 +288,7 @@
     input(&node, Input::Helped { target, reached });
 }
 
-/// Probes a member for a peer that can't reach it.
+/// Probes a member on behalf of a peer that cannot reach it.
 async fn reaches(node: &Rc<Node>, target: MemberKey) -> bool {
     let (addr, message) = {
         let membership = node.fleet.membership.borrow();
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! What the daemon knows of its fleet: members with the targets that they
-//! announced, and the configuration in force.
+//! Fleet state of this daemon: the members with the targets that they announced, and the
+//! configuration in force.
 
 pub(crate) mod configuration;
 pub(crate) mod confirmation;
@@ -35,53 +35,57 @@
 use confirmation::Confirmed;
 use packed::Packed;
 
-/// Where attempts for a target go.
+/// Where to send attempts for a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Place {
-    /// It is the target beside this daemon.
+    /// The target runs beside this daemon.
     Local,
-    /// Its daemon listens here.
+    /// The target's daemon listens at this address.
     Remote(SocketAddr),
 }
 
 pub(crate) struct Fleet {
     membership: RefCell<Membership>,
     in_force: RefCell<Option<Rc<InForce>>>,
-    /// States that were in force before, the newest last.
+    /// Earlier configurations, the newest last, from which differences for peers are computed.
     former: RefCell<VecDeque<(Mark, Arc<State>)>>,
-    /// What was last sent to a peer, for the others that hold the same.
+    /// Compressed configuration that was last sent to a peer, reused for peers that hold the same
+    /// version.
     packed: RefCell<Option<Packed>>,
     places: RefCell<HashMap<UpstreamName, Place>>,
-    /// Changes of membership wait to be made visible to calls.
+    /// Whether a rebuild of the candidates is scheduled.
     is_refresh_due: Cell<bool>,
-    /// When they last were.
+    /// When the candidates were last rebuilt.
     refreshed: Cell<Option<Time>>,
-    /// Versions of targets, by when they came up.
+    /// Software versions of the targets, with the time when each first appeared.
     newcomers: RefCell<Newcomers>,
-    /// Targets that are left alone will be looked at again.
+    /// Whether another rebuild is scheduled for targets that are held back for now.
     looks_again: Cell<bool>,
-    /// A pull of the configuration from a peer goes on.
+    /// Whether a pull of the configuration from a peer is in progress.
     is_pulling: Cell<bool>,
-    /// Whether the host answered the last question; nothing before the first one.
+    /// Whether the last request to the control plane was answered; `None` before the first one.
     reaches_host: Cell<Option<bool>>,
-    /// How this daemon learns of versions; none before its first look.
+    /// How this daemon learns of new versions; `None` before it has first decided.
     role: Cell<Option<PollRole>>,
-    /// Who of the own zone can't tell of versions.
+    /// Members of the own zone that currently cannot announce new versions.
     contact: RefCell<Contact>,
-    /// Era of the host's last answer.
+    /// Era of the control plane's last answer.
     era: Cell<Option<Era>>,
     confirmed: RefCell<Confirmed>,
-    /// The host came back from an older copy, and what this daemon wrote may be gone.
+    /// The control plane was restored from an older copy, so rows that this daemon wrote may be
+    /// lost.
     has_returned: Cell<bool>,
-    /// The instance was suspended: what waits for the host should ask anew.
+    /// Notified when the instance resumes from a suspension: pending requests to the control plane
+    /// are to be sent again.
     woke: Notify,
-    /// Somebody has lost the host, and this daemon may have lost it too, or what tells it.
+    /// Notified when a member has lost the control plane. This daemon may have lost it too, or the
+    /// member that announces versions to it.
     host_doubted: Notify,
-    /// When the host's list of instances was last looked at.
+    /// When the registry was last read.
     looked_at: Cell<Option<Time>>,
-    /// This instance is on it.
+    /// Whether this instance is in the registry.
     is_listed: Cell<bool>,
-    /// Members that are gone for good, whose roster rows are to be deleted.
+    /// Members that membership has removed for good, whose rows in the registry are to be deleted.
     forgotten: RefCell<Vec<InstanceId>>,
 }
 
@@ -114,18 +118,18 @@
         }
     }
 
-    /// The version in force; the caller keeps it for as long as it needs one
+    /// The configuration in force. A caller keeps the returned pointer for as long as it needs one
     /// consistent view.
     pub(crate) fn in_force(&self) -> Option<Rc<InForce>> {
         self.in_force.borrow().clone()
     }
 
-    /// Where attempts for a target go.
+    /// Where to send attempts for a target.
     pub(crate) fn place(&self, upstream: &str) -> Option<Place> {
         self.places.borrow().get(upstream).copied()
     }
 
-    /// Whether a member is of this daemon's own zone.
+    /// Whether a member belongs to this daemon's own zone.
     fn is_in_own_zone(&self, key: MemberKey) -> bool {
         let membership = self.membership.borrow();
         let zone = &membership.own().member.zone;
@@ -133,12 +137,12 @@
         entry.is_some_and(|it| it.member.zone == *zone)
     }
 
-    /// What is known of the fleet's members.
+    /// The membership state machine.
     pub(crate) fn membership(&self) -> Ref<'_, Membership> {
         self.membership.borrow()
     }
 
-    /// Shows every member that takes part.
+    /// Calls `see` for every present member.
     pub(crate) fn members(&self, mut see: impl FnMut(MemberKey, &Entry)) {
         let membership = self.membership.borrow();
         for (key, entry) in membership.table().present() {
@@ -146,7 +150,7 @@
         }
     }
 
-    /// Takes in the era of an answer of the host.
+    /// Records the era of an answer of the control plane.
     fn hear_era(&self, era: Era, now: Time) {
         let before = self.era.replace(Some(era));
         if before.is_some_and(|it| it < era) {
@@ -155,13 +159,13 @@
         }
     }
 
-    /// Daemons that take part, this one included.
+    /// Number of present members, this daemon included.
     pub(crate) fn size(&self) -> usize {
         self.membership.borrow().table().present().count()
     }
 }
 
-/// Brings the gauges up to date, for whoever reads the metrics.
+/// Updates the gauges, before the metrics are read.
 pub(crate) fn gauges(node: &Node) {
     let version = node.fleet.in_force().map_or(0, |it| it.version());
     node.journal.gauge("configuration.version", version);
@@ -198,12 +202,13 @@
     }
 }
 
-/// Shortest time between two rebuilds of the candidates. A rebuild walks all members, and
-/// a start of all, a roll or a cut bring changes by the hundred. The first change of a series is seen at once, and the others as
-/// soon as calls could notice: a call to a target that left is refused by its daemon.
+/// Shortest time between two rebuilds of the candidates. A rebuild walks all members, and a start
+/// of the whole fleet, a rolling restart or a network partition brings changes by the hundred. The
+/// first change of a series takes effect at once, and the others soon enough for calls: a call to a
+/// target that left is refused by its daemon.
 const REFRESH_GAP: Duration = Duration::from_millis(100);
 
-/// Makes membership's changes visible to calls, those of a moment together.
+/// Makes changes of membership visible to calls. Changes in quick succession share one rebuild.
 fn refresh_soon(node: &Rc<Node>) {
     if node.fleet.is_refresh_due.replace(true) {
         return;
@@ -272,7 +277,7 @@
     }
 }
 
-/// Looks again at targets that are left alone for now.
+/// Schedules a rebuild for the time when targets that are held back may be used.
 fn look_again(node: &Rc<Node>) {
     if node.fleet.looks_again.replace(true) {
         return;
--- a/crates/mesh/src/fleet/packed.rs
+++ b/crates/mesh/src/fleet/packed.rs
@@ -1,10 +1,10 @@
-//! Configurations on their way to peers, compressed.
+//! Compression of configurations that are sent to peers.
 //!
-//! A version that adds a thousand routes is some 170 KB, and twenty daemons of a zone ask
-//! the two that follow the host for it within a moment. Over a link of 9 Mbit/s that takes
-//! over 3 s, while a version has to be in force within 2.5 s. Names of routes, hosts and
-//! policies repeat, so a fast compression makes it several times smaller; the result is
-//! kept, since most peers ask for the same.
+//! A version that adds a thousand routes is some 170 KB, and twenty daemons of a zone request it
+//! from its two followers within a moment. Over a link of 9 Mbit/s that takes over 3 s, while a
+//! version has to be in force within 2.5 s. Names of routes, hosts and policies repeat, so fast
+//! compression makes it several times smaller. The result is cached, since most peers request the
+//! same.
 
 use std::io::{self, Read, Write};
 
@@ -16,21 +16,21 @@
 
 use crate::wire::Newer;
 
-/// Bytes from which compression saves more time on a thin link than it takes.
+/// Size from which compression saves more time on a slow link than it takes.
 const WORTHWHILE: usize = 4 << 10;
 
-/// Largest configuration that is taken from a peer: four times one of 2,000 routes. Bytes
-/// that a broken peer sends must not fill the memory.
+/// Largest configuration accepted from a peer: four times one of 2,000 routes. It keeps a faulty
+/// peer from exhausting the memory.
 const MAX_UNPACKED: u64 = 4 << 20;
 
-/// What leads from one configuration to another.
+/// Compressed update from one configuration to another.
 pub(super) struct Packed {
     pub(super) from: Mark,
     pub(super) to: Mark,
     pub(super) bytes: Bytes,
 }
 
-/// The answer compressed, where that makes it smaller.
+/// Compresses an answer if it is large enough to be worth it.
 pub(super) fn pack(newer: Newer) -> Newer {
     let plain = rmp_serde::to_vec(&newer).expect("plain data always encodes");
     if plain.len() < WORTHWHILE {
@@ -38,15 +38,15 @@
     }
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
     let written = encoder.write_all(&plain).and_then(|()| encoder.finish());
-    // Writing to memory does not fail; if it did, the plain answer is as good.
+    // Writing to memory does not fail; if it did, the uncompressed answer would do as well.
     written.map_or(newer, |bytes| Newer::Packed(bytes.into()))
 }
 
-/// What was packed.
+/// Decompresses an answer of [`pack`].
 ///
 /// # Errors
 ///
-/// Where the bytes are none that a daemon packs, or too many.
+/// If the bytes are not a valid compressed answer, or exceed the size limit.
 pub(super) fn unpack(bytes: &[u8]) -> io::Result<Newer> {
     let mut plain = Vec::new();
     let mut decoder = DeflateDecoder::new(bytes).take(MAX_UNPACKED + 1);
--- a/crates/mesh/src/fleet/roster.rs
+++ b/crates/mesh/src/fleet/roster.rs
@@ -1,4 +1,4 @@
-//! The host's list of instances, by which daemons find their first peers.
+//! The registry, the control plane's list of instances, in which daemons find their first peers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,42 +14,43 @@
 use crate::node::Node;
 use crate::quarantine::{self, Way};
 
-/// Time for an answer of the host.
+/// Timeout of a request to the control plane.
 const ANSWER_BOUND: Duration = Duration::from_secs(2);
 
-/// How often it is looked whether something is due.
+/// Interval of the checks for due work.
 const STEP: Duration = Duration::from_millis(250);
 
-/// Pause before another try where the host did not answer.
+/// Pause before a retry after a request that failed.
 const RETRY: Duration = Duration::from_millis(750);
 
-/// Second look of a daemon that met nobody at the first one.
+/// Pause before the second read of a daemon that met nobody after the first one.
 const SECOND_LOOK: Duration = Duration::from_millis(1500);
 
-/// Longest pause between two looks of a daemon that knows nobody.
+/// Longest pause between two reads of a daemon that knows no peer.
 const LONGEST_ALONE: Duration = Duration::from_secs(30);
 
-/// How often a daemon that is not on the list looks whether it has to be.
+/// How often a daemon that is not in the registry checks whether it has to be.
 const KEPT_UP_EVERY: Duration = Duration::from_secs(5);
 
-/// Doublings of the pause, at most; by then it is the longest one.
+/// Limit on the doublings of the pause, which by then has reached `LONGEST_ALONE`.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// How often the list is read while others are out of reach.
+/// How often the registry is read while other daemons are out of reach.
 const CATCH_UP_EVERY: Duration = Duration::from_millis(1500);
 
-/// Rows of a zone that are enough for whoever starts to meet it: the death of some of them
-/// at once goes unnoticed. All others stay off the list, so that a start of all writes as
-/// little in a large fleet as in a small one.
+/// Rows per zone that suffice for a starting daemon to meet its zone, even if some of those
+/// instances die at once. All others stay out of the registry, so that a start of the whole fleet
+/// writes as little for a large fleet as for a small one.
 const LISTED_PER_ZONE: usize = 3;
 
-/// Time over which the first looks of a fleet that starts for the first time are spread.
-/// Nobody calls yet, and those that look first put themselves on the list.
+/// Time over which the first reads are spread in the first start of a fleet. There are no callers
+/// yet, and the daemons that read first register themselves.
 const FIRST_START_SPREAD: Duration = Duration::from_secs(2);
 
-/// Looks at the list while no peer is known, and keeps enough instances on it.
+/// Reads the registry while no peer is known, and keeps enough instances in it.
 pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
-    // To the millisecond: those that look in one step would all find the list empty.
+    // With millisecond resolution: all daemons that read in the same step would find the registry
+    // empty.
     tokio::time::sleep(first_look(&node)).await;
     let mut roster = Roster {
         node: Rc::clone(&node),
@@ -80,7 +81,7 @@
     }
 }
 
-/// Time until the list is first looked at.
+/// Delay of the first read.
 fn first_look(node: &Node) -> Duration {
     if node.cfg.is_first_start {
         FIRST_START_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0))
@@ -93,26 +94,26 @@
     node: Rc<Node>,
     host: Rc<H>,
     is_announced: bool,
-    /// Looks at the list that were answered.
+    /// Number of answered reads.
     looks: u32,
     due: Duration,
-    /// When what is kept of requests was last read because others were out of reach.
+    /// When the stored requests were last read because other daemons were out of reach.
     caught_up: Duration,
-    /// Requests are not kept before that, since the host did not take the last one.
+    /// Requests are not stored before this time, since storing the last one failed.
     keeps_from: Cell<Duration>,
 }
 
 impl<H: Host> Roster<H> {
-    /// Has this daemon's own row written anew, and what is kept of requests: the host has
-    /// come back from an older copy. Those that follow the host notice, and they are the
-    /// ones that have to be on the list.
+    /// Schedules this daemon's own row and the quarantined requests to be written again, after the
+    /// control plane was restored from an older copy. Followers notice that, and they are the
+    /// daemons that have to be in the registry.
     fn write_again(&mut self) {
         self.is_announced = false;
         self.due = self.node.clock.now();
         self.node.requests.keep_all(self.due);
     }
 
-    /// Does what is due and returns the time until the next step.
+    /// Does what is due and returns the pause until the next step.
     async fn step(&mut self) -> Duration {
         let is_alone = self.node.fleet.size() == 1;
         if is_alone || self.looks == 0 {
@@ -125,8 +126,8 @@
             let doublings = self.looks.min(MAX_DOUBLINGS) - 1;
             return (SECOND_LOOK * (1 << doublings)).min(LONGEST_ALONE);
         }
-        // Those that follow the host are there for as long as their zone is, and who they
-        // are changes with its members.
+        // A zone has followers for as long as it has members, and they change only with its
+        // members.
         let is_missing = !self.is_announced && role::follows_host(&self.node);
         if is_missing && !self.announce().await {
             return RETRY;
@@ -134,19 +135,19 @@
         KEPT_UP_EVERY
     }
 
-    /// Whether this instance has to be on the list, of which `listed` rows are of its zone.
-    /// Nobody was met after a look where those rows are of instances that are gone.
+    /// Whether this instance has to be in the registry, which has `listed` rows of its zone. If
+    /// nobody was met after the first read, those rows belong to instances that are gone.
     fn is_needed(&self, listed: usize) -> bool {
         !self.is_announced && (listed < LISTED_PER_ZONE || self.looks > 1)
     }
 
-    /// Looks at the list, and returns how many instances of the own zone are on it; nothing
-    /// where there was no answer.
+    /// Reads the registry and returns the number of its rows that belong to the own zone; `None`
+    /// without an answer.
     ///
-    /// A row that a former process of this instance left says where to knock as well as a
-    /// new one would, so it stays as it is: where 295 instances lose power at once, that
-    /// saves a write of each. Two that look before either is on the list miss each other,
-    /// but are then alone, and look again.
+    /// A row that an earlier process of this instance left has the same address as a new one would,
+    /// so it is kept: when 295 instances lose power at once, that saves a write for each. Two
+    /// daemons that both read before either is registered miss each other, but are then alone and
+    /// read again.
     async fn look(&mut self) -> Option<usize> {
         let listed = self.read(Way::Exchange).await?;
         let rows: Vec<_> = listed.members.into_iter().map(|it| it.row).collect();
@@ -160,8 +161,9 @@
         Some(of_zone)
     }
 
-    /// Reads what is kept of requests while other daemons are out of reach: what they find
-    /// is told to those that they reach, and nobody else would hear of it here.
+    /// Reads the stored requests while other daemons are out of reach. Findings of those are sent
+    /// only to the daemons that they can reach, so the control plane is the only way for them to
+    /// arrive here.
     async fn catch_up(&mut self) {
         let now = self.node.clock.now();
         let is_due = now >= self.caught_up + CATCH_UP_EVERY;
@@ -172,7 +174,7 @@
         self.read(Way::Direct).await;
     }
 
-    /// Reads the list and takes in its requests, as if they had come in this way from a peer.
+    /// Reads the registry and applies its requests as if they had come from a peer by `way`.
     async fn read(&self, way: Way) -> Option<Listed> {
         let listed = self.say("read", self.host.roster()).await?;
         quarantine::hear_kept(&self.node, &listed.requests, way);
@@ -189,7 +191,7 @@
 
     async fn delete_forgotten(&self) {
         let forgotten = std::mem::take(&mut *self.node.fleet.forgotten.borrow_mut());
-        // Every daemon of the zone forgets it, and one deletion is enough.
+        // All daemons of the zone remove the member, and one deletion is enough.
         if !role::follows_host(&self.node) {
             return;
         }
@@ -198,8 +200,8 @@
         }
     }
 
-    /// Writes and deletes what has to be kept of requests that are refused. What the host
-    /// does not take is tried again; until then every daemon knows it.
+    /// Writes and deletes stored requests as the quarantine demands. What fails is retried; until
+    /// then every daemon still knows it.
     async fn keep_requests(&self) {
         if self.node.clock.now() < self.keeps_from.get() {
             return;
@@ -218,7 +220,7 @@
         }
     }
 
-    /// The answer, or a log line that says what was not done.
+    /// Returns the answer, or logs which operation failed.
     async fn say<T>(
         &self,
         what: &'static str,
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration: the one in force, and how peers get it from each other.
+//! Versions of the configuration: puts them in force and exchanges them with peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,26 +19,26 @@
 use crate::node::Node;
 use crate::wire::{Ask, Newer, Reply};
 
-/// Head start of the host's own answer, and of peers in the own zone, over a pull
-/// from a peer in another zone: bytes between zones are dear.
+/// Delay before a pull from a peer in another zone, which lets the control plane's answer or a peer
+/// of the own zone come first: traffic between zones is expensive.
 const PULL_AFTER: Duration = Duration::from_millis(800);
 
-/// Former states kept for peers that are a little behind. More than the versions
-/// that come in quick succession between two looks of a peer.
+/// Earlier configurations kept for peers that are slightly behind. It exceeds the number of
+/// versions that can appear between two pulls of a peer.
 const FORMER: usize = 8;
 
-/// Time for a state from a peer.
+/// Timeout of a pull from a peer.
 const PULL_BOUND: Duration = Duration::from_secs(2);
 
-/// Who a configuration came from.
+/// Where a configuration came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
     Host,
     Peer,
 }
 
-/// Puts a state in force if it is newer than the one that is, and whole. Going
-/// back would show callers a route that was removed. Returns whether it did.
+/// Puts a state in force if it is newer than the current one and its references are valid, and
+/// returns whether it did. Older states are rejected: callers would see a route that was removed.
 pub(super) fn offer(node: &Rc<Node>, state: State, source: Source) -> bool {
     let held = held(node).version;
     let version = state.version();
@@ -55,13 +55,13 @@
         fields::VERSION => version, fields::BEFORE => held, fields::SOURCE => ?source);
     gossip::input(node, Input::Holds(mark));
     tell(node, source);
-    // The first configuration names the path at which targets are asked.
+    // The first configuration contains the path at which the target is probed.
     executor::ask_target(node);
     true
 }
 
-/// Passes word of a new version on. One that follows the host for its zone does so too
-/// where it had the version from a peer: the host may have turned it away.
+/// Announces a new version. A follower also announces one that it received from a peer, since the
+/// control plane may have rejected the follower itself.
 fn tell(node: &Rc<Node>, source: Source) {
     match source {
         Source::Host => {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Puts a state in force and keeps the one before for peers that still hold it.
+/// Puts a state in force and keeps the previous one for peers that still hold it.
 fn replace(node: &Node, state: State) -> Mark {
     let before = node.fleet.in_force();
     let state = match &before {
@@ -93,7 +93,7 @@
     mark
 }
 
-/// The configuration for a peer that holds an older one.
+/// The update for a peer that holds an older configuration.
 pub(crate) fn newer_than(node: &Node, theirs: Mark) -> Newer {
     let Some(held) = node.fleet.in_force() else {
         return Newer::Nothing;
@@ -116,7 +116,7 @@
     newer
 }
 
-/// What was packed for another peer that asked for the same.
+/// The cached update, if it was compressed for the same pair of configurations.
 fn kept(node: &Node, from: Mark, to: Mark) -> Option<Bytes> {
     let packed = node.fleet.packed.borrow();
     let packed = packed.as_ref();
@@ -132,8 +132,9 @@
     }
 }
 
-/// A peer said what it holds. Where it is newer, the peer is asked: at once if it
-/// is of the own zone, and otherwise only if nobody nearer has told in a while.
+/// Handles a peer's announcement of the configuration that it holds. If it is newer, it is pulled
+/// from the peer: at once within the own zone, and otherwise only if no other source delivers it
+/// within `PULL_AFTER`.
 pub(crate) fn peer_holds(node: &Rc<Node>, peer: MemberKey, addr: SocketAddr, theirs: Mark) {
     if theirs.version <= held(node).version || node.fleet.is_pulling.get() {
         return;
@@ -167,8 +168,8 @@
         }
     };
     gossip::hear_rollouts(node, rollouts);
-    // The host or another peer was faster. A difference from what was held before
-    // says nothing now, and the next exchange tells whether the peer has still more.
+    // The control plane or another peer was faster. A difference from the earlier state no longer
+    // applies, and the next exchange tells whether the peer has a still newer one.
     if held(node) != asked_with {
         return;
     }
--- a/crates/mesh/src/host.rs
+++ b/crates/mesh/src/host.rs
@@ -1,4 +1,4 @@
-//! The edge towards whatever runs the fleet.
+//! Interface to the control plane, the service that runs the fleet.
 
 use std::fmt;
 use std::future::Future;
@@ -10,41 +10,41 @@
 use stoatstep_resource::{InstanceId, ServiceName, State};
 use stoatstep_rollout::{Order, OrderId, Software, Step, UnixTime};
 
-/// Counts how often the host came back from an older copy of what it held. It then has
-/// lost the newest writes, and gives their versions out again for others.
+/// Counts how often the control plane was restored from an older copy of its data. After a restore
+/// it has lost its newest writes, and assigns their versions again to other writes.
 pub type Era = u64;
 
-/// Position in the host's history of changes. Versions of two eras say nothing about each
-/// other: one that is higher may come before, and one that is the same be another write.
+/// Position in the control plane's history of changes. Versions of two eras are not comparable: a
+/// higher one may be older, and an equal one may be another write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Cursor {
-    /// Era in which the version was given out.
+    /// Era in which the version was assigned.
     pub era: Era,
     /// Version of the newest change.
     pub version: u64,
 }
 
-/// What a look at the host's configuration brought.
+/// Answer to a read of the configuration or to a wait for a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Update {
-    /// From where to wait for the next change.
+    /// Position from which to wait for the next change.
     pub cursor: Cursor,
-    /// What the host's steady clock showed when it answered, where it tells.
+    /// Reading of the control plane's monotonic clock when it answered, if it reports one.
     pub host_time: Option<Duration>,
-    /// The newest configuration; absent where none was written since.
+    /// The newest configuration, if one was written since the last answer.
     pub state: Option<State>,
-    /// Orders for roll-outs that were written or withdrawn since.
+    /// Roll-out orders that were written or withdrawn since the last answer.
     pub rollouts: Vec<RolloutNews>,
 }
 
-/// What the host says of an order for a roll-out.
+/// Change of an order for a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutNews {
-    /// It stands.
+    /// The order is in effect.
     Ordered {
-        /// What was ordered.
+        /// The order.
         order: Order,
-        /// What was settled for the service last, where that was read too. It may be of
+        /// The stored status of the service's last roll-out, if it was read too. It may belong to
         /// an earlier order.
         status: Option<RolloutStatus>,
     },
@@ -52,32 +52,32 @@
     Withdrawn(ServiceName),
 }
 
-/// How a roll-out stands, as the host keeps it.
+/// Status of a roll-out, as the control plane stores it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStatus {
-    /// The order that it is about.
+    /// The order that it belongs to.
     pub order: OrderId,
-    /// The version ordered.
+    /// Software version that was ordered.
     pub target: Software,
-    /// Where it stands.
+    /// State of the roll-out.
     pub state: RolloutState,
-    /// When it has to be over.
+    /// Deadline of the roll-out.
     pub due: UnixTime,
 }
 
-/// Where a roll-out stands.
+/// State of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RolloutState {
-    /// It goes on.
+    /// The roll-out is in progress.
     Active,
-    /// The service has moved.
+    /// The service runs the ordered version.
     Completed,
-    /// The service stays where it was.
+    /// The service stays at its previous version.
     RolledBack,
 }
 
 impl RolloutState {
-    /// Whether this is the end.
+    /// Whether the roll-out has ended.
     #[must_use]
     pub fn is_final(self) -> bool {
         self != Self::Active
@@ -85,8 +85,8 @@
 }
 
 impl From<RolloutState> for Step {
-    /// The host does not keep the steps of one that goes on: whoever takes it up again
-    /// begins with the first one.
+    /// The control plane does not store the individual steps of an active roll-out. A daemon that
+    /// resumes one starts with the first step.
     fn from(state: RolloutState) -> Self {
         match state {
             RolloutState::Active => Self::Trial,
@@ -96,39 +96,39 @@
     }
 }
 
-/// What the host's list holds. Both parts stand in one list, so that a daemon that starts
-/// asks once.
+/// Contents of the registry. Both parts are in one list, so that a starting daemon needs one
+/// request only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listed {
-    /// The instances that announced themselves.
+    /// Instances that have registered.
     pub members: Vec<Announcement>,
-    /// Requests under which targets ended.
+    /// Quarantined requests: those that were running when targets ended.
     pub requests: Vec<KeptRequest>,
 }
 
-/// Version of a row at the host; 0 where there is no row.
+/// Version of a row at the control plane; 0 if there is no row.
 pub type RowVersion = u64;
 
-/// What the host holds of a service's last roll-out.
+/// Stored status of a service's last roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeldRollout {
-    /// What was settled; absent where nothing was that a daemon of ours wrote.
+    /// The status; `None` if no daemon of this product has written one.
     pub status: Option<RolloutStatus>,
-    /// The row's version, on which a write depends.
+    /// Version of the row, for a conditional write.
     pub version: RowVersion,
 }
 
-/// Why the host gave no answer that is of use.
+/// Reasons why the control plane gave no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostError {
-    /// No answer, or one that says to come back. A write may have been done.
+    /// It did not answer, or asked to retry later. A write may have been carried out.
     Unavailable(SmolStr),
-    /// The changes after the cursor are no longer kept, or the cursor is of an earlier era:
-    /// read everything anew.
+    /// The changes after the cursor are no longer kept, or the cursor is of an earlier era.
+    /// Everything has to be read again.
     HistoryLost,
-    /// The answer is none that this build understands; the text says where.
+    /// The answer cannot be decoded by this build; the text says where.
     Malformed(SmolStr),
-    /// Somebody else wrote first: nothing was done.
+    /// Another writer changed the row first; nothing was written.
     Conflict,
 }
 
@@ -145,10 +145,10 @@
 
 impl std::error::Error for HostError {}
 
-/// What the daemon asks of its host. When to ask, and what to do without an
-/// answer, is decided by the daemon.
+/// Requests of the daemon to the control plane. The daemon decides when to send them, and what to
+/// do without an answer.
 pub trait Host: 'static {
-    /// The newest configuration.
+    /// Reads the newest configuration.
     fn configuration(&self) -> impl Future<Output = Result<Update, HostError>>;
 
     /// Waits for at most `wait` for a configuration written after `cursor`.
@@ -158,26 +158,26 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Update, HostError>>;
 
-    /// The instances that announced themselves, by which a daemon that starts
-    /// finds its first peer, and the requests that it has to refuse.
+    /// Reads the registry: the instances by which a starting daemon finds its first peer, and the
+    /// requests that it has to refuse.
     fn roster(&self) -> impl Future<Output = Result<Listed, HostError>>;
 
-    /// Keeps a request that is refused.
+    /// Stores a request that is refused.
     fn keep(&self, request: &KeptRequest) -> impl Future<Output = Result<(), HostError>>;
 
-    /// Keeps a request no longer.
+    /// Deletes a stored request.
     fn drop_kept(&self, request: Fingerprint) -> impl Future<Output = Result<(), HostError>>;
 
-    /// Adds this instance to the roster.
+    /// Adds this instance to the registry.
     fn announce(&self, own: &Announcement) -> impl Future<Output = Result<(), HostError>>;
 
-    /// Takes an instance out of the roster.
+    /// Deletes an instance from the registry.
     fn withdraw(&self, instance: &InstanceId) -> impl Future<Output = Result<(), HostError>>;
 
-    /// How a service's last roll-out stands.
+    /// Reads the status of a service's last roll-out.
     fn rollout(&self, service: &str) -> impl Future<Output = Result<HeldRollout, HostError>>;
 
-    /// Settles how a service's roll-out stands, if nobody wrote since `held`.
+    /// Writes the status of a service's roll-out, unless its row has changed since version `held`.
     fn settle_rollout(
         &self,
         service: &str,
--- a/crates/mesh/src/identity.rs
+++ b/crates/mesh/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who callers are, by the keys that they show.
+//! Identification of callers by their keys.
 
 use std::time::Duration;
 
@@ -11,28 +11,29 @@
 use crate::node::Node;
 use crate::wire::{CallParts, Identity};
 
-/// Pause asked for by a daemon that does not know whether its configuration is recent. One
-/// that is not cut off learns so within half a second.
+/// Retry time in refusals of a daemon that does not know whether its configuration is recent. A
+/// daemon that is not cut off learns that within half a second.
 const UNCONFIRMED_RETRY: Duration = Duration::from_millis(500);
 
-/// What follows from who a caller is. A caller that needs no key is nobody in particular.
+/// Identity of a caller with the settings that follow from it. All fields are empty for a caller
+/// that needs no key.
 #[derive(Debug, Default)]
 pub(crate) struct Caller {
     pub(crate) identity: Option<Identity>,
-    /// Rank of its calls, where its customer has one.
+    /// Priority of its calls, if its customer has one.
     pub(crate) priority: Option<u8>,
     /// Quota to which the call is charged.
     pub(crate) quota: Option<Quota>,
 }
 
-/// The caller with these headers.
+/// Identifies the caller by its headers.
 ///
-/// A daemon that has been cut off refuses keys as not run: it can tell neither whether one
-/// that it knows was taken away, nor whether one that it does not know was added.
+/// A daemon that has been cut off refuses keys as not run: it can tell neither whether a known key
+/// was revoked, nor whether an unknown one was added.
 ///
 /// # Errors
 ///
-/// Where the caller has to show a key, and it opens nothing or nobody can tell.
+/// If the route requires a key, and the key is missing or unknown or cannot be verified.
 pub(crate) fn identify(
     node: &Node,
     in_force: &InForce,
@@ -67,8 +68,8 @@
     })
 }
 
-/// A refusal for a call whose key was taken away since it came: it may wait in a queue for
-/// seconds. A configuration older than the one by which it was let in says nothing.
+/// A refusal for a call whose key was revoked since it arrived, since a call may wait in a queue
+/// for seconds. A configuration older than the one that admitted the call is not considered.
 pub(crate) fn refusal(node: &Node, call: &CallParts) -> Option<Refusal> {
     let identity = call.identity.as_ref()?;
     let in_force = node.fleet.in_force()?;
--- a/crates/mesh/src/in_force.rs
+++ b/crates/mesh/src/in_force.rs
@@ -6,8 +6,8 @@
 use stoatstep_membership::Mark;
 use stoatstep_resource::{Key, Kind, Resource, Service, State, Version};
 
-/// One version, compiled for routing. It is immutable: a call keeps the one that
-/// it began with, and a new version replaces the pointer to it.
+/// One version of the configuration, compiled for routing. It is immutable: a call keeps the one
+/// with which it began, and a new version replaces the pointer to it.
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub(crate) state: Arc<State>,
--- a/crates/mesh/src/journal.rs
+++ b/crates/mesh/src/journal.rs
@@ -1,8 +1,8 @@
-//! What the daemon says about single calls, and how often.
+//! Log lines and metrics about calls, with limits on their rate.
 //!
-//! Every call has one line at its entry: where it was placed, how it ended and
-//! where its time went. What went wrong on the way has lines of its own. The keys
-//! are listed in `docs/OPERATIONS.md`; one key means the same in every line.
+//! Every call has one line at its entry: where it was placed, how it ended and how long each stage
+//! took. Failures on the way have lines of their own. The keys are listed in `docs/OPERATIONS.md`;
+//! a key means the same in every line.
 
 use std::cell::RefCell;
 use std::time::Duration;
@@ -14,21 +14,21 @@
 
 use crate::wire::{CallParts, End};
 
-/// Lines a second about calls that went well. Enough for every call of an
-/// ordinary day; under a flood the rest is counted.
+/// Lines per second about successful calls. Enough for every call of an ordinary day; under heavy
+/// load the rest is only counted.
 const ORDINARY: u32 = 200;
 
-/// Lines a second about each kind of refusal, unknown outcome or late answer.
-/// They are looked for afterwards, so they are kept longest.
+/// Lines per second for each kind of refusal, unknown outcome or late answer. A later diagnosis
+/// needs these lines most, so they have a limit of their own.
 const EXCEPTIONAL: u32 = 200;
 
 /// Window in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// Routes with histograms of their own; the others share one.
+/// Routes with their own histograms; the others share one.
 const MAX_ROUTES: usize = 64;
 
-/// Where the time of a call went.
+/// Time spent in the stages of a call.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Times {
     /// From the caller's request to its answer.
@@ -39,23 +39,23 @@
     pub(crate) target: Duration,
 }
 
-/// How a call ended, for its line.
+/// Details of an ended call, for its log line.
 pub(crate) struct CallEnded<'a> {
     pub(crate) call: &'a CallParts,
     pub(crate) end: &'a End,
-    /// Configuration that it was routed by.
+    /// Version of the configuration by which it was routed.
     pub(crate) version: u64,
-    /// Time that its caller gave it.
+    /// Timeout that the caller set.
     pub(crate) given: Duration,
-    /// Time within which its answer is worth its full price.
+    /// Time within which the answer has its full value.
     pub(crate) objective: Duration,
     pub(crate) times: Times,
     pub(crate) attempts: usize,
-    /// The target that was tried last, and whether it is of another zone.
+    /// The target of the last attempt, and whether it is in another zone.
     pub(crate) placed: Option<(SmolStr, bool)>,
 }
 
-/// One attempt that did not bring an answer, at its entry.
+/// Details of an attempt without an answer, at its entry.
 pub(crate) struct AttemptFailed<'a> {
     pub(crate) call: &'a CallParts,
     pub(crate) attempt: AttemptId,
@@ -65,7 +65,7 @@
     pub(crate) took: Duration,
 }
 
-/// One run that did not bring an answer, at its executor.
+/// Details of a run without an answer, at its executor.
 pub(crate) struct RunFailed<'a> {
     pub(crate) call: &'a CallParts,
     pub(crate) attempt: AttemptId,
@@ -77,7 +77,7 @@
     pub(crate) queued: u32,
 }
 
-/// Lines, counters and histograms about calls.
+/// Rate-limited log lines, counters and histograms of one daemon.
 pub(crate) struct Journal {
     log: Logger,
     lines: RefCell<RateLimit>,
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Every counter, gauge and histogram as text lines.
+    /// All counters, gauges and histograms as text lines.
     pub(crate) fn metrics_text(&self) -> String {
         let histograms = self.histograms.borrow();
         let mut text = self.metrics.render();
@@ -111,8 +111,8 @@
         self.metrics.count(name, 1);
     }
 
-    /// Number of lines of this kind that were left out before it, or `None` where
-    /// the line itself is one too many.
+    /// Number of lines of this kind that were suppressed before this one, or `None` if this line is
+    /// to be suppressed too.
     pub(crate) fn admits(&self, kind: &'static str, now: Time) -> Option<u64> {
         match self.lines.borrow_mut().admit(kind, now) {
             Admission::Log { suppressed } => Some(suppressed),
@@ -120,7 +120,7 @@
         }
     }
 
-    /// One line about each call, whatever became of it.
+    /// Logs the end of a call, whatever its outcome.
     pub(crate) fn call_ended(&self, ended: &CallEnded<'_>, now: Time) {
         self.measure(ended);
         let is_late = ended.times.total > ended.objective;
@@ -154,7 +154,7 @@
             fields::OBJECTIVE_MS => millis(ended.objective), fields::BYTES => bytes, fields::LEFT_OUT => left_out);
     }
 
-    /// One line about each call whose caller did not wait for its end.
+    /// Logs a call whose caller did not wait for its end.
     pub(crate) fn caller_left(&self, call: &CallParts, waited: Duration, now: Time) {
         self.count("calls.left");
         if let Some(left_out) = self.admits("left", now) {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// One line about each attempt that brought no answer.
+    /// Logs an attempt without an answer.
     pub(crate) fn attempt_failed(&self, failed: &AttemptFailed<'_>, now: Time) {
         self.count("attempts.failed");
         if let Some(left_out) = self.admits("attempt", now) {
@@ -177,7 +177,7 @@
         }
     }
 
-    /// One line about each run that brought no answer.
+    /// Logs a run without an answer.
     pub(crate) fn run_failed(&self, failed: &RunFailed<'_>, now: Time) {
         self.count("runs.failed");
         if let Some(left_out) = self.admits("run", now) {
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,20 +1,19 @@
-//! The daemon of a fleet whose host keeps the configuration: it takes calls
-//! from callers on its own instance, has them run beside a target, and learns
-//! everything else from its host, its target and its peers.
+//! The daemon of a fleet whose configuration is kept by a control plane. It takes calls from
+//! callers on its own instance, has them run beside a target, and learns everything else from the
+//! control plane, its target and its peers.
 //!
-//! * The *host* is whatever runs the fleet. It keeps one configuration document
-//!   and a list of instances to begin with, and is reached through [`Host`].
-//! * The *target* beside the daemon announces itself in heartbeats, see
-//!   [`Heartbeat`].
-//! * *Peers* are the other daemons. They exchange membership and configuration,
-//!   and carry each other's calls over links.
+//! * The *control plane* is whatever runs the fleet. It keeps one configuration document and a list
+//!   of instances for the daemons to start from, and is reached through [`Host`]. In log lines and
+//!   metrics it is called `host`.
+//! * The *target* beside the daemon announces itself in heartbeats, see [`Heartbeat`].
+//! * *Peers* are the other daemons. They exchange membership and configuration, and forward each
+//!   other's calls over links.
 //!
-//! A call enters at one daemon (`entry`), goes to the daemon beside the chosen
-//! target (`executor`), and only that one talks to the target. What must hold
-//! for a target (at most one run, no call after its drain, no more calls than
-//! slots) is therefore decided at one place. The decisions themselves are those
-//! of `stoatstep-calls`, `stoatstep-membership` and `stoatstep-distribution`.
-//! See `docs/design/platform.md`.
+//! A call enters at one daemon (`entry`) and goes to the daemon beside the chosen target
+//! (`executor`), which alone talks to that target. Every guarantee for a target (at most one run,
+//! no call after its drain, no more calls than slots) is therefore enforced in one place. The
+//! decision logic itself is in `stoatstep-calls`, `stoatstep-membership` and
+//! `stoatstep-distribution`. See `docs/design/platform.md`.
 
 mod clock;
 mod config;
--- a/crates/mesh/src/mechanism.rs
+++ b/crates/mesh/src/mechanism.rs
@@ -1,33 +1,33 @@
-//! Mechanisms that can be switched off, to see what each is worth.
+//! Mechanisms that can be switched off, to measure the effect of each.
 
 use std::str::FromStr;
 
-/// What a daemon decides by. All of them are on unless a setting names them.
+/// A mechanism of the daemon. All of them are on unless a setting names them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Mechanism {
-    /// Part of a route's calls is refused while most of those let through fail.
+    /// Refuses a share of a route's calls while most of those let through fail.
     Throttle,
-    /// Targets that fail often are left out for a while.
+    /// Ejects targets that fail often for a while.
     Ejection,
-    /// Queues refuse by the latency objective; without it, by the deadline.
+    /// Refuses calls in queues by the latency objective instead of the deadline.
     QueueObjective,
-    /// A call refused by one queue is offered to a second one.
+    /// Offers a call that one queue refused to a second one.
     SecondQueue,
-    /// Calls with small answers leave their zone before those with large ones.
+    /// Sends calls with small answers to other zones before those with large answers.
     AnswerSize,
-    /// Calls are placed by the run time of their own route.
+    /// Places calls by the run time of their own route.
     RouteTime,
-    /// Large answers go at the pace of the instance's link, and are refused where it has
-    /// no room.
+    /// Paces large answers to the capacity of the instance's link, and refuses them if it has none
+    /// left.
     LinkPace,
-    /// Beside each call a few targets are asked how occupied they are.
+    /// Asks a few targets for their occupancy beside each call.
     LoadProbes,
-    /// Requests under which targets end are refused.
+    /// Refuses requests under which targets end.
     Quarantine,
 }
 
 impl Mechanism {
-    /// Every mechanism.
+    /// All mechanisms.
     pub const ALL: [Self; 9] = [
         Self::Throttle,
         Self::Ejection,
@@ -40,7 +40,7 @@
         Self::Quarantine,
     ];
 
-    /// Its name in settings.
+    /// The name of the mechanism in settings.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -57,7 +57,7 @@
     }
 }
 
-/// A setting names a mechanism that does not exist.
+/// Error for a setting that names an unknown mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownMechanism;
 
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of one daemon share.
+//! State shared by all parts of one daemon.
 
 use std::cell::Cell;
 use std::io;
@@ -28,17 +28,17 @@
 use stoatstep_membership::{Birth, Heard, Heartbeat};
 use stoatstep_telemetry::fields;
 
-/// Interval of the periodic work. Membership counts its time in it.
+/// Interval of the periodic work, including the membership protocol.
 const TICK: Duration = Duration::from_millis(250);
 
-/// One daemon. Everything runs on one thread, so its cells are never contended;
-/// their borrows never last over an `await`.
+/// State of one daemon. Everything runs on one thread, so its cells are never contended; borrows of
+/// them never last over an `await`.
 pub(crate) struct Node {
     pub(crate) cfg: MeshConfig,
     pub(crate) log: Logger,
     pub(crate) clock: Clock,
     pub(crate) journal: Journal,
-    /// What this instance's link carries.
+    /// Pacing of what is sent over this instance's link.
     pub(crate) uplink: Rc<SharedUplink>,
     pub(crate) links: Links,
     pub(crate) entry: Entry,
@@ -48,7 +48,7 @@
     pub(crate) requests: Requests,
     pub(crate) quotas: Quotas,
     pub(crate) in_flight: Cell<u32>,
-    /// Answers to callers that have not been written to their ends.
+    /// Answers to callers that are not yet fully written.
     pub(crate) unwritten: Unwritten,
     pub(crate) departure: Cell<Departure>,
 }
@@ -60,16 +60,16 @@
     }
 }
 
-/// A running daemon, as the adapter of its host sees it.
+/// Handle of a running daemon, for the adapter between it and its environment.
 #[derive(Clone)]
 pub struct Mesh(Rc<Node>);
 
 impl Mesh {
-    /// Starts the daemon on the present thread.
+    /// Starts the daemon on the current thread.
     ///
     /// # Errors
     ///
-    /// Where one of its addresses cannot be bound.
+    /// If one of its addresses cannot be bound.
     pub async fn start<H: Host>(cfg: MeshConfig, host: H, log: Logger) -> io::Result<Self> {
         let peers = TcpListener::bind(cfg.addresses.peers).await?;
         let callers = Server::bind(cfg.addresses.callers).await?;
@@ -117,8 +117,8 @@
         Ok(Self(node))
     }
 
-    /// Takes in a heartbeat of the target beside the daemon. Once this returns,
-    /// no further call goes to a target that drains.
+    /// Handles a heartbeat of the target beside the daemon. Once this returns, no further call goes
+    /// to a target that drains.
     #[must_use = "a stale heartbeat is acked like any other, but may be worth a log line"]
     pub fn hear(&self, beat: Heartbeat) -> Heard {
         let heard = executor::hear(&self.0, beat);
@@ -126,14 +126,14 @@
         heard
     }
 
-    /// The target with this id said good-bye, for the life that began at `born` where
-    /// it tells. Once this returns, no further call goes to that life.
+    /// Handles the departure of the target with this id, for the life that began at `born` if it
+    /// reports one. Once this returns, no further call goes to that life.
     pub fn target_left(&self, id: &str, born: Option<Birth>) {
         executor::target_left(&self.0, id, born);
         gossip::target_changed(&self.0);
     }
 
-    /// Whether callers should come here: a configuration is in force and, where there are
+    /// Whether callers should use this daemon: a configuration is in force and, if there are
     /// customers, known to be recent enough, and the daemon is not about to stop.
     #[must_use]
     pub fn is_ready(&self) -> bool {
@@ -141,7 +141,7 @@
         is_configured && !self.0.is_leaving() && fleet::confirmation::is_recent(&self.0)
     }
 
-    /// Stops gracefully; the process may end when this does.
+    /// Stops gracefully. The process may end once this returns.
     pub async fn drain(&self) {
         drain::begin(&self.0);
         drain::finished(&self.0).await;
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests under which targets end, as one daemon takes part in finding and refusing
-//! them. What is decided is in [`Quarantine`].
+//! Finding and refusing requests under which targets end, such as requests that crash them. The
+//! decisions are made by [`Quarantine`].
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -17,51 +17,51 @@
 use crate::node::Node;
 use crate::wire::{Ask, CallParts};
 
-/// Pause after which a suspected request that runs has most likely ended.
+/// Time after which a suspected request that is running has probably ended.
 const RUNS_RETRY: Duration = Duration::from_millis(250);
 
-/// How a peer's finding came.
+/// How a finding of a peer arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Way {
-    /// As a word of its own, told the moment it was found.
+    /// In a message of its own, sent as soon as it was found.
     Direct,
-    /// Along with a regular exchange.
+    /// As part of a regular exchange.
     Exchange,
 }
 
-/// What a daemon knows of requests under which targets end.
+/// What this daemon knows of requests under which targets end.
 #[derive(Default)]
 pub(crate) struct Requests {
     known: RefCell<Quarantine>,
-    /// Requests that the target beside this daemon ran when it ended.
+    /// Requests that were running at the local target when it ended.
     own: RefCell<BTreeSet<Fingerprint>>,
-    /// Requests of which the host has to be told, each once.
+    /// Requests whose state has to be written to the control plane.
     to_keep: RefCell<BTreeSet<Fingerprint>>,
 }
 
 impl Requests {
-    /// What peers are told in the regular exchanges.
+    /// Findings to send in the regular exchanges.
     pub(crate) fn news(&self, now: Time) -> Vec<Finding> {
         self.known.borrow().news(now)
     }
 
-    /// Has the host told how a request stands, when it is reached.
+    /// Schedules the state of a request to be written to the control plane.
     pub(crate) fn keep(&self, request: Fingerprint) {
         self.to_keep.borrow_mut().insert(request);
     }
 
-    /// The same for all that are refused.
+    /// Schedules all quarantined requests to be written to the control plane.
     pub(crate) fn keep_all(&self, now: Time) {
         let held = self.known.borrow();
         self.to_keep.borrow_mut().extend(held.held(now));
     }
 
-    /// The next request of which the host has to be told.
+    /// Takes the next request whose state has to be written to the control plane.
     pub(crate) fn next_to_keep(&self) -> Option<Fingerprint> {
         self.to_keep.borrow_mut().pop_first()
     }
 
-    /// Forgets what is over.
+    /// Removes expired entries.
     pub(crate) fn tick(&self, now: Time) {
         let mut known = self.known.borrow_mut();
         known.tick(now);
@@ -70,10 +70,10 @@
     }
 }
 
-/// A refusal for a call that is not to be run; asked by the entry before each attempt, and
-/// by the executor when an attempt comes and before it starts. The executor asks since an
-/// entry that has just started knows nothing yet, and since word may have come while the
-/// call waited in the queue.
+/// A refusal for a quarantined call. The entry checks it before each attempt, and the executor when
+/// an attempt arrives and again before it starts. The executor checks because an entry that has
+/// just started has no findings yet, and because a finding may arrive while the call waits in the
+/// queue.
 pub(crate) fn refusal(node: &Node, call: &CallParts) -> Option<Refusal> {
     let content = watched(node, call)?;
     let known = node.requests.known.borrow();
@@ -81,31 +81,31 @@
     Some(Refusal::retry(Reason::Quarantined, left))
 }
 
-/// Names what a call asks for, where any request is known that may have to be refused.
+/// The fingerprint of a call, if any suspected request is known.
 fn watched(node: &Node, call: &CallParts) -> Option<Fingerprint> {
     let is_any_known = !node.requests.known.borrow().is_empty();
     let is_watched = is_any_known && node.cfg.has(Mechanism::Quarantine);
     is_watched.then(|| call.fingerprint())
 }
 
-/// Names what a call asks for, where a target ended under it and none has answered it
-/// since. It may run, but not beside itself: where it is to blame, its target ends with all
-/// its repeats.
+/// The fingerprint of a call, if a target ended while running that request and none has answered it
+/// since. Such a request may run, but only once at a time: if it is the cause, its target ends
+/// together with all its copies.
 pub(crate) fn suspected(node: &Node, call: &CallParts) -> Option<Fingerprint> {
     let content = watched(node, call)?;
     let lives = node.requests.known.borrow().lives(content);
     (lives > 0).then_some(content)
 }
 
-/// A refusal for a suspected request that runs already.
+/// A refusal for a suspected request that is already running.
 pub(crate) fn refusal_beside_itself() -> Refusal {
     Refusal::retry(Reason::Quarantined, RUNS_RETRY)
 }
 
-/// The life `upstream` of the target beside this daemon ended while it ran these requests.
+/// Records that the life `upstream` of the local target ended while it ran these requests.
 ///
-/// Every daemon is told at once. By the regular exchanges alone it takes seconds, in which
-/// a request that comes ten times a second takes the rest of its service's targets.
+/// All daemons are told at once. Regular exchanges alone take seconds, and in that time a request
+/// that is sent ten times a second ends the remaining targets of its service.
 pub(crate) fn target_ended(node: &Rc<Node>, upstream: &str, requests: &[Fingerprint]) {
     let now = node.clock.now();
     let lives = vec![life_mark(upstream)];
@@ -117,7 +117,7 @@
     node.requests.own.borrow_mut().extend(requests);
     let news = requests.iter().map(ended);
     let news: Vec<_> = news.filter(|it| learn(node, it)).collect();
-    // Told with the lives that ended before, for those that missed word of them.
+    // The findings include earlier lives, for daemons that missed the messages about those.
     let known = node.requests.known.borrow();
     let findings = news
         .iter()
@@ -129,14 +129,14 @@
     }
 }
 
-/// What the host has to hold of a request; nothing where it is not refused.
+/// The row to store for a request at the control plane; `None` if the request is not quarantined.
 pub(crate) fn kept(node: &Node, request: Fingerprint) -> Option<KeptRequest> {
     let known = node.requests.known.borrow();
     known.kept(request, node.clock.now(), unix_time())
 }
 
-/// Takes in what the host holds, as if it had come in this way from a peer, and has deleted
-/// what is over.
+/// Applies the stored requests of the control plane as if they had come from a peer by `way`, and
+/// schedules expired ones for deletion.
 pub(crate) fn hear_kept(node: &Rc<Node>, requests: &[KeptRequest], way: Way) {
     let now = unix_time();
     let mut findings = Vec::new();
@@ -149,10 +149,10 @@
     hear(node, &findings, way);
 }
 
-/// A target answered a call. Where the request is refused somewhere, or soon might be,
-/// every daemon is told at once. In the first second of a fleet nothing was answered yet,
-/// and what most callers send may have run at three targets that ended; the regular
-/// exchanges would leave it refused for seconds.
+/// Records that a target answered a call. If the request is quarantined somewhere, or soon might
+/// be, all daemons are told at once. In the first second of a fleet no request has been answered
+/// yet, and a common one may have been running at three targets that ended; with regular exchanges
+/// alone it would be refused for seconds.
 pub(crate) fn answered(node: &Rc<Node>, call: &CallParts) {
     let known = node.requests.known.borrow();
     if known.is_empty() {
@@ -177,7 +177,7 @@
     }
 }
 
-/// Takes in what a peer found, and passes on what is news.
+/// Applies findings of a peer, and forwards those that are new.
 pub(crate) fn hear(node: &Rc<Node>, findings: &[Finding], way: Way) {
     let news = findings.iter().filter(|it| learn(node, it));
     let news: Vec<_> = news.cloned().collect();
@@ -186,7 +186,7 @@
     }
 }
 
-/// Takes in a finding, and says whether it is news.
+/// Applies a finding, and returns whether it is new.
 fn learn(node: &Node, finding: &Finding) -> bool {
     let now = node.clock.now();
     let mut known = node.requests.known.borrow_mut();
@@ -197,8 +197,8 @@
         Learned::Nothing | Learned::Cleared { was_held: false } => {}
         Learned::Suspicion => node.journal.count("requests.suspected"),
         Learned::Held(left) => {
-            // By each of the daemons whose targets ended: any of them may be gone the next
-            // moment, and the row is the same.
+            // Every daemon whose target ended writes the row: any of them may fail at any moment,
+            // and the row is the same.
             if node.requests.own.borrow().contains(&finding.request()) {
                 node.requests.keep(finding.request());
             }
--- a/crates/mesh/src/quota.rs
+++ b/crates/mesh/src/quota.rs
@@ -1,6 +1,5 @@
-//! Quotas of customers, as one daemon takes part in holding them: as an entry that asks
-//! for tokens, and as the home of some customers that grants them. What is decided is in
-//! [`Purse`] and [`Bucket`].
+//! Enforcement of customers' quotas: an entry asks for tokens, and the home of a customer, a daemon
+//! chosen in each zone, grants them. The decisions are made by [`Purse`] and [`Bucket`].
 
 mod home;
 
@@ -19,37 +18,37 @@
 use home::{Homes, Place};
 pub(crate) use home::{grant, lend, members_changed};
 
-/// Time for an answer of the home: some round trips within a zone.
+/// Timeout of a request to the home: some round trips within a zone.
 const ANSWER_BOUND: Duration = Duration::from_millis(150);
 
-/// Part of its even share of a zone that an entry may use while its home does not answer.
-/// Where the home is there and only out of reach, it grants the whole share to others.
+/// Fraction of its even share of the zone's quota that an entry may use while the home does not
+/// answer. If the home is alive but out of reach, it grants the whole share to others.
 const RESERVE: f64 = 0.25;
 
-/// What becomes of a call that waits for a token.
+/// Result of waiting for a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// It has one.
+    /// The call has a token.
     Granted,
-    /// The quota is used up; there is room after this time.
+    /// The quota is used up, and tokens are available after this time.
     Refused(Duration),
     /// The home did not answer.
     Unknown,
 }
 
-/// What this daemon knows of quotas.
+/// Quota state of this daemon.
 #[derive(Default)]
 pub(crate) struct Quotas {
     desks: RefCell<HashMap<CustomerName, Desk>>,
     homes: Homes,
 }
 
-/// Calls of one customer at this entry, and the tokens for them.
+/// The calls of one customer at this entry that wait for tokens, and the tokens in stock.
 struct Desk {
     purse: Purse,
     waiting: VecDeque<oneshot::Sender<Verdict>>,
     is_asking: bool,
-    /// What may be used while the home does not answer.
+    /// Tokens that may be used while the home does not answer.
     reserve: Bucket,
 }
 
@@ -63,12 +62,12 @@
         }
     }
 
-    /// Hands tokens to calls that wait, the first first, and keeps the others.
+    /// Hands tokens to waiting calls in order of arrival, and keeps the rest.
     fn hand_out(&mut self, mut tokens: u32, now: Time) {
         while tokens > 0
             && let Some(call) = self.waiting.pop_front()
         {
-            // Whoever left needs no token.
+            // A call that no longer waits needs no token.
             if call.send(Verdict::Granted).is_ok() {
                 tokens -= 1;
             }
@@ -91,7 +90,7 @@
         desk.or_insert_with(|| Desk::new(now)).purse.take(now)
     }
 
-    /// Has a call wait for a token, and says whether the home is being asked already.
+    /// Queues a call for a token, and returns whether the home is already being asked.
     fn queue(&self, customer: &CustomerName, call: oneshot::Sender<Verdict>, now: Time) -> bool {
         let mut desks = self.desks.borrow_mut();
         let desk = desks.entry(customer.clone());
@@ -100,7 +99,7 @@
         std::mem::replace(&mut desk.is_asking, true)
     }
 
-    /// Takes back a token that a call did not use.
+    /// Returns a token that a call did not use.
     pub(crate) fn give_back(&self, customer: &CustomerName, now: Time) {
         if let Some(desk) = self.desks.borrow_mut().get_mut(customer) {
             desk.hand_out(1, now);
@@ -118,8 +117,8 @@
     rx.await.unwrap_or(Verdict::Unknown)
 }
 
-/// Asks the home for as long as calls wait, one question at a time: what comes while one is
-/// open goes along with the next.
+/// Asks the home for tokens while calls wait, with one request at a time: calls that arrive during
+/// a request are covered by the next one.
 async fn ask_home(node: Rc<Node>, customer: CustomerName) {
     while let Some(wanted) = next_question(&node, &customer) {
         let granted = match home::place_of(&node, &customer) {
@@ -131,7 +130,7 @@
     }
 }
 
-/// Tokens to ask for; nothing where no call waits any more.
+/// Number of tokens to ask for; `None` if no call waits any more.
 fn next_question(node: &Node, customer: &str) -> Option<u32> {
     let mut desks = node.quotas.desks.borrow_mut();
     let desk = desks.get_mut(customer)?;
@@ -170,7 +169,7 @@
     }
 }
 
-/// What this entry may use on its own.
+/// The share of the quota that this entry may use while the home does not answer.
 fn reserve(node: &Node, customer: &str) -> Option<Share> {
     let in_force = node.fleet.in_force()?;
     let quota = in_force.keys.customer(customer)?.quota?;
@@ -179,7 +178,7 @@
     Some(Share::new(quota, of))
 }
 
-/// Forgets customers that have not called for a while.
+/// Removes customers that have not called for a while.
 pub(crate) fn tick(node: &Node) {
     let now = node.clock.now();
     let mut desks = node.quotas.desks.borrow_mut();
--- a/crates/mesh/src/quota/home.rs
+++ b/crates/mesh/src/quota/home.rs
@@ -1,8 +1,8 @@
-//! The home's part: grants tokens to the entries of its own zone.
+//! The home of a customer, which grants tokens to the entries of its zone.
 //!
-//! Every daemon takes the same member of its zone for a customer's home, by a hash over
-//! the members that it knows. Where two differ for a moment, both grant from buckets of
-//! which the newer one began empty.
+//! All daemons of a zone choose the same member as a customer's home, by a hash over the members
+//! that they know. While two daemons disagree, both members grant tokens, and the bucket of the
+//! newer home starts empty.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -21,17 +21,17 @@
 use crate::node::Node;
 use crate::wire::Ask;
 
-/// Time for which members that died still count for the share of those that are left: they
-/// may be on the other side of a cut, and use theirs.
+/// Time for which dead members still count when the share of the remaining ones is computed: they
+/// may be on the other side of a network partition and use their part.
 const DEAD_COUNT_FOR: Duration = Duration::from_secs(30);
 
-/// Time between two tries to borrow for one customer.
+/// Time between two attempts to borrow for one customer.
 const BORROW_PAUSE: Duration = Duration::from_millis(250);
 
-/// Time for which a home borrows ahead.
+/// Period for which a home borrows in advance.
 const BORROW_AHEAD: Duration = Duration::from_millis(500);
 
-/// Where a customer's home is.
+/// Location of a customer's home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Place {
     /// This daemon.
@@ -40,25 +40,25 @@
     At(SocketAddr),
 }
 
-/// What this daemon holds as a home.
+/// State of this daemon as a home.
 #[derive(Default)]
 pub(super) struct Homes {
     held: RefCell<HashMap<CustomerName, Held>>,
     /// Members of the own zone that can be homes, by key.
     ring: RefCell<Vec<MemberKey>>,
-    /// Since when it has been these.
+    /// When the members last changed.
     since: Cell<Time>,
 }
 
-/// The quota of one customer.
+/// Quota state of one customer.
 struct Held {
     bucket: Bucket,
-    /// When it is next worth asking other zones.
+    /// Earliest time of the next request to the other zones.
     borrows_from: Time,
 }
 
 impl Homes {
-    /// Members of the own zone.
+    /// Number of members of the own zone that can be homes.
     pub(super) fn members(&self) -> usize {
         self.ring.borrow().len()
     }
@@ -73,8 +73,8 @@
     member.takes_calls()
 }
 
-/// Takes in a change of the members. What this daemon is no longer the home of it forgets:
-/// if it becomes so again, another one has granted meanwhile.
+/// Handles a change of the members. The state of customers that now have another home is dropped:
+/// if this daemon becomes their home again, the other one will have granted tokens meanwhile.
 pub(crate) fn members_changed(node: &Node) {
     let homes = &node.quotas.homes;
     let membership = node.fleet.membership();
@@ -91,8 +91,7 @@
     held.retain(|customer, _| homes.home_of(customer) == Some(me));
 }
 
-/// Where the home of this customer is; nothing for as long as this daemon has not met its
-/// zone.
+/// Location of the customer's home; `None` until this daemon has met its zone.
 pub(super) fn place_of(node: &Node, customer: &str) -> Option<Place> {
     if role::is_meeting_zone(node) {
         return None;
@@ -106,11 +105,11 @@
     Some(Place::At(entry.member.peer))
 }
 
-/// Grants tokens; nothing where this daemon is not the customer's home.
+/// Grants tokens; `None` if this daemon is not the customer's home.
 pub(crate) fn grant(node: &Rc<Node>, customer: &CustomerName, wanted: u32) -> Option<Grant> {
     let (share, quota) = own_share(node, customer)?;
     let Some(quota) = quota else {
-        // There is no limit any more; the entry will know in a moment.
+        // The limit was removed, and the entry will learn of it shortly.
         return Some(Grant {
             tokens: wanted,
             retry_after: None,
@@ -142,7 +141,7 @@
     })
 }
 
-/// What this daemon may grant as the customer's home, and the whole quota.
+/// The share that this daemon may grant as the customer's home, and the whole quota.
 fn own_share(node: &Node, customer: &str) -> Option<(Share, Option<Quota>)> {
     if place_of(node, customer) != Some(Place::Here) {
         return None;
@@ -157,8 +156,8 @@
     Some((share, quota))
 }
 
-/// Part of each quota that the members of this zone may use which this daemon sees. Those
-/// on the other side of a cut are dead to it, and have the rest.
+/// Fraction of every quota that the visible members of this zone may use. Members on the other side
+/// of a network partition count as dead here, and use the rest.
 pub(super) fn share_of_zone(node: &Node) -> f64 {
     let now = node.clock.now();
     let membership = node.fleet.membership();
@@ -188,7 +187,7 @@
     }
 }
 
-/// Asks the homes of the other zones for what they do not use.
+/// Asks the customer's homes in the other zones for unused tokens.
 fn borrow(node: &Rc<Node>, customer: &CustomerName, share: Share) {
     let now = node.clock.now();
     let is_due = with_held(node, customer, |it| {
@@ -219,7 +218,7 @@
     }
 }
 
-/// The customer's homes in the other zones, as this daemon sees them.
+/// The customer's homes in the other zones, as far as this daemon knows.
 fn homes_elsewhere(node: &Node, customer: &str) -> Vec<SocketAddr> {
     let membership = node.fleet.membership();
     let mut zones: BTreeMap<&ZoneName, Vec<MemberKey>> = BTreeMap::new();
--- a/crates/mesh/src/rollout/evidence.rs
+++ b/crates/mesh/src/rollout/evidence.rs
@@ -1,4 +1,4 @@
-//! Asking the daemons of a service what they have seen of their targets.
+//! Collects evidence about targets from the daemons of a service.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use crate::node::Node;
 use crate::wire::{Ask, Reply};
 
-/// Time for an answer. A look waits for the slowest one, and badness has to show within
-/// a second or two.
+/// Timeout of a request. An evaluation waits for the slowest answer, and a bad version has to be
+/// detected within a second or two.
 const ANSWER_BOUND: Duration = Duration::from_millis(300);
 
-/// What this daemon has seen of its own target since the order.
+/// This daemon's evidence about its own target since the order.
 pub(crate) fn of_target(node: &Node, service: &str, order: OrderId) -> Evidence {
     node.executor.evidence(service, order, node.clock.now())
 }
 
-/// What these daemons have seen; those that do not answer are left out.
+/// The evidence of these daemons; those that do not answer are left out.
 pub(super) async fn ask(node: &Rc<Node>, order: &Order, peers: &[Peer]) -> Vec<Evidence> {
     let asked = peers.iter().map(|peer| ask_one(node, order, peer));
     join_all(asked).await.into_iter().flatten().collect()
--- a/crates/mesh/src/rollout/judge.rs
+++ b/crates/mesh/src/rollout/judge.rs
@@ -1,8 +1,8 @@
-//! Looking at the evidence, and taking the next step when it is due.
+//! Evaluates the evidence about a roll-out, and takes its next step when that is due.
 //!
-//! The daemons beside the first few targets of the new side do so. Each one of them that
-//! finds the version bad halts it. The steps forward are taken by the first of them, and
-//! by the others a little later each, so that the death of one costs a moment.
+//! The daemons beside the first few targets of the new side do so. Any of them that finds the
+//! version bad halts it. Forward steps are taken by the first of them, and by the others each a
+//! little later, so that the failure of one causes only a short delay.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,33 +17,33 @@
 use crate::host::Host;
 use crate::node::Node;
 
-/// How often it is looked whether something is due.
+/// How often due steps are checked.
 const STEP: Duration = Duration::from_millis(200);
 
-/// Daemons that take a roll-out on. The host may turn a third of them away for seconds:
-/// with five, all of them are turned away in one of 200 such times.
+/// Number of daemons that advance a roll-out. The control plane may reject a third of all daemons
+/// for seconds; with five, that hits all of them in one of 200 such periods.
 const DECIDERS: usize = 5;
 
-/// How much later than the one before it each of them takes up an order, which needs two
-/// calls to the host.
+/// Delay of each daemon after the one before it for taking up an order, which needs two requests to
+/// the control plane.
 const TAKE_UP_LATER: Duration = Duration::from_millis(750);
 
-/// The same for the steps after that.
+/// Delay of each daemon after the one before it for all later steps.
 const STEP_LATER: Duration = Duration::from_millis(100);
 
-/// Daemons of the old side that are asked what they have seen. Their sums have to be many
-/// against those of the few targets tried, and each look costs a message of some 100 bytes
-/// to each of them.
+/// Number of daemons of the old side that are asked for evidence. Their counts have to be large
+/// compared with those of the few targets on trial, and each evaluation costs a message of some 100
+/// bytes per daemon.
 const OLD_ASKED: usize = 6;
 
-/// Least time for which the last step is known before the old side counts as empty. Word
-/// of it takes some tens of milliseconds, and calls may be on their way.
+/// Shortest time between the last step and the check that the old side is idle. Word of the step
+/// takes some tens of milliseconds, and calls may be on their way.
 const LEAST_LAST: Duration = Duration::from_millis(300);
 
-/// Longest time for which a roll-out that is overdue waits for the old side.
+/// Longest time for which an overdue roll-out waits for the old side.
 const LONGEST_LAST: Duration = Duration::from_secs(2);
 
-/// Looks after a service's roll-outs until the process ends.
+/// Advances the roll-outs of the daemon's own service until the process ends.
 pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
     while !node.is_leaving() {
         tokio::time::sleep(STEP).await;
@@ -53,10 +53,10 @@
     }
 }
 
-/// One look of a daemon that takes a roll-out on.
+/// One evaluation of a roll-out by a daemon that advances it.
 struct Turn {
     progress: Progress,
-    /// Time since the order was heard of, and since its present step was.
+    /// Time since the order became known, and time since the current step did.
     heard_for: Duration,
     at_step_for: Duration,
     rank: u32,
@@ -152,8 +152,8 @@
         plan.due(&self.progress, now)
     }
 
-    /// What the evidence says; `None` for a daemon that is cut off from the old side. What
-    /// it has seen alone is no comparison, and it must not end a roll-out by it.
+    /// The verdict on the evidence; `None` if the old side is out of reach. The evidence of the new
+    /// side alone allows no comparison, and must not end a roll-out.
     async fn look(&self, node: &Rc<Node>) -> Option<Verdict> {
         let is_tried = |peer: &&Peer| self.canaries.has(&peer.upstream);
         let tried: Vec<Peer> = self.view.new.iter().filter(is_tried).cloned().collect();
@@ -187,8 +187,8 @@
         hear(node, &self.progress.at(Step::Halted), Source::Own);
     }
 
-    /// Whether the old side runs nothing more, or cannot be waited for any longer: at the
-    /// completion its targets end, with whatever they run.
+    /// Whether the old side is idle, or cannot be waited for any longer. At completion its targets
+    /// end together with the calls that they still run.
     async fn is_old_side_done(&self, node: &Rc<Node>) -> bool {
         if self.at_step_for < LEAST_LAST + self.later(STEP_LATER) {
             return false;
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -1,5 +1,4 @@
-//! Roll-outs, as one daemon takes part in them. What is decided is in
-//! `stoatstep-rollout`.
+//! A daemon's part in roll-outs. The decisions are made by `stoatstep-rollout`.
 
 mod evidence;
 mod judge;
@@ -28,37 +27,37 @@
 pub(crate) use newcomers::Newcomers;
 use view::View;
 
-/// Time without word of the other targets from which the daemon beside one that is tried
-/// holds it back. A daemon that is cut off does not hear that the version is bad, and its
-/// entries neither.
+/// Time without contact to other targets after which the daemon beside a target on trial holds it
+/// back. A daemon that is cut off does not learn that the version is bad, and neither do its
+/// entries.
 const LONELY_AFTER: Duration = Duration::from_secs(2);
 
-/// What a daemon knows of roll-outs, and what follows for calls.
+/// Roll-out state of a daemon, and the resulting division of calls.
 #[derive(Default)]
 pub(crate) struct Rollouts {
     book: RefCell<Book>,
     lanes: RefCell<HashMap<ServiceName, Lane>>,
-    /// Calls by route of the services that are under a roll-out.
+    /// Calls by route of the services that have a roll-out on trial.
     mixes: RefCell<HashMap<ServiceName, Mix>>,
-    /// When a judge last had word of other targets of its service.
+    /// When an evaluation last reached other targets of the service.
     in_touch: Cell<Option<Time>>,
-    /// A question to the host goes on.
+    /// Whether a status write at the control plane is in progress.
     is_settling: Cell<bool>,
 }
 
 impl Rollouts {
-    /// What peers are told in the regular exchanges.
+    /// Progress to send in the regular exchanges.
     pub(crate) fn news(&self, now: Time) -> Vec<Progress> {
         self.book.borrow().news(now)
     }
 
-    /// What a peer is told that has just started.
+    /// Progress to send to a peer that has just started.
     pub(crate) fn all(&self) -> Vec<Progress> {
         self.book.borrow().all()
     }
 
-    /// The side of a call, where its service is under a roll-out, with how the service's
-    /// calls are divided.
+    /// The side that a call goes to if its service has a roll-out, together with the division of
+    /// the service's calls.
     pub(crate) fn divide(&self, call: &CallParts, draw: u32) -> Option<(Lane, Side)> {
         let lane = self.lanes.borrow().get(&call.service)?.clone();
         let weight = match lane.step {
@@ -93,7 +92,7 @@
         self.book.borrow().get(service).is_some()
     }
 
-    /// Whether a roll-out of the service goes on, so that answers of its targets count.
+    /// Whether the service has an active roll-out, so that answers of its targets are counted.
     pub(crate) fn is_judged(&self, service: &str) -> bool {
         let lanes = self.lanes.borrow();
         let lane = lanes.get(service);
@@ -101,19 +100,19 @@
     }
 }
 
-/// Who said how far a roll-out has come.
+/// Where a report of roll-out progress came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The host, or its answer to this daemon.
+    /// The control plane.
     Host,
-    /// This daemon itself.
+    /// A decision of this daemon.
     Own,
     /// A peer.
     Peer,
 }
 
-/// Takes in what the host says of orders. `age` is the longest time for which an order
-/// that came without a status may have been waiting.
+/// Applies order changes of the control plane. `age` is the longest time for which an order without
+/// a status may have been waiting.
 pub(crate) fn hear_host(node: &Rc<Node>, news: Vec<RolloutNews>, age: Duration) {
     for news in news {
         match news {
@@ -125,7 +124,7 @@
     }
 }
 
-/// A status that is of an earlier order says nothing of this one.
+/// Combines an order with its status. A status of an earlier order is ignored.
 fn progress_of(order: Order, status: Option<RolloutStatus>, age: Duration) -> Progress {
     match status.filter(|it| it.order == order.id) {
         Some(status) => Progress {
@@ -146,7 +145,7 @@
     }
 }
 
-/// Takes in how far a roll-out has come, and passes on what is news.
+/// Applies a progress report, and forwards it if it is new.
 pub(crate) fn hear(node: &Rc<Node>, progress: &Progress, source: Source) {
     let now = node.clock.now();
     let change = node.rollouts.book.borrow_mut().hear(progress.clone(), now);
@@ -166,7 +165,7 @@
     spread::pass_on(node, progress, source);
 }
 
-/// Brings the lanes up to date with the book and with membership.
+/// Recomputes the division of calls from the known orders and the membership.
 pub(crate) fn rebuild(node: &Node) {
     let now = node.clock.now();
     let book = node.rollouts.book.borrow();
--- a/crates/mesh/src/rollout/newcomers.rs
+++ b/crates/mesh/src/rollout/newcomers.rs
@@ -1,4 +1,4 @@
-//! Versions that come up beside others before anybody ordered it, as far as is known here.
+//! Tracks software versions that appear beside others without a known order for them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -7,26 +7,26 @@
 use stoatstep_resource::ServiceName;
 use stoatstep_rollout::Software;
 
-/// When the versions of each service were first met.
+/// When the software versions of each service were first seen.
 #[derive(Debug, Default)]
 pub(crate) struct Newcomers {
     met: HashMap<ServiceName, Vec<(Software, Time)>>,
 }
 
 impl Newcomers {
-    /// Time for which targets of a version that came up beside another one are left alone
-    /// where no order is known. Word of new targets and word of the order for them go
-    /// different ways, and calls sent in between would go to a version that may be bad. The
-    /// order is known everywhere within a second; without one, the targets are in use before
-    /// anybody misses them.
+    /// Time for which targets of a version that appeared beside another one are held back while no
+    /// order is known. News of targets and of orders spread over different paths, and calls sent in
+    /// between would reach a version that may be bad. An order is known everywhere within a second;
+    /// without one, the targets are used before their capacity is missed.
     pub(crate) const HOLD: Duration = Duration::from_secs(3);
 
-    /// Whether targets of this version are to be left alone for now.
+    /// Whether targets of this version are to be held back for now.
     pub(crate) fn hold(&mut self, service: &ServiceName, software: &Software, now: Time) -> bool {
         let met = self.met.entry(service.clone()).or_default();
         let known = met.iter().find(|(known, _)| known == software);
-        // What a daemon meets when it starts was all there before it. Beside a target of a
-        // new version it would otherwise hold back the old ones, and call its own.
+        // Versions seen right after the start are taken to have existed before. Otherwise a daemon
+        // that starts beside a target of a new version would hold back the old ones, and call its
+        // own.
         let met_now = if now < Self::HOLD { Time::ZERO } else { now };
         let at = known.map_or(met_now, |(_, at)| *at);
         if known.is_none() {
@@ -36,7 +36,7 @@
         has_older && now.saturating_sub(at) < Self::HOLD
     }
 
-    /// Forgets versions of which nobody is left.
+    /// Removes versions that have no target left.
     pub(crate) fn retain(&mut self, is_there: impl Fn(&ServiceName, &Software) -> bool) {
         for (service, met) in &mut self.met {
             met.retain(|(software, _)| is_there(service, software));
--- a/crates/mesh/src/rollout/settle.rs
+++ b/crates/mesh/src/rollout/settle.rs
@@ -1,4 +1,4 @@
-//! Settling how a roll-out stands, by a conditional write at the host.
+//! Conditional writes of a roll-out's status at the control plane.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,19 +11,20 @@
 use crate::host::{Host, HostError, RolloutState, RolloutStatus};
 use crate::node::Node;
 
-/// Time for an answer of the host.
+/// Timeout of a request to the control plane.
 const ANSWER_BOUND: Duration = Duration::from_secs(1);
 
-/// Pause after a failure: another daemon may be let through meanwhile, and each call to
-/// the host is paid for.
+/// Pause after a failure. Another daemon may succeed meanwhile, and each request to the control
+/// plane has a cost.
 const PAUSE: Duration = Duration::from_millis(200);
 
-/// What is to be settled, and the step that follows.
+/// A status to write, and the step that follows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Settling {
-    /// The order is taken up.
+    /// Takes up the order.
     TakeUp,
-    /// The last step may begin: the host is there, and knows of no end.
+    /// Begins the last step, after confirming that the control plane is reachable and has stored no
+    /// end.
     GoOn,
     Complete,
     RollBack,
@@ -48,8 +49,8 @@
     }
 }
 
-/// Settles it, unless a question to the host goes on. The step changes when the host has
-/// answered.
+/// Writes the status in the background, unless another write is in progress. The step changes once
+/// the control plane has answered.
 pub(super) fn begin<H: Host>(
     node: &Rc<Node>,
     host: &Rc<H>,
@@ -74,7 +75,8 @@
     });
 }
 
-/// What holds now: what was to be settled, or what somebody else settled before.
+/// Returns the resulting progress: that of the written status, or of one that another daemon wrote
+/// before.
 async fn settle<H: Host>(
     host: &H,
     progress: &Progress,
@@ -103,7 +105,7 @@
         state: settling.state(),
         due: progress.due,
     };
-    // Whoever wrote since the read was faster, and is read in the next try.
+    // After a conflict, the next attempt reads what the other daemon wrote.
     bounded(host.settle_rollout(&order.service, &status, held.version)).await?;
     Ok(progress.at(settling.step()))
 }
--- a/crates/mesh/src/rollout/spread.rs
+++ b/crates/mesh/src/rollout/spread.rs
@@ -1,4 +1,4 @@
-//! Passing on how far a roll-out has come.
+//! Distribution of roll-out progress.
 
 use std::rc::Rc;
 
@@ -10,11 +10,12 @@
 use crate::node::Node;
 use crate::wire::Ask;
 
-/// Tells those who have to know soon. The others hear of it in the regular exchanges.
+/// Sends progress to the daemons that need it soon. The others receive it in the regular exchanges.
 ///
-/// Word of a step that halts the new side has to reach its daemons within a second: each
-/// one that does not know runs on at the former step. So whoever decided tells them
-/// directly, beside the way by the followers of each zone, any of which may be gone.
+/// A step that halts the new side has to reach its daemons within a second, since each one that
+/// does not know of it keeps running at the previous step. The daemon that decided therefore tells
+/// them directly, in addition to the messages through the followers of each zone, any of which may
+/// be gone.
 pub(super) fn pass_on(node: &Rc<Node>, progress: &Progress, source: Source) {
     let told = Ask::Rollout(progress.clone());
     match source {
--- a/crates/mesh/src/rollout/view.rs
+++ b/crates/mesh/src/rollout/view.rs
@@ -1,4 +1,4 @@
-//! The members of a service, by the side that they are on.
+//! The members of a service, by side of a roll-out.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 
 use crate::node::Node;
 
-/// One target with its daemon.
+/// A target and its daemon.
 #[derive(Clone, Debug)]
 pub(super) struct Peer {
     pub(super) key: MemberKey,
@@ -15,8 +15,8 @@
     pub(super) upstream: UpstreamName,
 }
 
-/// Those of a service that are well and take calls, and how many of the old side are
-/// known in any state.
+/// The members of a service that are alive and take calls, and the number of known members of the
+/// old side in any state.
 #[derive(Clone, Debug, Default)]
 pub(super) struct View {
     pub(super) new: Vec<Peer>,
@@ -48,8 +48,8 @@
         view
     }
 
-    /// Those who take the roll-out on, the first one first: daemons of the new side, or of
-    /// the old one where the new one has none.
+    /// The daemons that advance the roll-out: those of the new side, or of the old side if the new
+    /// one has none.
     pub(super) fn deciders(&self) -> &[Peer] {
         if self.new.is_empty() {
             &self.old
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -1,5 +1,5 @@
-//! Messages between daemons. They go over [links](crate::link), encoded by
-//! `rmp-serde`, which writes structs as arrays.
+//! Messages between daemons. They are sent over [links](crate::link), encoded by `rmp-serde`, which
+//! writes structs as arrays.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -16,72 +16,72 @@
 use stoatstep_resource::{CustomerName, KeyId, RouteName, ServiceName, UpstreamName, Version};
 use stoatstep_rollout::{Evidence, OrderId, Progress};
 
-/// Names one question on one link.
+/// Identifies a request on a link.
 pub(crate) type AskId = u64;
 
-/// What the daemon that opened a link sends over it.
+/// Message of the daemon that opened a link.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum ToServer {
-    /// A question, which is answered under its id.
+    /// A request, which is answered under its id.
     #[serde(rename = "a")]
     Ask(AskId, Ask),
-    /// Nobody waits for the answer any more.
+    /// The answer to this request is no longer needed.
     #[serde(rename = "c")]
     Cancel(AskId),
 }
 
-/// What the daemon at the other end sends back.
+/// Answer of the daemon at the other end of a link.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct ToClient(pub(crate) AskId, pub(crate) Reply);
 
-/// A question.
+/// A request to another daemon.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) enum Ask {
-    /// Run an attempt.
+    /// Runs an attempt.
     #[serde(rename = "r")]
     Run(Attempt),
-    /// How an attempt ended that was sent over a link that is lost. One that
-    /// has not started never will; for one that runs the answer waits.
+    /// Asks how an attempt ended that was sent over a lost link. An attempt that has not started
+    /// never will; for a running one the answer waits.
     #[serde(rename = "s")]
     Settle(AttemptId, Ticket),
-    /// About membership, with what else is new.
+    /// A membership message, with other new state.
     #[serde(rename = "g")]
     Gossip(GossipRequest, News),
-    /// The configuration, if it is newer than this one.
+    /// Asks for the configuration, if it is newer than this one.
     #[serde(rename = "n")]
     Newer(Mark),
-    /// The sender holds this configuration since a moment ago; answered like a ping.
+    /// Announces that the sender has just put this configuration in force; answered like a ping.
     #[serde(rename = "h")]
     Holds(MemberKey, Mark),
-    /// A roll-out has come so far; answered like a ping.
+    /// Reports the progress of a roll-out; answered like a ping.
     #[serde(rename = "o")]
     Rollout(Progress),
-    /// What is known of requests under which targets end; answered like a ping.
+    /// Reports findings about requests under which targets end; answered like a ping.
     #[serde(rename = "q")]
     Findings(Vec<Finding>),
-    /// What the receiver has seen of its target since the order.
+    /// Asks for the receiver's evidence about its target since the order.
     #[serde(rename = "e")]
     Evidence(ServiceName, OrderId),
-    /// How occupied the receiver's target is.
+    /// Asks how occupied the receiver's target is.
     #[serde(rename = "u")]
     Occupancy,
-    /// Until when the receiver's configuration was the host's newest.
+    /// Asks until when the receiver's configuration was known to be the control plane's newest.
     #[serde(rename = "f")]
     Confirmed,
-    /// Whether the receiver follows the host for its zone, and what it holds.
+    /// Asks whether the receiver follows the control plane for its zone, and what it holds.
     #[serde(rename = "w")]
     Following,
-    /// The host does not answer the sender, which follows it for its zone; answered like a
-    /// ping.
+    /// Reports that the control plane does not answer the sender, which follows it for its zone;
+    /// answered like a ping.
     #[serde(rename = "l")]
     LostHost(MemberKey),
-    /// Tokens of a customer's quota, from its home.
+    /// Asks a customer's home for tokens of its quota.
     #[serde(rename = "t")]
     Tokens(CustomerName, u32),
-    /// The same for the home of another zone.
+    /// Asks a customer's home in another zone to lend tokens of its quota.
     #[serde(rename = "b")]
     Borrow(CustomerName, u32),
-    /// Whether anybody listens.
+    /// Checks that the receiver answers.
     #[serde(rename = "p")]
     Ping,
 }
@@ -89,72 +89,72 @@
 /// Answer to an [`Ask`].
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Reply {
-    /// To [`Ask::Run`].
+    /// Answers [`Ask::Run`].
     #[serde(rename = "r")]
     Ran(Ran),
-    /// To [`Ask::Settle`].
+    /// Answers [`Ask::Settle`].
     #[serde(rename = "s")]
     Settled(WireSettled),
-    /// To [`Ask::Gossip`].
+    /// Answers [`Ask::Gossip`].
     #[serde(rename = "g")]
     Gossip(GossipReply, News),
-    /// To [`Ask::Newer`]; with all roll-outs, where the asker has just started.
+    /// Answers [`Ask::Newer`], with all roll-outs if the sender of the request has just started.
     #[serde(rename = "n")]
     Newer(Newer, Vec<Progress>),
-    /// To [`Ask::Evidence`].
+    /// Answers [`Ask::Evidence`].
     #[serde(rename = "e")]
     Evidence(Evidence),
-    /// To [`Ask::Occupancy`].
+    /// Answers [`Ask::Occupancy`].
     #[serde(rename = "u")]
     Occupancy(Occupancy),
-    /// To [`Ask::Confirmed`].
+    /// Answers [`Ask::Confirmed`].
     #[serde(rename = "f")]
     Confirmed(Option<Confirmed>),
-    /// To [`Ask::Following`].
+    /// Answers [`Ask::Following`].
     #[serde(rename = "w")]
     Following(Following, Mark),
-    /// To [`Ask::Tokens`] and [`Ask::Borrow`]; nothing where the receiver is not the home.
+    /// Answers [`Ask::Tokens`] and [`Ask::Borrow`]; `None` if the receiver is not the home.
     #[serde(rename = "t")]
     Tokens(Option<GrantWire>),
-    /// To [`Ask::Ping`], [`Ask::Holds`], [`Ask::Rollout`], [`Ask::Findings`] and
+    /// Answers [`Ask::Ping`], [`Ask::Holds`], [`Ask::Rollout`], [`Ask::Findings`] and
     /// [`Ask::LostHost`].
     #[serde(rename = "p")]
     Pong,
 }
 
-/// Whether a daemon follows the host for its zone.
+/// Whether a daemon follows the control plane for its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Following {
-    /// It does, and tells the others.
+    /// It follows the control plane and announces new versions.
     #[serde(rename = "f")]
     Follows,
-    /// It would, and the host does not answer it.
+    /// It is to follow the control plane, which does not answer it.
     #[serde(rename = "l")]
     LostHost,
-    /// It leaves that to others.
+    /// It does not follow the control plane.
     #[serde(rename = "n")]
     No,
 }
 
-/// What goes along with the regular exchanges, so that whoever missed a word of its own
-/// about it hears of it within seconds.
+/// State that is sent along with regular exchanges, so that a daemon that missed the message about
+/// a change receives it within seconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub(crate) struct News {
-    /// How far the roll-outs have come that go on.
+    /// Progress of the active roll-outs.
     pub(crate) rollouts: Vec<Progress>,
-    /// About requests under which targets end.
+    /// Findings about requests under which targets end.
     pub(crate) findings: Vec<Finding>,
 }
 
-/// That a configuration was the host's newest.
+/// Confirmation that a configuration was the control plane's newest.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Confirmed {
     pub(crate) version: Version,
-    /// Time since then.
+    /// Time since the confirmation.
     pub(crate) age: Duration,
 }
 
-/// See [`Grant`].
+/// Wire form of [`Grant`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct GrantWire {
     tokens: u32,
@@ -179,24 +179,24 @@
     }
 }
 
-/// A newer configuration.
+/// An update to a newer configuration.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Newer {
-    /// There is none.
+    /// There is no newer one.
     #[serde(rename = "n")]
     Nothing,
-    /// What leads there from the one that the asker holds.
+    /// The difference from the configuration of the sender of the request.
     #[serde(rename = "d")]
     Difference(DifferenceWire),
-    /// All of it.
+    /// The whole configuration.
     #[serde(rename = "w")]
     Whole(SnapshotWire),
-    /// One of the others, compressed.
+    /// One of the other variants, compressed.
     #[serde(rename = "z")]
     Packed(Bytes),
 }
 
-/// What every attempt of one call has in common.
+/// The part of a call that all its attempts share.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct CallParts {
     pub(crate) request_id: SmolStr,
@@ -204,34 +204,34 @@
     pub(crate) method: SmolStr,
     /// Path and query, as the caller sent them.
     pub(crate) path: SmolStr,
-    /// Host that the caller named.
+    /// Host name that the caller used.
     pub(crate) host: SmolStr,
-    /// Headers that go through to the target.
+    /// Headers that are passed to the target.
     pub(crate) headers: Vec<Header>,
     pub(crate) body: Bytes,
     pub(crate) idempotent: bool,
-    /// The route that it took. Calls of one route take about the same time.
+    /// Route of the call. Calls of one route take about the same time.
     pub(crate) route: RouteName,
-    /// Rank among other calls, 0 the most urgent.
+    /// Priority among other calls; 0 is the most urgent.
     pub(crate) priority: u8,
     /// Service of the instance on which the call began.
     pub(crate) caller_service: ServiceName,
-    /// The customer whose key the caller showed.
+    /// The customer that holds the caller's key.
     pub(crate) identity: Option<Identity>,
 }
 
-/// Who a caller is.
+/// Identity of a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Identity {
     pub(crate) customer: CustomerName,
     pub(crate) key: KeyId,
-    /// Configuration by which the customer holds the key.
+    /// Version of the configuration by which the customer holds the key.
     pub(crate) version: Version,
 }
 
 impl CallParts {
-    /// Names what the call asks for, as its target sees it. Callers' own headers are left
-    /// out: many differ with each try of the same request.
+    /// Identifies the request as its target sees it. Callers' own headers are left out, since many
+    /// of them differ between attempts to send the same request.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         Fingerprint::over([
             self.caller_service.as_bytes(),
@@ -248,60 +248,59 @@
 pub(crate) struct Attempt {
     pub(crate) id: AttemptId,
     pub(crate) ticket: Ticket,
-    /// The life of the target for which it is meant.
+    /// Life of the target for which the attempt is meant.
     pub(crate) upstream: UpstreamName,
     /// Time until the caller stops waiting.
     pub(crate) left: Duration,
-    /// Time until an answer is no longer worth its full price; zero where that
-    /// has passed.
+    /// Time until an answer loses its full value; zero if that has passed.
     pub(crate) objective: Duration,
     pub(crate) call: Rc<CallParts>,
 }
 
-/// How an attempt ended at its executor.
+/// Result of an attempt at its executor.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Ran {
-    /// For the next attempts at this executor.
+    /// Ticket for the next attempts at this executor.
     pub(crate) ticket: Ticket,
     pub(crate) occupancy: Occupancy,
     /// Time in the executor's queue.
     pub(crate) in_queue: Duration,
     /// Time at the target.
     pub(crate) at_target: Duration,
-    /// Whether the target got to see the request.
+    /// Whether the request reached the target.
     pub(crate) arrived: bool,
     pub(crate) end: End,
 }
 
-/// The end of an attempt.
+/// Outcome of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum End {
-    /// The target's whole answer.
+    /// The complete answer of the target.
     #[serde(rename = "a")]
     Answered(Arc<Answer>),
-    /// It did not run, or nobody can tell; the reason says which.
+    /// The attempt did not run, or that is unknown; the reason tells which.
     #[serde(rename = "r")]
     Refused(Refusal),
 }
 
 impl End {
-    /// Whether the target answered, and not with a failure of its own.
+    /// Whether the target gave an answer that is not a failure.
     pub(crate) fn is_success(&self) -> bool {
         matches!(self, Self::Answered(answer) if !answer.is_failure())
     }
 }
 
-/// See [`Settled`]. States that the executor does not give are left out: it
-/// waits until the attempt has ended.
+/// Wire form of [`Settled`]. States that the executor does not report are left out: it waits until
+/// the attempt has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum WireSettled {
-    /// It did not run and never will.
+    /// The attempt did not run and never will.
     #[serde(rename = "n")]
     NotRun,
-    /// It ran, and this is its answer.
+    /// The attempt ran, and this is its answer.
     #[serde(rename = "d")]
     Done(Arc<Answer>),
-    /// It ran or may have run, and there is no answer.
+    /// The attempt ran or may have run, and there is no answer.
     #[serde(rename = "u")]
     Unknown,
 }
