--- a/crates/mesh/src/fleet/configuration.rs
+++ b/crates/mesh/src/fleet/configuration.rs
@@ -43,12 +43,12 @@
 /// due.
 const START_STEP: Duration = Duration::from_millis(100);
 
-/// Time after the first read of the registry within which a daemon gets the configuration from a
+/// Time after the first read of the roster within which a daemon gets the configuration from a
 /// peer in the first start of a fleet. There are no callers yet.
 const PEER_FIRST: Duration = Duration::from_millis(1500);
 
 /// Longest time for which a daemon defers its first request in a first start, whether or not it has
-/// read the registry.
+/// read the roster.
 const LONGEST_FIRST_TURN: Duration = Duration::from_millis(4500);
 
 /// Pause after a change. It batches changes in quick succession, and each still comes into force
@@ -172,7 +172,7 @@
 }
 
 /// In a first start, waits until this daemon's request is due or a peer has delivered the
-/// configuration. Daemons in the registry ask at once, since the others contact them first.
+/// configuration. Daemons on the roster ask at once, since the others contact them first.
 async fn first_turn(node: &Node) {
     let is_due = || {
         let now = node.clock.now();
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -81,11 +81,11 @@
     /// Notified when a member has lost the control plane. This daemon may have lost it too, or the
     /// member that announces versions to it.
     host_doubted: Notify,
-    /// When the registry was last read.
+    /// When the roster was last read.
     looked_at: Cell<Option<Time>>,
-    /// Whether this instance is in the registry.
+    /// Whether this instance is on the roster.
     is_listed: Cell<bool>,
-    /// Members that membership has removed for good, whose rows in the registry are to be deleted.
+    /// Members that membership has removed for good, whose rows on the roster are to be deleted.
     forgotten: RefCell<Vec<InstanceId>>,
 }
 
--- a/crates/mesh/src/fleet/role.rs
+++ b/crates/mesh/src/fleet/role.rs
@@ -22,7 +22,7 @@
 const MEETS_ZONE_WITHIN: Duration = Duration::from_secs(2);
 
 /// Value of `MEETS_ZONE_WITHIN` for a first start, in which daemons meet only after they have read
-/// the registry.
+/// the roster.
 const MEETS_ZONE_AT_FIRST: Duration = Duration::from_secs(4);
 
 /// Records the role, and logs it if it has changed.
--- a/crates/mesh/src/fleet/roster.rs
+++ b/crates/mesh/src/fleet/roster.rs
@@ -1,4 +1,4 @@
-//! The registry, the control plane's list of instances, in which daemons find their first peers.
+//! The roster, the control plane's list of instances, in which daemons find their first peers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -29,27 +29,27 @@
 /// Longest pause between two reads of a daemon that knows no peer.
 const LONGEST_ALONE: Duration = Duration::from_secs(30);
 
-/// How often a daemon that is not in the registry checks whether it has to be.
+/// How often a daemon that is not on the roster checks whether it has to be.
 const KEPT_UP_EVERY: Duration = Duration::from_secs(5);
 
 /// Limit on the doublings of the pause, which by then has reached `LONGEST_ALONE`.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// How often the registry is read while other daemons are out of reach.
+/// How often the roster is read while other daemons are out of reach.
 const CATCH_UP_EVERY: Duration = Duration::from_millis(1500);
 
 /// Rows per zone that suffice for a starting daemon to meet its zone, even if some of those
-/// instances die at once. All others stay out of the registry, so that a start of the whole fleet
+/// instances die at once. All others stay off the roster, so that a start of the whole fleet
 /// writes as little for a large fleet as for a small one.
 const LISTED_PER_ZONE: usize = 3;
 
 /// Time over which the first reads are spread in the first start of a fleet. There are no callers
-/// yet, and the daemons that read first register themselves.
+/// yet, and the daemons that read first announce themselves.
 const FIRST_START_SPREAD: Duration = Duration::from_secs(2);
 
-/// Reads the registry while no peer is known, and keeps enough instances in it.
+/// Reads the roster while no peer is known, and keeps enough instances on it.
 pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
-    // With millisecond resolution: all daemons that read in the same step would find the registry
+    // With millisecond resolution: all daemons that read in the same step would find the roster
     // empty.
     tokio::time::sleep(first_look(&node)).await;
     let mut roster = Roster {
@@ -106,7 +106,7 @@
 impl<H: Host> Roster<H> {
     /// Schedules this daemon's own row and the quarantined requests to be written again, after the
     /// control plane was restored from an older copy. Followers notice that, and they are the
-    /// daemons that have to be in the registry.
+    /// daemons that have to be on the roster.
     fn write_again(&mut self) {
         self.is_announced = false;
         self.due = self.node.clock.now();
@@ -135,18 +135,18 @@
         KEPT_UP_EVERY
     }
 
-    /// Whether this instance has to be in the registry, which has `listed` rows of its zone. If
+    /// Whether this instance has to be on the roster, which has `listed` rows of its zone. If
     /// nobody was met after the first read, those rows belong to instances that are gone.
     fn is_needed(&self, listed: usize) -> bool {
         !self.is_announced && (listed < LISTED_PER_ZONE || self.looks > 1)
     }
 
-    /// Reads the registry and returns the number of its rows that belong to the own zone; `None`
+    /// Reads the roster and returns the number of its rows that belong to the own zone; `None`
     /// without an answer.
     ///
     /// A row that an earlier process of this instance left has the same address as a new one would,
     /// so it is kept: when 295 instances lose power at once, that saves a write for each. Two
-    /// daemons that both read before either is registered miss each other, but are then alone and
+    /// daemons that both read before either is on the roster miss each other, but are then alone and
     /// read again.
     async fn look(&mut self) -> Option<usize> {
         let listed = self.read(Way::Exchange).await?;
@@ -174,7 +174,7 @@
         self.read(Way::Direct).await;
     }
 
-    /// Reads the registry and applies its requests as if they had come from a peer by `way`.
+    /// Reads the roster and applies its requests as if they had come from a peer by `way`.
     async fn read(&self, way: Way) -> Option<Listed> {
         let listed = self.say("read", self.host.roster()).await?;
         quarantine::hear_kept(&self.node, &listed.requests, way);
--- a/crates/mesh/src/host.rs
+++ b/crates/mesh/src/host.rs
@@ -96,11 +96,11 @@
     }
 }
 
-/// Contents of the registry. Both parts are in one list, so that a starting daemon needs one
+/// Contents of the roster. Both parts are in one list, so that a starting daemon needs one
 /// request only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listed {
-    /// Instances that have registered.
+    /// Instances that have announced themselves.
     pub members: Vec<Announcement>,
     /// Quarantined requests: those that were running when targets ended.
     pub requests: Vec<KeptRequest>,
@@ -158,7 +158,7 @@
         wait: Duration,
     ) -> impl Future<Output = Result<Update, HostError>>;
 
-    /// Reads the registry: the instances by which a starting daemon finds its first peer, and the
+    /// Reads the roster: the instances by which a starting daemon finds its first peer, and the
     /// requests that it has to refuse.
     fn roster(&self) -> impl Future<Output = Result<Listed, HostError>>;
 
@@ -168,10 +168,10 @@
     /// Deletes a stored request.
     fn drop_kept(&self, request: Fingerprint) -> impl Future<Output = Result<(), HostError>>;
 
-    /// Adds this instance to the registry.
+    /// Adds this instance to the roster.
     fn announce(&self, own: &Announcement) -> impl Future<Output = Result<(), HostError>>;
 
-    /// Deletes an instance from the registry.
+    /// Deletes an instance from the roster.
     fn withdraw(&self, instance: &InstanceId) -> impl Future<Output = Result<(), HostError>>;
 
     /// Reads the status of a service's last roll-out.
