--- a/crates/mesh/src/fleet/packed.rs
+++ b/crates/mesh/src/fleet/compression.rs
@@ -17,23 +17,23 @@
 use crate::wire::Newer;
 
 /// Size from which compression saves more time on a slow link than it takes.
-const WORTHWHILE: usize = 4 << 10;
+const MIN_SIZE: usize = 4 << 10;
 
 /// Largest configuration accepted from a peer: four times one of 2,000 routes. It keeps a faulty
 /// peer from exhausting the memory.
-const MAX_UNPACKED: u64 = 4 << 20;
+const MAX_DECOMPRESSED_SIZE: u64 = 4 << 20;
 
 /// Compressed update from one configuration to another.
-pub(super) struct Packed {
+pub(super) struct CompressedUpdate {
     pub(super) from: Mark,
     pub(super) to: Mark,
     pub(super) bytes: Bytes,
 }
 
 /// Compresses an answer if it is large enough to be worth it.
-pub(super) fn pack(newer: Newer) -> Newer {
+pub(super) fn compress(newer: Newer) -> Newer {
     let plain = rmp_serde::to_vec(&newer).expect("plain data always encodes");
-    if plain.len() < WORTHWHILE {
+    if plain.len() < MIN_SIZE {
         return newer;
     }
     let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
@@ -42,16 +42,16 @@
     written.map_or(newer, |bytes| Newer::Packed(bytes.into()))
 }
 
-/// Decompresses an answer of [`pack`].
+/// Decompresses an answer of [`compress`].
 ///
 /// # Errors
 ///
 /// If the bytes are not a valid compressed answer, or exceed the size limit.
-pub(super) fn unpack(bytes: &[u8]) -> io::Result<Newer> {
+pub(super) fn decompress(bytes: &[u8]) -> io::Result<Newer> {
     let mut plain = Vec::new();
-    let mut decoder = DeflateDecoder::new(bytes).take(MAX_UNPACKED + 1);
+    let mut decoder = DeflateDecoder::new(bytes).take(MAX_DECOMPRESSED_SIZE + 1);
     decoder.read_to_end(&mut plain)?;
-    if plain.len() as u64 > MAX_UNPACKED {
+    if plain.len() as u64 > MAX_DECOMPRESSED_SIZE {
         return Err(io::Error::other("a configuration is too large"));
     }
     rmp_serde::from_slice(&plain).map_err(io::Error::other)
--- a/crates/mesh/src/fleet/configuration.rs
+++ b/crates/mesh/src/fleet/configuration.rs
@@ -24,65 +24,65 @@
 /// Longest wait for a change. A request that the control plane will never answer, because the
 /// connection was lost or it restarted, looks like a wait without a change. This bounds how long a
 /// daemon can miss changes after the control plane is back.
-const WAIT: Duration = Duration::from_secs(3);
+const LONGEST_WAIT: Duration = Duration::from_secs(3);
 
 /// Longest wait for a change after a pause, and for a daemon that polls on its own behalf and looks
 /// for other members in between. If the control plane was restored from an older copy meanwhile, it
 /// may have assigned again the version from which the wait continues. Only the end of the wait
 /// reveals that, and a version has to be in force within 2 s.
-const SHORT_WAIT: Duration = Duration::from_secs(1);
+const LONGEST_RESUMED_WAIT: Duration = Duration::from_secs(1);
 
 /// Timeout of a request that does not wait for a change.
-const ANSWER_BOUND: Duration = Duration::from_secs(1);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Time added to the wait for the timeout of a long poll. A control plane that takes longer is
 /// considered lost, which costs a request by another daemon.
-const WAIT_MARGIN: Duration = Duration::from_millis(600);
+const ANSWER_MARGIN: Duration = Duration::from_millis(600);
 
 /// How often a starting daemon checks whether it has met its zone, or whether its first request is
 /// due.
-const START_STEP: Duration = Duration::from_millis(100);
+const START_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Time after the first read of the roster within which a daemon gets the configuration from a
 /// peer in the first start of a fleet. There are no callers yet.
-const PEER_FIRST: Duration = Duration::from_millis(1500);
+const PEER_HEAD_START: Duration = Duration::from_millis(1500);
 
 /// Longest time for which a daemon defers its first request in a first start, whether or not it has
 /// read the roster.
-const LONGEST_FIRST_TURN: Duration = Duration::from_millis(4500);
+const MAX_FIRST_DELAY: Duration = Duration::from_millis(4500);
 
 /// Pause after a change. It batches changes in quick succession, and each still comes into force
 /// well within two seconds.
-const GAP: Duration = Duration::from_millis(500);
+const PAUSE_AFTER_CHANGE: Duration = Duration::from_millis(500);
 
 /// An answer that took at most this long did not wait for a change.
-const AT_ONCE: Duration = Duration::from_millis(100);
+const MAX_IMMEDIATE_ANSWER: Duration = Duration::from_millis(100);
 
-/// First pause after a failure; it doubles up to `LONGEST_PAUSE`.
+/// First pause after a failure; it doubles up to `MAX_PAUSE`.
 const FIRST_PAUSE: Duration = Duration::from_millis(200);
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
+const MAX_PAUSE: Duration = Duration::from_millis(800);
 
 /// Follows the control plane's configuration until the process ends.
 ///
 /// Two daemons of each zone wait for changes and notify the others; see [`PollRole`]. A daemon that
 /// has no configuration yet asks at once, whatever its role.
 pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
-    first_turn(&node).await;
+    wait_for_first_turn(&node).await;
     let mut cursor = None;
     let mut failures: u32 = 0;
     let mut last_failure = None;
     let mut last_answer = None;
-    let mut wait = WAIT;
+    let mut wait = LONGEST_WAIT;
     loop {
-        let role = role::present(&node).await;
-        role::take(&node, role);
+        let role = role::current(&node).await;
+        role::set(&node, role);
         if role == PollRole::Idle {
             cursor = None;
             contact::pause(&node).await;
             continue;
         }
         if cursor.is_some() && role::is_meeting_zone(&node) {
-            tokio::time::sleep(START_STEP).await;
+            tokio::time::sleep(START_CHECK_INTERVAL).await;
             continue;
         }
         let asked_at = node.clock.now();
@@ -91,8 +91,8 @@
         let asked = tokio::select! {
             asked = ask(&*host, cursor, wait) => asked,
             // Changes were missed, and the connection may be gone.
-            () = node.fleet.woke.notified() => Err(HostError::HistoryLost),
-            () = node.fleet.host_doubted.notified(), if is_waiting => {
+            () = node.fleet.resumed.notified() => Err(HostError::HistoryLost),
+            () = node.fleet.control_plane_doubted.notified(), if is_waiting => {
                 wait = Duration::ZERO;
                 continue;
             }
@@ -100,13 +100,13 @@
         let pause = match asked {
             Ok(update) => {
                 cursor = Some(update.cursor);
-                node.fleet.hear_era(update.cursor.era, node.clock.now());
+                node.fleet.record_era(update.cursor.era, node.clock.now());
                 failures = 0;
                 last_failure = None;
-                if node.fleet.reaches_host.replace(Some(true)) != Some(true) {
+                if node.fleet.reaches_control_plane.replace(Some(true)) != Some(true) {
                     slog::info!(node.log, "host reached");
                 }
-                contact::host_answered(&node);
+                contact::control_plane_answered(&node);
                 gossip::input(&node, Input::HeadRead);
                 let age = order_age(last_answer, asked_at, node.clock.now());
                 last_answer = Some(node.clock.now());
@@ -114,18 +114,22 @@
                 let read = update.state.as_ref().map(State::version);
                 let changed = update
                     .state
-                    .is_some_and(|it| versions::offer(&node, it, Source::Host));
-                confirmation::host_answered(&node, asked_at, update.host_time, read);
-                if changed { GAP } else { Duration::ZERO }
+                    .is_some_and(|it| versions::apply_if_newer(&node, it, Source::Host));
+                confirmation::control_plane_answered(&node, asked_at, update.host_time, read);
+                if changed {
+                    PAUSE_AFTER_CHANGE
+                } else {
+                    Duration::ZERO
+                }
             }
             Err(err) => {
                 let is_new = last_failure.as_ref() != Some(&err);
                 if is_new {
-                    note_failure(&node, &err);
+                    log_failure(&node, &err);
                 }
                 node.journal.count("host.failures");
                 if matches!(err, HostError::Unavailable(_)) {
-                    contact::lost_host(&node);
+                    contact::lost_control_plane(&node);
                 }
                 // Read the whole configuration next: that is answered at once or not at all.
                 cursor = None;
@@ -136,8 +140,8 @@
             }
         };
         wait = match role {
-            PollRole::Poller if pause.is_zero() => WAIT,
-            _ => SHORT_WAIT,
+            PollRole::Poller if pause.is_zero() => LONGEST_WAIT,
+            _ => LONGEST_RESUMED_WAIT,
         };
         if let Some(longest) = confirmation::longest_wait(&node) {
             wait = wait.min(longest);
@@ -157,14 +161,14 @@
     }
     let bound = FIRST_PAUSE * (1 << failures.min(8));
     let share = rand::rng().random_range(0.5..1.5);
-    bound.min(LONGEST_PAUSE).mul_f64(share)
+    bound.min(MAX_PAUSE).mul_f64(share)
 }
 
 /// Longest time for which a row in an answer may have been written before. A wait that took some
 /// time ended when the row was written; if the answer came at once, the row was written after the
 /// previous answer.
 fn order_age(last_answer: Option<Time>, asked_at: Time, now: Time) -> Duration {
-    let has_waited = now.saturating_sub(asked_at) > AT_ONCE;
+    let has_waited = now.saturating_sub(asked_at) > MAX_IMMEDIATE_ANSWER;
     match last_answer {
         Some(last) if !has_waited => now.saturating_sub(last),
         _ => Duration::ZERO,
@@ -173,29 +177,29 @@
 
 /// In a first start, waits until this daemon's request is due or a peer has delivered the
 /// configuration. Daemons on the roster ask at once, since the others contact them first.
-async fn first_turn(node: &Node) {
+async fn wait_for_first_turn(node: &Node) {
     let is_due = || {
         let now = node.clock.now();
-        let looked_at = node.fleet.looked_at.get();
-        let is_peer_late = looked_at.is_some_and(|at| now >= at + PEER_FIRST);
-        node.fleet.is_listed.get() || is_peer_late || now >= LONGEST_FIRST_TURN
+        let roster_read_at = node.fleet.roster_read_at.get();
+        let is_peer_late = roster_read_at.is_some_and(|at| now >= at + PEER_HEAD_START);
+        node.fleet.is_on_roster.get() || is_peer_late || now >= MAX_FIRST_DELAY
     };
     while node.cfg.is_first_start && node.fleet.in_force().is_none() && !is_due() {
-        tokio::time::sleep(START_STEP).await;
+        tokio::time::sleep(START_CHECK_INTERVAL).await;
     }
 }
 
 /// Logs once that the control plane is lost, and every answer that cannot be decoded. An invalid
 /// document stays until the operator writes another one, and is read about three times a second
 /// until then.
-fn note_failure(node: &Node, err: &HostError) {
+fn log_failure(node: &Node, err: &HostError) {
     match err {
         HostError::HistoryLost => slog::info!(node.log, "host's history lost, read anew"),
         HostError::Malformed(_) | HostError::Conflict => {
             slog::error!(node.log, "configuration not understood"; fields::ERROR => %err);
         }
         HostError::Unavailable(_) => {
-            if node.fleet.reaches_host.replace(Some(false)) != Some(false) {
+            if node.fleet.reaches_control_plane.replace(Some(false)) != Some(false) {
                 slog::warn!(node.log, "host lost"; fields::ERROR => %err);
             }
         }
@@ -208,8 +212,8 @@
     wait: Duration,
 ) -> Result<Update, HostError> {
     let asked = match cursor {
-        None => timeout(ANSWER_BOUND, host.configuration()).await,
-        Some(cursor) => timeout(wait + WAIT_MARGIN, host.changed(cursor, wait)).await,
+        None => timeout(ANSWER_TIMEOUT, host.configuration()).await,
+        Some(cursor) => timeout(wait + ANSWER_MARGIN, host.changed(cursor, wait)).await,
     };
     asked.unwrap_or_else(|_| Err(HostError::Unavailable("no answer in time".into())))
 }
--- a/crates/mesh/src/fleet/confirmation.rs
+++ b/crates/mesh/src/fleet/confirmation.rs
@@ -19,73 +19,73 @@
 use crate::wire::{Ask, Confirmed as ConfirmedWire, Reply};
 
 /// How often a daemon checks whether it has to ask.
-const STEP: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Age of the confirmation from which a daemon asks, and the age of an answer that it accepts, as
 /// fractions of the bound. The gap between the two lets it use an answer of a follower for a while.
-const ASKS_FROM: f64 = 0.25;
-const CONTENT_WITH: f64 = 0.35;
+const ASK_AGE: f64 = 0.25;
+const ACCEPTED_AGE: f64 = 0.35;
 
 /// Fraction of the bound that is used. The rest is a margin for the time between a clock reading
 /// and the action that follows from it.
-const USED: f64 = 0.96;
+const USED_FRACTION: f64 = 0.96;
 
 /// Longest wait for a change, as a fraction of the bound.
-const LONGEST_WAIT: f64 = 0.2;
+const LONGEST_WAIT_FRACTION: f64 = 0.2;
 
 /// Timeout of a request to a peer.
-const ANSWER_BOUND: Duration = Duration::from_millis(300);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Peers asked one after another in one round.
-const TRIES: usize = 3;
+const PEERS_PER_ROUND: usize = 3;
 
 /// Time after the control plane was restored from an older copy in which its answers confirm
 /// nothing. The newest configuration may be among the writes that it lost, and the operator has to
 /// write it again.
-const RETURN_SETTLES: Duration = Duration::from_secs(2);
+const SETTLE_TIME_AFTER_RESTORE: Duration = Duration::from_secs(2);
 
 /// Age of the configuration in force, as far as it is known.
 #[derive(Debug, Default)]
-pub(super) struct Confirmed {
+pub(super) struct ConfirmationState {
     confirmation: Confirmation,
-    host_clock: HostClock,
+    control_plane_clock: HostClock,
     /// Newest version known to be held by the control plane.
     newest: Option<Version>,
     /// Answers that the control plane gave before this time confirm nothing.
-    not_before: Time,
+    valid_from: Time,
     /// Result of the last check, so that only changes are logged.
     was_recent: bool,
 }
 
-impl Confirmed {
-    pub(super) fn host_returned(&mut self, now: Time) {
-        self.host_clock.reset();
-        self.not_before = now + RETURN_SETTLES;
+impl ConfirmationState {
+    pub(super) fn control_plane_restored(&mut self, now: Time) {
+        self.control_plane_clock.reset();
+        self.valid_from = now + SETTLE_TIME_AFTER_RESTORE;
     }
 }
 
 /// Records an answer of the control plane. `read` is the version that it contained, if one was
 /// written since the previous answer.
-pub(super) fn host_answered(
+pub(super) fn control_plane_answered(
     node: &Node,
     asked_at: Time,
     host_time: Option<Duration>,
     read: Option<Version>,
 ) {
     let held = node.fleet.in_force().map(|it| it.version());
-    let mut confirmed = node.fleet.confirmed.borrow_mut();
-    let given_at = confirmed
-        .host_clock
+    let mut state = node.fleet.confirmation_state.borrow_mut();
+    let given_at = state
+        .control_plane_clock
         .given_at(asked_at, node.clock.now(), host_time);
-    confirmed.newest = read.or(confirmed.newest);
-    if confirmed.newest == held && held.is_some() && given_at >= confirmed.not_before {
-        confirmed.confirmation.confirm(given_at);
+    state.newest = read.or(state.newest);
+    if state.newest == held && held.is_some() && given_at >= state.valid_from {
+        state.confirmation.confirm(given_at);
     }
 }
 
 /// Longest time to wait for a change, if there is a bound on it.
 pub(super) fn longest_wait(node: &Node) -> Option<Duration> {
-    bound(node).map(|it| it.mul_f64(LONGEST_WAIT))
+    bound(node).map(|it| it.mul_f64(LONGEST_WAIT_FRACTION))
 }
 
 /// Whether the configuration is recent enough to accept or reject keys.
@@ -94,11 +94,13 @@
         return true;
     };
     let now = node.clock.now();
-    let mut confirmed = node.fleet.confirmed.borrow_mut();
-    let is_recent = confirmed.confirmation.is_within(bound.mul_f64(USED), now);
-    if is_recent != confirmed.was_recent {
-        confirmed.was_recent = is_recent;
-        let age = confirmed.confirmation.age(now);
+    let mut state = node.fleet.confirmation_state.borrow_mut();
+    let is_recent = state
+        .confirmation
+        .is_within(bound.mul_f64(USED_FRACTION), now);
+    if is_recent != state.was_recent {
+        state.was_recent = is_recent;
+        let age = state.confirmation.age(now);
         slog::warn!(node.log, "keys are acted on"; fields::STATE => is_recent,
             fields::AGE_MS => age.map(|it| it.as_millis()));
     }
@@ -115,10 +117,10 @@
 /// The confirmation that this daemon reports to peers.
 pub(crate) fn own(node: &Node) -> Option<ConfirmedWire> {
     let in_force = node.fleet.in_force()?;
-    let confirmed = node.fleet.confirmed.borrow();
+    let state = node.fleet.confirmation_state.borrow();
     Some(ConfirmedWire {
         version: in_force.version(),
-        age: confirmed.confirmation.age(node.clock.now())?,
+        age: state.confirmation.age(node.clock.now())?,
     })
 }
 
@@ -127,26 +129,26 @@
     let mut next = rand::rng().random_range(0..usize::from(u8::MAX));
     loop {
         if let Some(bound) = bound(&node) {
-            let content = bound.mul_f64(CONTENT_WITH);
+            let accepted_age = bound.mul_f64(ACCEPTED_AGE);
             let mut tries = 0;
-            while is_older(&node, bound.mul_f64(ASKS_FROM)) && tries < TRIES {
+            while is_older(&node, bound.mul_f64(ASK_AGE)) && tries < PEERS_PER_ROUND {
                 tries += 1;
                 ask(&node, next).await;
                 // A peer whose confirmation is no more recent is asked again only after the others.
-                if is_older(&node, content) {
+                if is_older(&node, accepted_age) {
                     next += 1;
                 } else {
                     break;
                 }
             }
         }
-        sleep(STEP).await;
+        sleep(CHECK_INTERVAL).await;
     }
 }
 
 fn is_older(node: &Node, age: Duration) -> bool {
-    let confirmed = node.fleet.confirmed.borrow();
-    let own = confirmed.confirmation.age(node.clock.now());
+    let state = node.fleet.confirmation_state.borrow();
+    let own = state.confirmation.age(node.clock.now());
     own.is_none_or(|own| own > age)
 }
 
@@ -164,13 +166,13 @@
     }
     let (_, addr) = followers[which % followers.len()];
     let asked_at = node.clock.now();
-    let reply = node.links.ask_within(addr, Ask::Confirmed, ANSWER_BOUND);
-    let Ok(Reply::Confirmed(Some(said))) = reply.await else {
+    let reply = node.links.ask_within(addr, Ask::Confirmed, ANSWER_TIMEOUT);
+    let Ok(Reply::Confirmed(Some(reported))) = reply.await else {
         return;
     };
     let held = node.fleet.in_force().map_or(0, |it| it.version());
-    if held >= said.version {
-        let mut confirmed = node.fleet.confirmed.borrow_mut();
-        confirmed.confirmation.confirm_by_peer(asked_at, said.age);
+    if held >= reported.version {
+        let mut state = node.fleet.confirmation_state.borrow_mut();
+        state.confirmation.confirm_by_peer(asked_at, reported.age);
     }
 }
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -22,26 +22,26 @@
 /// Time between two checks, and the timeout of one, as fractions of the time within which a version
 /// has to be in force. After the longest pause, two timeouts and a request to the control plane fit
 /// into that time.
-const ASKS_EVERY: f64 = 0.3;
-const ANSWER_BOUND: f64 = 0.15;
+const CHECK_INTERVAL: f64 = 0.3;
+const ANSWER_TIMEOUT: f64 = 0.15;
 
 /// Timeouts after which no further follower is asked: there is no time for more, and the whole zone
 /// may be unreachable.
-const MOST_SILENT: u32 = 2;
+const MAX_TIMEOUTS: u32 = 2;
 
 /// Time until a daemon of a zone that starts as a whole has begun to follow the control plane, in
 /// addition to the time in which it meets its zone. In a first start there are no callers yet, and
 /// the last daemons may start seconds after the first ones.
-const STARTS_TO_FOLLOW: Duration = Duration::from_secs(1);
-const STARTS_AT_FIRST: Duration = Duration::from_secs(3);
+const FOLLOW_DELAY: Duration = Duration::from_secs(1);
+const FIRST_START_FOLLOW_DELAY: Duration = Duration::from_secs(3);
 
 /// Waits until the next check is due, or until a member reports that it has lost the control plane.
 pub(super) async fn pause(node: &Node) {
     let share = rand::rng().random_range(0.75..1.25);
-    let pause = node.cfg.apply_within.mul_f64(ASKS_EVERY * share);
+    let pause = node.cfg.apply_within.mul_f64(CHECK_INTERVAL * share);
     tokio::select! {
         () = tokio::time::sleep(pause) => {}
-        () = node.fleet.host_doubted.notified() => {}
+        () = node.fleet.control_plane_doubted.notified() => {}
     }
 }
 
@@ -58,33 +58,33 @@
 /// A follower that has lost the control plane is skipped, and its replacement is asked. If all that
 /// answer have lost it, the control plane is unreachable from the zone, and another daemon would
 /// not reach it either.
-pub(super) async fn leaves_host_to_others(node: &Rc<Node>) -> bool {
-    let starts = if node.cfg.is_first_start {
-        STARTS_AT_FIRST
+pub(super) async fn can_rely_on_followers(node: &Rc<Node>) -> bool {
+    let follow_delay = if node.cfg.is_first_start {
+        FIRST_START_FOLLOW_DELAY
     } else {
-        STARTS_TO_FOLLOW
+        FOLLOW_DELAY
     };
-    if node.clock.now() < role::meets_zone_until(node) + starts {
+    if node.clock.now() < role::zone_discovery_end(node) + follow_delay {
         return true;
     }
     let mut asked = Vec::new();
-    let mut silent = 0;
-    let mut all_lost_host = true;
-    while silent < MOST_SILENT
+    let mut timeouts = 0;
+    let mut all_lost_control_plane = true;
+    while timeouts < MAX_TIMEOUTS
         && let Some((key, addr)) = next_follower(node, &asked)
     {
         asked.push(key);
         match ask(node, key, addr).await {
             Some(Following::Follows) => return true,
             Some(Following::LostHost) => {}
-            Some(Following::No) => all_lost_host = false,
+            Some(Following::No) => all_lost_control_plane = false,
             None => {
-                silent += 1;
-                all_lost_host = false;
+                timeouts += 1;
+                all_lost_control_plane = false;
             }
         }
     }
-    all_lost_host && !asked.is_empty()
+    all_lost_control_plane && !asked.is_empty()
 }
 
 /// The followers of the own zone, as far as this daemon knows.
@@ -104,7 +104,7 @@
 }
 
 async fn ask(node: &Rc<Node>, key: MemberKey, addr: SocketAddr) -> Option<Following> {
-    let bound = node.cfg.apply_within.mul_f64(ANSWER_BOUND);
+    let bound = node.cfg.apply_within.mul_f64(ANSWER_TIMEOUT);
     let reply = node.links.ask_within(addr, Ask::Following, bound).await;
     let now = node.clock.now();
     let mut contact = node.fleet.contact.borrow_mut();
@@ -119,16 +119,16 @@
         Following::No => {}
     }
     drop(contact);
-    versions::peer_holds(node, key, addr, mark);
+    versions::pull_if_newer(node, key, addr, mark);
     Some(following)
 }
 
 /// Answers [`Ask::Following`] of another daemon in the zone.
 pub(crate) fn answer(node: &Node) -> Reply {
     let mark = node.fleet.membership.borrow().mark();
-    let following = if node.fleet.reaches_host.get() == Some(false) {
+    let following = if node.fleet.reaches_control_plane.get() == Some(false) {
         Following::LostHost
-    } else if role::waits_for_zone(node) {
+    } else if role::polls_for_zone(node) {
         Following::Follows
     } else {
         Following::No
@@ -137,21 +137,21 @@
 }
 
 /// Records that the control plane answers this daemon.
-pub(super) fn host_answered(node: &Node) {
+pub(super) fn control_plane_answered(node: &Node) {
     let me = node.fleet.membership.borrow().me();
     node.fleet.contact.borrow_mut().regained(me);
 }
 
 /// Records that the control plane does not answer this daemon. The daemons that rely on it are told
 /// at once, since their time is shorter than the interval of their checks.
-pub(super) fn lost_host(node: &Rc<Node>) {
+pub(super) fn lost_control_plane(node: &Rc<Node>) {
     let me = node.fleet.membership.borrow().me();
     let now = node.clock.now();
     let mut contact = node.fleet.contact.borrow_mut();
     let is_news = !contact.has_lost_platform(me, now);
     contact.lost_platform(me, now);
     drop(contact);
-    if is_news && role::waits_for_zone(node) {
+    if is_news && role::polls_for_zone(node) {
         gossip::tell_fleet(node, &Ask::LostHost(me));
     }
 }
@@ -163,5 +163,5 @@
         let now = node.clock.now();
         node.fleet.contact.borrow_mut().lost_platform(peer, now);
     }
-    node.fleet.host_doubted.notify_waiters();
+    node.fleet.control_plane_doubted.notify_waiters();
 }
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -12,20 +12,20 @@
 use stoatstep_rollout::Progress;
 use stoatstep_telemetry::fields;
 
-use super::{refresh_soon, role, versions};
+use super::{role, schedule_refresh, versions};
 use crate::node::Node;
 use crate::rollout::{self, Source};
 use crate::wire::{Ask, News, Reply};
 use crate::{drain, executor, quarantine};
 
 /// Timeout of a probe. A round trip in a region takes a few milliseconds.
-const PROBE_BOUND: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Timeout of an indirect probe, in which the helper itself waits for up to [`PROBE_BOUND`].
-const HELPER_BOUND: Duration = Duration::from_millis(1200);
+/// Timeout of an indirect probe, in which the helper itself waits for up to [`PROBE_TIMEOUT`].
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// Timeout of a pull of the membership table.
-const TABLE_BOUND: Duration = Duration::from_secs(2);
+const TABLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A daemon with the address at which it listens for peers.
 pub(crate) type Addressed = (MemberKey, SocketAddr);
@@ -34,7 +34,7 @@
 pub(crate) fn input(node: &Rc<Node>, input: Input) {
     let now = node.clock.now();
     let actions = node.fleet.membership.borrow_mut().handle(now, input);
-    act(node, actions);
+    perform(node, actions);
 }
 
 /// Advances the membership state machine's time.
@@ -57,7 +57,7 @@
 /// Announces the held configuration to the peers of the own zone at once. Regular exchanges would
 /// take seconds to reach all of them.
 pub(crate) fn tell_zone(node: &Rc<Node>) {
-    tell(node, own_zone(node), &holds(node));
+    tell(node, own_zone(node), &held_configuration(node));
 }
 
 /// The daemons of the own zone, this one included.
@@ -72,7 +72,7 @@
 /// exchanges bring the new one, which is too late. Announcing it to every daemon there would cost a
 /// message to each daemon of the fleet for every version.
 pub(crate) fn tell_other_zones(node: &Rc<Node>) {
-    tell(node, followers_elsewhere(node), &holds(node));
+    tell(node, followers_elsewhere(node), &held_configuration(node));
 }
 
 /// The followers in the other zones.
@@ -95,35 +95,35 @@
 }
 
 /// The message that announces the configuration which this daemon holds.
-fn holds(node: &Node) -> Ask {
+fn held_configuration(node: &Node) -> Ask {
     let membership = node.fleet.membership.borrow();
     Ask::Holds(membership.me(), membership.mark())
 }
 
 /// Sends a message without waiting for the answer.
-pub(crate) fn tell(node: &Rc<Node>, peers: Vec<Addressed>, word: &Ask) {
+pub(crate) fn tell(node: &Rc<Node>, peers: Vec<Addressed>, message: &Ask) {
     let me = node.fleet.membership.borrow().me();
     for (_, addr) in peers.into_iter().filter(|(key, _)| *key != me) {
-        let (node, word) = (Rc::clone(node), word.clone());
+        let (node, message) = (Rc::clone(node), message.clone());
         ntex::rt::spawn(async move {
             // A peer that misses the message receives its content in the regular exchanges.
-            let _ = node.links.ask_within(addr, word, PROBE_BOUND).await;
+            let _ = node.links.ask_within(addr, message, PROBE_TIMEOUT).await;
         });
     }
 }
 
 /// Sends a message to the daemons of the own zone and to the followers of each other zone, which
 /// [forward it](relay).
-pub(crate) fn tell_fleet(node: &Rc<Node>, word: &Ask) {
-    tell(node, own_zone(node), word);
-    tell(node, followers_elsewhere(node), word);
+pub(crate) fn tell_fleet(node: &Rc<Node>, message: &Ask) {
+    tell(node, own_zone(node), message);
+    tell(node, followers_elsewhere(node), message);
 }
 
 /// Forwards a message from another zone to the own zone, if this daemon is one of those that
 /// receive messages for it.
-pub(crate) fn relay(node: &Rc<Node>, word: &Ask) {
+pub(crate) fn relay(node: &Rc<Node>, message: &Ask) {
     if role::hears_for_zone(node) {
-        tell(node, own_zone(node), word);
+        tell(node, own_zone(node), message);
     }
 }
 
@@ -157,7 +157,7 @@
     };
     // A peer that is not yet known is asked in the exchange that makes it known.
     if let Some(addr) = addr {
-        versions::peer_holds(node, peer, addr, mark);
+        versions::pull_if_newer(node, peer, addr, mark);
     }
 }
 
@@ -168,10 +168,10 @@
             let now = node.clock.now();
             let answered = node.fleet.membership.borrow_mut().answer(now, exchange);
             let (reply, actions) = answered;
-            act(node, actions);
+            perform(node, actions);
             GossipReply::Exchange(reply)
         }
-        GossipRequest::Probe(target) => GossipReply::Probe(reaches(node, target).await),
+        GossipRequest::Probe(target) => GossipReply::Probe(probe(node, target).await),
         GossipRequest::Table(zones) => {
             let membership = node.fleet.membership.borrow();
             GossipReply::Table(membership.rows_for(&zones))
@@ -179,7 +179,7 @@
     }
 }
 
-fn act(node: &Rc<Node>, actions: Vec<Action>) {
+fn perform(node: &Rc<Node>, actions: Vec<Action>) {
     let mut is_changed = false;
     for action in actions {
         match action {
@@ -191,26 +191,26 @@
                 ntex::rt::spawn(exchange(Rc::clone(node), peer, addr, message));
             }
             Action::AskHelper { addr, target } => {
-                ntex::rt::spawn(ask_helper(Rc::clone(node), addr, target));
+                ntex::rt::spawn(probe_indirectly(Rc::clone(node), addr, target));
             }
             Action::PullTable { addr, zones } => {
                 ntex::rt::spawn(pull_table(Rc::clone(node), addr, zones));
             }
             Action::PeerHolds {
                 peer, addr, mark, ..
-            } => versions::peer_holds(node, peer, addr, mark),
+            } => versions::pull_if_newer(node, peer, addr, mark),
             Action::Changed(key) => {
                 is_changed = true;
-                note_member(node, key);
+                log_member(node, key);
             }
             Action::Forgotten { instance, .. } => {
-                node.fleet.forgotten.borrow_mut().push(instance);
+                node.fleet.removed_members.borrow_mut().push(instance);
             }
             Action::ZoneReachable { zone, reachable } => {
                 slog::warn!(node.log, "way to a zone changed";
                     fields::ZONE => %zone, fields::REACHABLE => reachable);
             }
-            Action::Woke { gap } => woke(node, gap),
+            Action::Woke { gap } => resume(node, gap),
             Action::TargetDrained(upstream) => executor::leave(node, &upstream),
             Action::Superseded { birth } => {
                 slog::error!(node.log, "a newer process runs under this id"; fields::BIRTH => birth);
@@ -219,12 +219,12 @@
         }
     }
     if is_changed {
-        refresh_soon(node);
+        schedule_refresh(node);
     }
 }
 
 /// Logs a change in the believed state of a member.
-fn note_member(node: &Node, key: MemberKey) {
+fn log_member(node: &Node, key: MemberKey) {
     let Some(left_out) = node.journal.admits("member", node.clock.now()) else {
         return;
     };
@@ -243,15 +243,15 @@
 }
 
 /// Handles the end of a suspension of the instance: connections and pending requests are stale.
-fn woke(node: &Rc<Node>, gap: Duration) {
+fn resume(node: &Rc<Node>, gap: Duration) {
     slog::warn!(node.log, "woke from a suspension"; fields::GAP_MS => gap.as_millis());
     executor::woke(node);
     node.links.close_all();
-    node.fleet.woke.notify_waiters();
+    node.fleet.resumed.notify_waiters();
 }
 
 async fn exchange(node: Rc<Node>, peer: MemberKey, addr: SocketAddr, message: Exchange) {
-    let reply = say(&node, addr, message).await;
+    let reply = send_exchange(&node, addr, message).await;
     let heard = match reply {
         Some(reply) => Input::Replied { peer, reply },
         None => Input::Unreached { peer },
@@ -259,8 +259,8 @@
     input(&node, heard);
 }
 
-async fn say(node: &Rc<Node>, addr: SocketAddr, message: Exchange) -> Option<Exchange> {
-    match ask(node, addr, GossipRequest::Exchange(message), PROBE_BOUND).await? {
+async fn send_exchange(node: &Rc<Node>, addr: SocketAddr, message: Exchange) -> Option<Exchange> {
+    match ask(node, addr, GossipRequest::Exchange(message), PROBE_TIMEOUT).await? {
         GossipReply::Exchange(reply) => Some(reply),
         GossipReply::Probe(_) | GossipReply::Table(_) => None,
     }
@@ -282,14 +282,20 @@
     }
 }
 
-async fn ask_helper(node: Rc<Node>, addr: SocketAddr, target: MemberKey) {
-    let answer = ask(&node, addr, GossipRequest::Probe(target), HELPER_BOUND).await;
+async fn probe_indirectly(node: Rc<Node>, addr: SocketAddr, target: MemberKey) {
+    let answer = ask(
+        &node,
+        addr,
+        GossipRequest::Probe(target),
+        INDIRECT_PROBE_TIMEOUT,
+    )
+    .await;
     let reached = matches!(answer, Some(GossipReply::Probe(true)));
     input(&node, Input::Helped { target, reached });
 }
 
 /// Probes a member on behalf of a peer that cannot reach it.
-async fn reaches(node: &Rc<Node>, target: MemberKey) -> bool {
+async fn probe(node: &Rc<Node>, target: MemberKey) -> bool {
     let (addr, message) = {
         let membership = node.fleet.membership.borrow();
         let Some(entry) = membership.table().get(target) else {
@@ -298,12 +304,12 @@
         let message = membership.probe_message(node.clock.now(), target);
         (entry.member.peer, message)
     };
-    let answer = say(node, addr, message).await;
+    let answer = send_exchange(node, addr, message).await;
     answer.is_some_and(|reply| reply.from == target)
 }
 
 async fn pull_table(node: Rc<Node>, addr: SocketAddr, zones: Vec<ZoneDigest>) {
-    let answer = ask(&node, addr, GossipRequest::Table(zones), TABLE_BOUND).await;
+    let answer = ask(&node, addr, GossipRequest::Table(zones), TABLE_TIMEOUT).await;
     if let Some(GossipReply::Table(rows)) = answer {
         input(&node, Input::TablePulled { rows });
     }
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -1,11 +1,11 @@
 //! Fleet state of this daemon: the members with the targets that they announced, and the
 //! configuration in force.
 
+mod compression;
 pub(crate) mod configuration;
 pub(crate) mod confirmation;
 pub(crate) mod contact;
 pub(crate) mod gossip;
-mod packed;
 pub(crate) mod role;
 pub(crate) mod roster;
 pub(crate) mod versions;
@@ -32,8 +32,8 @@
 use crate::node::Node;
 use crate::quota;
 use crate::rollout::{self, Newcomers};
-use confirmation::Confirmed;
-use packed::Packed;
+use compression::CompressedUpdate;
+use confirmation::ConfirmationState;
 
 /// Where to send attempts for a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,73 +48,73 @@
     membership: RefCell<Membership>,
     in_force: RefCell<Option<Rc<InForce>>>,
     /// Earlier configurations, the newest last, from which differences for peers are computed.
-    former: RefCell<VecDeque<(Mark, Arc<State>)>>,
+    earlier_states: RefCell<VecDeque<(Mark, Arc<State>)>>,
     /// Compressed configuration that was last sent to a peer, reused for peers that hold the same
     /// version.
-    packed: RefCell<Option<Packed>>,
+    compressed_update: RefCell<Option<CompressedUpdate>>,
     places: RefCell<HashMap<UpstreamName, Place>>,
     /// Whether a rebuild of the candidates is scheduled.
-    is_refresh_due: Cell<bool>,
+    is_refresh_scheduled: Cell<bool>,
     /// When the candidates were last rebuilt.
-    refreshed: Cell<Option<Time>>,
+    refreshed_at: Cell<Option<Time>>,
     /// Software versions of the targets, with the time when each first appeared.
     newcomers: RefCell<Newcomers>,
     /// Whether another rebuild is scheduled for targets that are held back for now.
-    looks_again: Cell<bool>,
+    is_hold_expiry_scheduled: Cell<bool>,
     /// Whether a pull of the configuration from a peer is in progress.
     is_pulling: Cell<bool>,
     /// Whether the last request to the control plane was answered; `None` before the first one.
-    reaches_host: Cell<Option<bool>>,
+    reaches_control_plane: Cell<Option<bool>>,
     /// How this daemon learns of new versions; `None` before it has first decided.
     role: Cell<Option<PollRole>>,
     /// Members of the own zone that currently cannot announce new versions.
     contact: RefCell<Contact>,
     /// Era of the control plane's last answer.
     era: Cell<Option<Era>>,
-    confirmed: RefCell<Confirmed>,
+    confirmation_state: RefCell<ConfirmationState>,
     /// The control plane was restored from an older copy, so rows that this daemon wrote may be
     /// lost.
-    has_returned: Cell<bool>,
+    was_restored: Cell<bool>,
     /// Notified when the instance resumes from a suspension: pending requests to the control plane
     /// are to be sent again.
-    woke: Notify,
+    resumed: Notify,
     /// Notified when a member has lost the control plane. This daemon may have lost it too, or the
     /// member that announces versions to it.
-    host_doubted: Notify,
+    control_plane_doubted: Notify,
     /// When the roster was last read.
-    looked_at: Cell<Option<Time>>,
+    roster_read_at: Cell<Option<Time>>,
     /// Whether this instance is on the roster.
-    is_listed: Cell<bool>,
+    is_on_roster: Cell<bool>,
     /// Members that membership has removed for good, whose rows on the roster are to be deleted.
-    forgotten: RefCell<Vec<InstanceId>>,
+    removed_members: RefCell<Vec<InstanceId>>,
 }
 
 impl Fleet {
     pub(crate) fn new(cfg: &MeshConfig) -> Self {
-        let me = myself(cfg);
+        let me = own_member(cfg);
         let seed = me.key() ^ me.birth;
         Self {
             membership: RefCell::new(Membership::new(me, Config::default(), seed)),
             in_force: RefCell::default(),
-            former: RefCell::default(),
-            packed: RefCell::default(),
+            earlier_states: RefCell::default(),
+            compressed_update: RefCell::default(),
             places: RefCell::default(),
-            is_refresh_due: Cell::new(false),
-            refreshed: Cell::new(None),
+            is_refresh_scheduled: Cell::new(false),
+            refreshed_at: Cell::new(None),
             newcomers: RefCell::default(),
-            looks_again: Cell::new(false),
+            is_hold_expiry_scheduled: Cell::new(false),
             is_pulling: Cell::new(false),
-            reaches_host: Cell::new(None),
+            reaches_control_plane: Cell::new(None),
             role: Cell::new(None),
             contact: RefCell::default(),
             era: Cell::new(None),
-            confirmed: RefCell::default(),
-            has_returned: Cell::new(false),
-            woke: Notify::new(),
-            host_doubted: Notify::new(),
-            looked_at: Cell::new(None),
-            is_listed: Cell::new(false),
-            forgotten: RefCell::default(),
+            confirmation_state: RefCell::default(),
+            was_restored: Cell::new(false),
+            resumed: Notify::new(),
+            control_plane_doubted: Notify::new(),
+            roster_read_at: Cell::new(None),
+            is_on_roster: Cell::new(false),
+            removed_members: RefCell::default(),
         }
     }
 
@@ -142,20 +142,22 @@
         self.membership.borrow()
     }
 
-    /// Calls `see` for every present member.
-    pub(crate) fn members(&self, mut see: impl FnMut(MemberKey, &Entry)) {
+    /// Calls `visit` for every present member.
+    pub(crate) fn for_each_member(&self, mut visit: impl FnMut(MemberKey, &Entry)) {
         let membership = self.membership.borrow();
         for (key, entry) in membership.table().present() {
-            see(key, entry);
+            visit(key, entry);
         }
     }
 
     /// Records the era of an answer of the control plane.
-    fn hear_era(&self, era: Era, now: Time) {
+    fn record_era(&self, era: Era, now: Time) {
         let before = self.era.replace(Some(era));
         if before.is_some_and(|it| it < era) {
-            self.has_returned.set(true);
-            self.confirmed.borrow_mut().host_returned(now);
+            self.was_restored.set(true);
+            self.confirmation_state
+                .borrow_mut()
+                .control_plane_restored(now);
         }
     }
 
@@ -166,7 +168,7 @@
 }
 
 /// Updates the gauges, before the metrics are read.
-pub(crate) fn gauges(node: &Node) {
+pub(crate) fn update_gauges(node: &Node) {
     let version = node.fleet.in_force().map_or(0, |it| it.version());
     node.journal.gauge("configuration.version", version);
     let members = u64::try_from(node.fleet.size()).unwrap_or(u64::MAX);
@@ -181,11 +183,12 @@
     node.journal.gauge("target.takes_calls", takes_calls.into());
     let follows_host = role::follows_host(node);
     node.journal.gauge("host.followed", follows_host.into());
-    let reaches_host = node.fleet.reaches_host.get() == Some(true);
-    node.journal.gauge("host.reached", reaches_host.into());
+    let reaches_control_plane = node.fleet.reaches_control_plane.get() == Some(true);
+    node.journal
+        .gauge("host.reached", reaches_control_plane.into());
 }
 
-fn myself(cfg: &MeshConfig) -> Member {
+fn own_member(cfg: &MeshConfig) -> Member {
     let birth = starting_incarnation(unix_time(), None);
     Member {
         instance: cfg.instance.clone(),
@@ -206,30 +209,34 @@
 /// of the whole fleet, a rolling restart or a network partition brings changes by the hundred. The
 /// first change of a series takes effect at once, and the others soon enough for calls: a call to a
 /// target that left is refused by its daemon.
-const REFRESH_GAP: Duration = Duration::from_millis(100);
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Makes changes of membership visible to calls. Changes in quick succession share one rebuild.
-fn refresh_soon(node: &Rc<Node>) {
-    if node.fleet.is_refresh_due.replace(true) {
+fn schedule_refresh(node: &Rc<Node>) {
+    if node.fleet.is_refresh_scheduled.replace(true) {
         return;
     }
     let now = node.clock.now();
-    let next = node.fleet.refreshed.get().map(|at| at + REFRESH_GAP);
+    let next = node
+        .fleet
+        .refreshed_at
+        .get()
+        .map(|at| at + MIN_REFRESH_INTERVAL);
     let wait = next.map_or(Duration::ZERO, |next| next.saturating_sub(now));
     if wait.is_zero() {
-        refresh(node);
+        rebuild_candidates(node);
         return;
     }
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
         tokio::time::sleep(wait).await;
-        refresh(&node);
+        rebuild_candidates(&node);
     });
 }
 
-fn refresh(node: &Rc<Node>) {
-    node.fleet.is_refresh_due.set(false);
-    node.fleet.refreshed.set(Some(node.clock.now()));
+fn rebuild_candidates(node: &Rc<Node>) {
+    node.fleet.is_refresh_scheduled.set(false);
+    node.fleet.refreshed_at.set(Some(node.clock.now()));
     node.journal.count("candidates.rebuilt");
     let now = node.clock.now();
     let membership = node.fleet.membership.borrow();
@@ -255,7 +262,7 @@
             upstream: announced.upstream.clone(),
             zone: entry.member.zone.clone(),
             incarnation: entry.member.birth,
-            state: match state_of(entry, announced.draining) {
+            state: match candidate_state(entry, announced.draining) {
                 CandidateState::Ready if is_held => CandidateState::Doubtful,
                 state => state,
             },
@@ -273,24 +280,24 @@
     *node.fleet.places.borrow_mut() = places;
     node.entry.set_candidates(&services, now);
     if is_holding {
-        look_again(node);
+        refresh_after_hold(node);
     }
 }
 
 /// Schedules a rebuild for the time when targets that are held back may be used.
-fn look_again(node: &Rc<Node>) {
-    if node.fleet.looks_again.replace(true) {
+fn refresh_after_hold(node: &Rc<Node>) {
+    if node.fleet.is_hold_expiry_scheduled.replace(true) {
         return;
     }
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
         tokio::time::sleep(Newcomers::HOLD).await;
-        node.fleet.looks_again.set(false);
-        refresh_soon(&node);
+        node.fleet.is_hold_expiry_scheduled.set(false);
+        schedule_refresh(&node);
     });
 }
 
-fn state_of(entry: &Entry, is_draining: bool) -> CandidateState {
+fn candidate_state(entry: &Entry, is_draining: bool) -> CandidateState {
     match entry.member.state {
         MemberState::Leaving | MemberState::Dead => CandidateState::Leaving,
         _ if is_draining => CandidateState::Leaving,
--- a/crates/mesh/src/fleet/role.rs
+++ b/crates/mesh/src/fleet/role.rs
@@ -13,20 +13,20 @@
 
 /// Age of the last confirmed newest version from which a daemon polls on its own behalf. It covers
 /// two failed waits of the zone's followers, and some exchanges until word of them has spread.
-const SILENCE: Duration = Duration::from_secs(8);
+const MAX_HEAD_AGE: Duration = Duration::from_secs(8);
 
 /// Age of the process from which it waits for changes on behalf of its zone even if it may not have
 /// met its zone. Until it has, it takes itself for one of the two followers, and in a start of the
 /// whole fleet every daemon would open a needless wait of several seconds. Changes written
 /// meanwhile are not missed, since the wait continues from the first read.
-const MEETS_ZONE_WITHIN: Duration = Duration::from_secs(2);
+const ZONE_DISCOVERY: Duration = Duration::from_secs(2);
 
-/// Value of `MEETS_ZONE_WITHIN` for a first start, in which daemons meet only after they have read
+/// Value of `ZONE_DISCOVERY` for a first start, in which daemons meet only after they have read
 /// the roster.
-const MEETS_ZONE_AT_FIRST: Duration = Duration::from_secs(4);
+const FIRST_START_ZONE_DISCOVERY: Duration = Duration::from_secs(4);
 
 /// Records the role, and logs it if it has changed.
-pub(super) fn take(node: &Node, role: PollRole) {
+pub(super) fn set(node: &Node, role: PollRole) {
     if node.fleet.role.replace(Some(role)) == Some(role) {
         return;
     }
@@ -40,37 +40,37 @@
 }
 
 /// Age of the process from which it counts as having met its zone, even if members are missing.
-pub(super) fn meets_zone_until(node: &Node) -> Time {
+pub(super) fn zone_discovery_end(node: &Node) -> Time {
     if node.cfg.is_first_start {
-        MEETS_ZONE_AT_FIRST
+        FIRST_START_ZONE_DISCOVERY
     } else {
-        MEETS_ZONE_WITHIN
+        ZONE_DISCOVERY
     }
 }
 
 /// Whether this daemon probably knows only a part of its zone.
 pub(crate) fn is_meeting_zone(node: &Node) -> bool {
     let membership = node.fleet.membership.borrow();
-    let has_strangers = node.cfg.is_first_start || membership.is_meeting_zone();
-    has_strangers && node.clock.now() < meets_zone_until(node)
+    let may_miss_members = node.cfg.is_first_start || membership.is_meeting_zone();
+    may_miss_members && node.clock.now() < zone_discovery_end(node)
 }
 
 /// Whether this daemon waits for changes of the control plane on behalf of its zone; false for one
 /// that has just started.
-pub(super) fn waits_for_zone(node: &Node) -> bool {
+pub(super) fn polls_for_zone(node: &Node) -> bool {
     node.fleet.role.get() == Some(PollRole::Poller) && !is_meeting_zone(node)
 }
 
 /// Whether this daemon is chosen to follow the control plane for its zone.
 pub(crate) fn follows_host(node: &Node) -> bool {
-    chosen(node) == PollRole::Poller
+    assigned(node) == PollRole::Poller
 }
 
 /// Whether this daemon has to read from the control plane what daemons out of its reach found. That
 /// is so for a follower of a zone that is partitioned from another one, for one that replaces a
 /// silent follower, and for a daemon that is alone.
-pub(super) fn catches_up_by_host(node: &Node) -> bool {
-    if node.fleet.reaches_host.get() != Some(true) {
+pub(super) fn reads_findings_from_control_plane(node: &Node) -> bool {
+    if node.fleet.reaches_control_plane.get() != Some(true) {
         return false;
     }
     match node.fleet.role.get() {
@@ -83,15 +83,15 @@
     }
 }
 
-fn chosen(node: &Node) -> PollRole {
+fn assigned(node: &Node) -> PollRole {
     let zone = contact::eligible(node);
     let membership = node.fleet.membership.borrow();
     let head_age = membership.head_age(node.clock.now());
-    let role = PollRole::of(membership.me(), &zone, head_age, SILENCE);
+    let role = PollRole::of(membership.me(), &zone, head_age, MAX_HEAD_AGE);
     // It has lost the control plane, and other daemons of the zone have not.
-    let is_passed_over = !zone.contains(&membership.me());
+    let is_replaced = !zone.contains(&membership.me());
     match role {
-        PollRole::Poller if is_passed_over => PollRole::Idle,
+        PollRole::Poller if is_replaced => PollRole::Idle,
         role => role,
     }
 }
@@ -107,12 +107,12 @@
 
 /// The role in which this daemon acts. A daemon that relies on followers polls on its own behalf if
 /// none of them answers, or if it has no configuration yet.
-pub(super) async fn present(node: &Rc<Node>) -> PollRole {
-    let role = chosen(node);
+pub(super) async fn current(node: &Rc<Node>) -> PollRole {
+    let role = assigned(node);
     // In a first start the configuration may not have been written yet, and the followers announce
     // it. Later, callers wait for a daemon that has none.
     let can_wait = node.fleet.in_force().is_some() || node.cfg.is_first_start;
-    if role != PollRole::Idle || (can_wait && contact::leaves_host_to_others(node).await) {
+    if role != PollRole::Idle || (can_wait && contact::can_rely_on_followers(node).await) {
         return role;
     }
     PollRole::OnOwnBehalf
--- a/crates/mesh/src/fleet/roster.rs
+++ b/crates/mesh/src/fleet/roster.rs
@@ -15,99 +15,99 @@
 use crate::quarantine::{self, Way};
 
 /// Timeout of a request to the control plane.
-const ANSWER_BOUND: Duration = Duration::from_secs(2);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Interval of the checks for due work.
-const STEP: Duration = Duration::from_millis(250);
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Pause before a retry after a request that failed.
-const RETRY: Duration = Duration::from_millis(750);
+const RETRY_DELAY: Duration = Duration::from_millis(750);
 
 /// Pause before the second read of a daemon that met nobody after the first one.
-const SECOND_LOOK: Duration = Duration::from_millis(1500);
+const SECOND_READ_DELAY: Duration = Duration::from_millis(1500);
 
 /// Longest pause between two reads of a daemon that knows no peer.
-const LONGEST_ALONE: Duration = Duration::from_secs(30);
+const MAX_READ_PAUSE: Duration = Duration::from_secs(30);
 
 /// How often a daemon that is not on the roster checks whether it has to be.
-const KEPT_UP_EVERY: Duration = Duration::from_secs(5);
+const ANNOUNCE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Limit on the doublings of the pause, which by then has reached `LONGEST_ALONE`.
+/// Limit on the doublings of the pause, which by then has reached `MAX_READ_PAUSE`.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// How often the roster is read while other daemons are out of reach.
-const CATCH_UP_EVERY: Duration = Duration::from_millis(1500);
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// Rows per zone that suffice for a starting daemon to meet its zone, even if some of those
 /// instances die at once. All others stay off the roster, so that a start of the whole fleet
 /// writes as little for a large fleet as for a small one.
-const LISTED_PER_ZONE: usize = 3;
+const ROWS_PER_ZONE: usize = 3;
 
 /// Time over which the first reads are spread in the first start of a fleet. There are no callers
 /// yet, and the daemons that read first announce themselves.
-const FIRST_START_SPREAD: Duration = Duration::from_secs(2);
+const FIRST_READ_SPREAD: Duration = Duration::from_secs(2);
 
 /// Reads the roster while no peer is known, and keeps enough instances on it.
 pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
     // With millisecond resolution: all daemons that read in the same step would find the roster
     // empty.
-    tokio::time::sleep(first_look(&node)).await;
-    let mut roster = Roster {
+    tokio::time::sleep(first_read_delay(&node)).await;
+    let mut task = RosterTask {
         node: Rc::clone(&node),
         host,
         is_announced: false,
-        looks: 0,
+        reads: 0,
         due: node.clock.now(),
-        caught_up: Duration::ZERO,
-        keeps_from: Cell::default(),
+        caught_up_at: Duration::ZERO,
+        store_after: Cell::default(),
     };
     while !node.is_leaving() {
-        if node.fleet.has_returned.take() {
-            roster.write_again();
+        if node.fleet.was_restored.take() {
+            task.rewrite_rows();
         }
-        if node.clock.now() >= roster.due {
-            let pause = roster.step().await;
+        if node.clock.now() >= task.due {
+            let pause = task.step().await;
             let share = rand::rng().random_range(0.75..1.25);
-            roster.due = node.clock.now() + pause.mul_f64(share);
+            task.due = node.clock.now() + pause.mul_f64(share);
         }
-        roster.delete_forgotten().await;
-        roster.keep_requests().await;
-        roster.catch_up().await;
-        tokio::time::sleep(STEP).await;
+        task.delete_removed().await;
+        task.store_requests().await;
+        task.catch_up().await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    if roster.is_announced {
+    if task.is_announced {
         let own = node.cfg.instance.clone();
-        roster.say("withdrawn", roster.host.withdraw(&own)).await;
+        task.send("withdrawn", task.host.withdraw(&own)).await;
     }
 }
 
 /// Delay of the first read.
-fn first_look(node: &Node) -> Duration {
+fn first_read_delay(node: &Node) -> Duration {
     if node.cfg.is_first_start {
-        FIRST_START_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0))
+        FIRST_READ_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0))
     } else {
         Duration::ZERO
     }
 }
 
-struct Roster<H> {
+struct RosterTask<H> {
     node: Rc<Node>,
     host: Rc<H>,
     is_announced: bool,
     /// Number of answered reads.
-    looks: u32,
+    reads: u32,
     due: Duration,
     /// When the stored requests were last read because other daemons were out of reach.
-    caught_up: Duration,
+    caught_up_at: Duration,
     /// Requests are not stored before this time, since storing the last one failed.
-    keeps_from: Cell<Duration>,
+    store_after: Cell<Duration>,
 }
 
-impl<H: Host> Roster<H> {
+impl<H: Host> RosterTask<H> {
     /// Schedules this daemon's own row and the quarantined requests to be written again, after the
     /// control plane was restored from an older copy. Followers notice that, and they are the
     /// daemons that have to be on the roster.
-    fn write_again(&mut self) {
+    fn rewrite_rows(&mut self) {
         self.is_announced = false;
         self.due = self.node.clock.now();
         self.node.requests.keep_all(self.due);
@@ -116,29 +116,29 @@
     /// Does what is due and returns the pause until the next step.
     async fn step(&mut self) -> Duration {
         let is_alone = self.node.fleet.size() == 1;
-        if is_alone || self.looks == 0 {
-            let Some(listed) = self.look().await else {
-                return RETRY;
+        if is_alone || self.reads == 0 {
+            let Some(listed) = self.read_members().await else {
+                return RETRY_DELAY;
             };
             if self.is_needed(listed) && !self.announce().await {
-                return RETRY;
+                return RETRY_DELAY;
             }
-            let doublings = self.looks.min(MAX_DOUBLINGS) - 1;
-            return (SECOND_LOOK * (1 << doublings)).min(LONGEST_ALONE);
+            let doublings = self.reads.min(MAX_DOUBLINGS) - 1;
+            return (SECOND_READ_DELAY * (1 << doublings)).min(MAX_READ_PAUSE);
         }
         // A zone has followers for as long as it has members, and they change only with its
         // members.
         let is_missing = !self.is_announced && role::follows_host(&self.node);
         if is_missing && !self.announce().await {
-            return RETRY;
+            return RETRY_DELAY;
         }
-        KEPT_UP_EVERY
+        ANNOUNCE_CHECK_INTERVAL
     }
 
     /// Whether this instance has to be on the roster, which has `listed` rows of its zone. If
     /// nobody was met after the first read, those rows belong to instances that are gone.
     fn is_needed(&self, listed: usize) -> bool {
-        !self.is_announced && (listed < LISTED_PER_ZONE || self.looks > 1)
+        !self.is_announced && (listed < ROWS_PER_ZONE || self.reads > 1)
     }
 
     /// Reads the roster and returns the number of its rows that belong to the own zone; `None`
@@ -148,7 +148,7 @@
     /// so it is kept: when 295 instances lose power at once, that saves a write for each. Two
     /// daemons that both read before either is on the roster miss each other, but are then alone and
     /// read again.
-    async fn look(&mut self) -> Option<usize> {
+    async fn read_members(&mut self) -> Option<usize> {
         let listed = self.read(Way::Exchange).await?;
         let rows: Vec<_> = listed.members.into_iter().map(|it| it.row).collect();
         let cfg = &self.node.cfg;
@@ -156,8 +156,11 @@
         self.is_announced |= rows.iter().any(is_own);
         let of_zone = rows.iter().filter(|it| it.zone == cfg.zone).count();
         gossip::input(&self.node, Input::Announced { rows });
-        self.looks += 1;
-        self.node.fleet.looked_at.set(Some(self.node.clock.now()));
+        self.reads += 1;
+        self.node
+            .fleet
+            .roster_read_at
+            .set(Some(self.node.clock.now()));
         Some(of_zone)
     }
 
@@ -166,67 +169,67 @@
     /// arrive here.
     async fn catch_up(&mut self) {
         let now = self.node.clock.now();
-        let is_due = now >= self.caught_up + CATCH_UP_EVERY;
-        if !is_due || !role::catches_up_by_host(&self.node) {
+        let is_due = now >= self.caught_up_at + CATCH_UP_INTERVAL;
+        if !is_due || !role::reads_findings_from_control_plane(&self.node) {
             return;
         }
-        self.caught_up = now;
+        self.caught_up_at = now;
         self.read(Way::Direct).await;
     }
 
     /// Reads the roster and applies its requests as if they had come from a peer by `way`.
     async fn read(&self, way: Way) -> Option<Listed> {
-        let listed = self.say("read", self.host.roster()).await?;
+        let listed = self.send("read", self.host.roster()).await?;
         quarantine::hear_kept(&self.node, &listed.requests, way);
         Some(listed)
     }
 
     async fn announce(&mut self) -> bool {
         let announcement = self.node.fleet.membership.borrow().announcement();
-        let written = self.say("announced", self.host.announce(&announcement));
+        let written = self.send("announced", self.host.announce(&announcement));
         self.is_announced = written.await.is_some();
-        self.node.fleet.is_listed.set(self.is_announced);
+        self.node.fleet.is_on_roster.set(self.is_announced);
         self.is_announced
     }
 
-    async fn delete_forgotten(&self) {
-        let forgotten = std::mem::take(&mut *self.node.fleet.forgotten.borrow_mut());
+    async fn delete_removed(&self) {
+        let removed_members = std::mem::take(&mut *self.node.fleet.removed_members.borrow_mut());
         // All daemons of the zone remove the member, and one deletion is enough.
         if !role::follows_host(&self.node) {
             return;
         }
-        for instance in forgotten {
-            self.say("cleaned up", self.host.withdraw(&instance)).await;
+        for instance in removed_members {
+            self.send("cleaned up", self.host.withdraw(&instance)).await;
         }
     }
 
     /// Writes and deletes stored requests as the quarantine demands. What fails is retried; until
     /// then every daemon still knows it.
-    async fn keep_requests(&self) {
-        if self.node.clock.now() < self.keeps_from.get() {
+    async fn store_requests(&self) {
+        if self.node.clock.now() < self.store_after.get() {
             return;
         }
         while let Some(next) = self.node.requests.next_to_keep() {
             let kept = quarantine::kept(&self.node, next);
             let done = match &kept {
-                Some(request) => self.say("kept", self.host.keep(request)).await,
-                None => self.say("kept", self.host.drop_kept(next)).await,
+                Some(request) => self.send("kept", self.host.keep(request)).await,
+                None => self.send("kept", self.host.drop_kept(next)).await,
             };
             if done.is_none() {
                 self.node.requests.keep(next);
-                self.keeps_from.set(self.node.clock.now() + RETRY);
+                self.store_after.set(self.node.clock.now() + RETRY_DELAY);
                 return;
             }
         }
     }
 
     /// Returns the answer, or logs which operation failed.
-    async fn say<T>(
+    async fn send<T>(
         &self,
         what: &'static str,
         asked: impl Future<Output = Result<T, HostError>>,
     ) -> Option<T> {
-        let answer = timeout(ANSWER_BOUND, asked).await;
+        let answer = timeout(ANSWER_TIMEOUT, asked).await;
         let answer =
             answer.unwrap_or_else(|_| Err(HostError::Unavailable("no answer in time".into())));
         match answer {
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -11,7 +11,7 @@
 use stoatstep_resource::State;
 use stoatstep_telemetry::fields;
 
-use super::packed::{self, Packed};
+use super::compression::{self, CompressedUpdate};
 use super::{gossip, role};
 use crate::executor;
 use crate::in_force::InForce;
@@ -21,14 +21,14 @@
 
 /// Delay before a pull from a peer in another zone, which lets the control plane's answer or a peer
 /// of the own zone come first: traffic between zones is expensive.
-const PULL_AFTER: Duration = Duration::from_millis(800);
+const REMOTE_PULL_DELAY: Duration = Duration::from_millis(800);
 
 /// Earlier configurations kept for peers that are slightly behind. It exceeds the number of
 /// versions that can appear between two pulls of a peer.
-const FORMER: usize = 8;
+const MAX_EARLIER_STATES: usize = 8;
 
 /// Timeout of a pull from a peer.
-const PULL_BOUND: Duration = Duration::from_secs(2);
+const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Where a configuration came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -39,7 +39,7 @@
 
 /// Puts a state in force if it is newer than the current one and its references are valid, and
 /// returns whether it did. Older states are rejected: callers would see a route that was removed.
-pub(super) fn offer(node: &Rc<Node>, state: State, source: Source) -> bool {
+pub(super) fn apply_if_newer(node: &Rc<Node>, state: State, source: Source) -> bool {
     let held = held(node).version;
     let version = state.version();
     if version <= held {
@@ -50,11 +50,11 @@
             fields::VERSION => version, fields::HELD => held, fields::SOURCE => ?source, fields::ERROR => %err);
         return false;
     }
-    let mark = replace(node, state);
+    let mark = activate(node, state);
     slog::info!(node.log, "configuration in force";
         fields::VERSION => version, fields::BEFORE => held, fields::SOURCE => ?source);
     gossip::input(node, Input::Holds(mark));
-    tell(node, source);
+    announce(node, source);
     // The first configuration contains the path at which the target is probed.
     executor::ask_target(node);
     true
@@ -62,7 +62,7 @@
 
 /// Announces a new version. A follower also announces one that it received from a peer, since the
 /// control plane may have rejected the follower itself.
-fn tell(node: &Rc<Node>, source: Source) {
+fn announce(node: &Rc<Node>, source: Source) {
     match source {
         Source::Host => {
             gossip::tell_zone(node);
@@ -74,7 +74,7 @@
 }
 
 /// Puts a state in force and keeps the previous one for peers that still hold it.
-fn replace(node: &Node, state: State) -> Mark {
+fn activate(node: &Node, state: State) -> Mark {
     let before = node.fleet.in_force();
     let state = match &before {
         Some(before) => state.sharing(&before.state),
@@ -84,10 +84,10 @@
     let mark = in_force.mark;
     *node.fleet.in_force.borrow_mut() = Some(Rc::new(in_force));
     if let Some(before) = before {
-        let mut former = node.fleet.former.borrow_mut();
-        former.push_back((before.mark, Arc::clone(&before.state)));
-        if former.len() > FORMER {
-            former.pop_front();
+        let mut earlier_states = node.fleet.earlier_states.borrow_mut();
+        earlier_states.push_back((before.mark, Arc::clone(&before.state)));
+        if earlier_states.len() > MAX_EARLIER_STATES {
+            earlier_states.pop_front();
         }
     }
     mark
@@ -101,32 +101,32 @@
     if held.version() <= theirs.version {
         return Newer::Nothing;
     }
-    if let Some(bytes) = kept(node, theirs, held.mark) {
+    if let Some(bytes) = cached_update(node, theirs, held.mark) {
         return Newer::Packed(bytes);
     }
-    let newer = packed::pack(leading_to(node, theirs, &held));
+    let newer = compression::compress(update_from(node, theirs, &held));
     if let Newer::Packed(bytes) = &newer {
-        let packed = Packed {
+        let update = CompressedUpdate {
             from: theirs,
             to: held.mark,
             bytes: bytes.clone(),
         };
-        node.fleet.packed.replace(Some(packed));
+        node.fleet.compressed_update.replace(Some(update));
     }
     newer
 }
 
 /// The cached update, if it was compressed for the same pair of configurations.
-fn kept(node: &Node, from: Mark, to: Mark) -> Option<Bytes> {
-    let packed = node.fleet.packed.borrow();
-    let packed = packed.as_ref();
-    let packed = packed.filter(|it| it.from == from && it.to == to);
-    packed.map(|it| it.bytes.clone())
+fn cached_update(node: &Node, from: Mark, to: Mark) -> Option<Bytes> {
+    let update = node.fleet.compressed_update.borrow();
+    let update = update.as_ref();
+    let update = update.filter(|it| it.from == from && it.to == to);
+    update.map(|it| it.bytes.clone())
 }
 
-fn leading_to(node: &Node, theirs: Mark, held: &InForce) -> Newer {
-    let former = node.fleet.former.borrow();
-    match former.iter().find(|(mark, _)| *mark == theirs) {
+fn update_from(node: &Node, theirs: Mark, held: &InForce) -> Newer {
+    let earlier_states = node.fleet.earlier_states.borrow();
+    match earlier_states.iter().find(|(mark, _)| *mark == theirs) {
         Some((_, state)) => Newer::Difference((&state.difference(&held.state)).into()),
         None => Newer::Whole((&*held.state).into()),
     }
@@ -134,8 +134,8 @@
 
 /// Handles a peer's announcement of the configuration that it holds. If it is newer, it is pulled
 /// from the peer: at once within the own zone, and otherwise only if no other source delivers it
-/// within `PULL_AFTER`.
-pub(crate) fn peer_holds(node: &Rc<Node>, peer: MemberKey, addr: SocketAddr, theirs: Mark) {
+/// within `REMOTE_PULL_DELAY`.
+pub(crate) fn pull_if_newer(node: &Rc<Node>, peer: MemberKey, addr: SocketAddr, theirs: Mark) {
     if theirs.version <= held(node).version || node.fleet.is_pulling.get() {
         return;
     }
@@ -143,7 +143,7 @@
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
         if !is_near && node.fleet.in_force().is_some() {
-            tokio::time::sleep(PULL_AFTER).await;
+            tokio::time::sleep(REMOTE_PULL_DELAY).await;
         }
         if theirs.version > held(&node).version && !node.fleet.is_pulling.replace(true) {
             pull(&node, addr).await;
@@ -159,11 +159,11 @@
 async fn pull(node: &Rc<Node>, addr: SocketAddr) {
     let asked_with = held(node);
     let ask = Ask::Newer(asked_with);
-    let reply = node.links.ask_within(addr, ask, PULL_BOUND).await;
+    let reply = node.links.ask_within(addr, ask, PULL_TIMEOUT).await;
     let (newer, rollouts) = match reply {
         Ok(Reply::Newer(newer, rollouts)) => (newer, rollouts),
         other => {
-            note_failed_pull(node, addr, other.err());
+            log_failed_pull(node, addr, other.err());
             return;
         }
     };
@@ -175,7 +175,7 @@
     }
     match decode(node, newer) {
         Ok(Some(state)) => {
-            offer(node, state, Source::Peer);
+            apply_if_newer(node, state, Source::Peer);
         }
         Ok(None) => {}
         Err(err) => {
@@ -184,7 +184,7 @@
     }
 }
 
-fn note_failed_pull(node: &Node, addr: SocketAddr, err: Option<LinkError>) {
+fn log_failed_pull(node: &Node, addr: SocketAddr, err: Option<LinkError>) {
     node.journal.count("configuration.pulls_failed");
     if let Some(left_out) = node.journal.admits("pull", node.clock.now()) {
         slog::warn!(node.log, "configuration not pulled"; fields::PEER => %addr,
@@ -195,7 +195,7 @@
 
 fn decode(node: &Node, newer: Newer) -> Result<Option<State>, String> {
     let newer = match newer {
-        Newer::Packed(bytes) => packed::unpack(&bytes).map_err(|err| err.to_string())?,
+        Newer::Packed(bytes) => compression::decompress(&bytes).map_err(|err| err.to_string())?,
         plain => plain,
     };
     let state = match newer {
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -165,7 +165,7 @@
     let log = node.log.clone();
     let ended = server
         .serve(move |_| {
-            fleet::gauges(&node);
+            fleet::update_gauges(&node);
             let text = node.journal.metrics_text();
             async move { Response::Ok().content_type("text/plain").body(text) }
         })
--- a/crates/mesh/src/rollout/view.rs
+++ b/crates/mesh/src/rollout/view.rs
@@ -27,7 +27,7 @@
 impl View {
     pub(super) fn of(node: &Node, service: &str, target: &str) -> Self {
         let mut view = Self::default();
-        node.fleet.members(|key, entry| {
+        node.fleet.for_each_member(|key, entry| {
             let member = &entry.member;
             let announced = member.announced.as_ref();
             let Some(announced) = announced.filter(|it| it.service == service) else {
