--- a/crates/mesh/src/config.rs
+++ b/crates/mesh/src/config.rs
@@ -150,7 +150,7 @@
     }
 
     /// Whether the whole fleet starts for the first time, before it has callers. Default: no.
-    /// Daemons then take longer to find each other, and send fewer requests to the control plane.
+    /// Daemons then take longer to find each other, and send fewer requests to the store.
     #[must_use]
     pub fn first_start(mut self, is_first_start: bool) -> Self {
         self.is_first_start = is_first_start;
@@ -166,8 +166,8 @@
     }
 
     /// Longest time for which a key may still be accepted after it was revoked, also at a daemon
-    /// that cannot reach the control plane. Default: no bound, and a daemon that is cut off keeps
-    /// using the configuration that it holds.
+    /// that cannot reach the store. Default: no bound, and a daemon that is cut off keeps using the
+    /// configuration that it holds.
     #[must_use]
     pub fn key_lifetime(mut self, bound: Duration) -> Self {
         self.key_lifetime = Some(bound);
--- a/crates/mesh/src/dialect.rs
+++ b/crates/mesh/src/dialect.rs
@@ -15,10 +15,10 @@
     pub caller_service: SmolStr,
     /// Customer that holds the caller's key; absent if the call needs none.
     pub customer: SmolStr,
-    /// Life of the target for which a request is meant. Any other life rejects it without running
-    /// it.
+    /// Generation of the target for which a request is meant. Any other generation rejects it
+    /// without running it.
     pub expected_upstream: SmolStr,
-    /// In an answer: the life of the target that gave it.
+    /// In an answer: the generation of the target that gave it.
     pub upstream: SmolStr,
     /// In an answer: the target did not run the request.
     pub not_run: SmolStr,
--- a/crates/mesh/src/fleet/configuration.rs
+++ b/crates/mesh/src/fleet/configuration.rs
@@ -1,4 +1,4 @@
-//! Follows the control plane's configuration. What happens with a version that it returns is in
+//! Follows the store's configuration. What happens with a version that it returns is in
 //! [`versions`].
 
 use std::rc::Rc;
@@ -21,48 +21,48 @@
 use crate::node::Node;
 use crate::rollout;
 
-/// Longest wait for a change. A request that the control plane will never answer, because the
-/// connection was lost or it restarted, looks like a wait without a change. This bounds how long a
-/// daemon can miss changes after the control plane is back.
+/// Longest wait for a change. A request that the store will never answer, because the connection
+/// was lost or it restarted, looks like a wait without a change. This bounds how long a daemon can
+/// miss changes after the store is back.
 const LONGEST_WAIT: Duration = Duration::from_secs(3);
 
-/// Longest wait for a change after a pause, and for a daemon that polls on its own behalf and looks
-/// for other members in between. If the control plane was restored from an older copy meanwhile, it
-/// may have assigned again the version from which the wait continues. Only the end of the wait
-/// reveals that, and a version has to be in force within 2 s.
+/// Longest wait for a change after a delay, and for a daemon that polls on its own behalf and looks
+/// for other members in between. If the store was restored from an older copy meanwhile, it may
+/// have assigned again the version from which the wait continues. Only the end of the wait reveals
+/// that, and a version has to be in force within 2 s.
 const LONGEST_RESUMED_WAIT: Duration = Duration::from_secs(1);
 
 /// Timeout of a request that does not wait for a change.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Time added to the wait for the timeout of a long poll. A control plane that takes longer is
-/// considered lost, which costs a request by another daemon.
+/// Time added to the wait for the timeout of a long poll. A store that takes longer is considered
+/// lost, which costs a request by another daemon.
 const ANSWER_MARGIN: Duration = Duration::from_millis(600);
 
 /// How often a starting daemon checks whether it has met its zone, or whether its first request is
 /// due.
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Time after the first read of the roster within which a daemon gets the configuration from a
-/// peer in the first start of a fleet. There are no callers yet.
+/// Time after the first read of the roster within which a daemon gets the configuration from a peer
+/// in the first start of a fleet. There are no callers yet.
 const PEER_HEAD_START: Duration = Duration::from_millis(1500);
 
 /// Longest time for which a daemon defers its first request in a first start, whether or not it has
 /// read the roster.
 const MAX_FIRST_DELAY: Duration = Duration::from_millis(4500);
 
-/// Pause after a change. It batches changes in quick succession, and each still comes into force
+/// Delay after a change. It batches changes in quick succession, and each still comes into force
 /// well within two seconds.
-const PAUSE_AFTER_CHANGE: Duration = Duration::from_millis(500);
+const DELAY_AFTER_CHANGE: Duration = Duration::from_millis(500);
 
 /// An answer that took at most this long did not wait for a change.
 const MAX_IMMEDIATE_ANSWER: Duration = Duration::from_millis(100);
 
-/// First pause after a failure; it doubles up to `MAX_PAUSE`.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-const MAX_PAUSE: Duration = Duration::from_millis(800);
+/// First backoff after a failure; it doubles up to `MAX_BACKOFF`.
+const FIRST_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Follows the control plane's configuration until the process ends.
+/// Follows the store's configuration until the process ends.
 ///
 /// Two daemons of each zone wait for changes and notify the others; see [`PollRole`]. A daemon that
 /// has no configuration yet asks at once, whatever its role.
@@ -92,7 +92,7 @@
             asked = ask(&*host, cursor, wait) => asked,
             // Changes were missed, and the connection may be gone.
             () = node.fleet.resumed.notified() => Err(HostError::HistoryLost),
-            () = node.fleet.control_plane_doubted.notified(), if is_waiting => {
+            () = node.fleet.store_doubted.notified(), if is_waiting => {
                 wait = Duration::ZERO;
                 continue;
             }
@@ -103,10 +103,10 @@
                 node.fleet.record_era(update.cursor.era, node.clock.now());
                 failures = 0;
                 last_failure = None;
-                if node.fleet.reaches_control_plane.replace(Some(true)) != Some(true) {
+                if node.fleet.reaches_store.replace(Some(true)) != Some(true) {
                     slog::info!(node.log, "host reached");
                 }
-                contact::control_plane_answered(&node);
+                contact::store_answered(&node);
                 gossip::input(&node, Input::HeadRead);
                 let age = order_age(last_answer, asked_at, node.clock.now());
                 last_answer = Some(node.clock.now());
@@ -115,9 +115,9 @@
                 let changed = update
                     .state
                     .is_some_and(|it| versions::apply_if_newer(&node, it, Source::Host));
-                confirmation::control_plane_answered(&node, asked_at, update.host_time, read);
+                confirmation::store_answered(&node, asked_at, update.host_time, read);
                 if changed {
-                    PAUSE_AFTER_CHANGE
+                    DELAY_AFTER_CHANGE
                 } else {
                     Duration::ZERO
                 }
@@ -129,12 +129,12 @@
                 }
                 node.journal.count("host.failures");
                 if matches!(err, HostError::Unavailable(_)) {
-                    contact::lost_control_plane(&node);
+                    contact::lost_store(&node);
                 }
                 // Read the whole configuration next: that is answered at once or not at all.
                 cursor = None;
                 failures += 1;
-                let pause = pause_after(&err, is_new, failures);
+                let pause = backoff(&err, is_new, failures);
                 last_failure = Some(err);
                 pause
             }
@@ -150,18 +150,18 @@
     }
 }
 
-/// Time until the control plane is asked again after a failure.
+/// Time until the store is asked again after a failure.
 ///
-/// If it answers that the history is gone, it can be read at once: a pause would only keep an old
-/// version in force. This applies only once in a row, or a control plane that always answers so
-/// would be asked without end.
-fn pause_after(err: &HostError, is_new: bool, failures: u32) -> Duration {
+/// If it answers that the history is gone, it can be read at once: a delay would only keep an old
+/// version in force. This applies only once in a row, or a store that always answers so would be
+/// asked without end.
+fn backoff(err: &HostError, is_new: bool, failures: u32) -> Duration {
     if is_new && *err == HostError::HistoryLost {
         return Duration::ZERO;
     }
-    let bound = FIRST_PAUSE * (1 << failures.min(8));
+    let bound = FIRST_BACKOFF * (1 << failures.min(8));
     let share = rand::rng().random_range(0.5..1.5);
-    bound.min(MAX_PAUSE).mul_f64(share)
+    bound.min(MAX_BACKOFF).mul_f64(share)
 }
 
 /// Longest time for which a row in an answer may have been written before. A wait that took some
@@ -189,9 +189,8 @@
     }
 }
 
-/// Logs once that the control plane is lost, and every answer that cannot be decoded. An invalid
-/// document stays until the operator writes another one, and is read about three times a second
-/// until then.
+/// Logs once that the store is lost, and every answer that cannot be decoded. An invalid document
+/// stays until the operator writes another one, and is read about three times a second until then.
 fn log_failure(node: &Node, err: &HostError) {
     match err {
         HostError::HistoryLost => slog::info!(node.log, "host's history lost, read anew"),
@@ -199,7 +198,7 @@
             slog::error!(node.log, "configuration not understood"; fields::ERROR => %err);
         }
         HostError::Unavailable(_) => {
-            if node.fleet.reaches_control_plane.replace(Some(false)) != Some(false) {
+            if node.fleet.reaches_store.replace(Some(false)) != Some(false) {
                 slog::warn!(node.log, "host lost"; fields::ERROR => %err);
             }
         }
--- a/crates/mesh/src/fleet/confirmation.rs
+++ b/crates/mesh/src/fleet/confirmation.rs
@@ -1,7 +1,7 @@
 //! Tracks whether the configuration is recent enough to accept keys by it.
 //!
-//! Daemons that follow the control plane know that from its answers; the others ask them at
-//! intervals. [`Confirmation`] and `docs/design/demands.md` describe the bound.
+//! Daemons that follow the store know that from its answers; the others ask them at intervals.
+//! [`Confirmation`] and `docs/design/demands.md` describe the bound.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -39,34 +39,34 @@
 /// Peers asked one after another in one round.
 const PEERS_PER_ROUND: usize = 3;
 
-/// Time after the control plane was restored from an older copy in which its answers confirm
-/// nothing. The newest configuration may be among the writes that it lost, and the operator has to
-/// write it again.
+/// Time after the store was restored from an older copy in which its answers confirm nothing. The
+/// newest configuration may be among the writes that it lost, and the operator has to write it
+/// again.
 const SETTLE_TIME_AFTER_RESTORE: Duration = Duration::from_secs(2);
 
 /// Age of the configuration in force, as far as it is known.
 #[derive(Debug, Default)]
 pub(super) struct ConfirmationState {
     confirmation: Confirmation,
-    control_plane_clock: HostClock,
-    /// Newest version known to be held by the control plane.
+    store_clock: HostClock,
+    /// Newest version known to be held by the store.
     newest: Option<Version>,
-    /// Answers that the control plane gave before this time confirm nothing.
+    /// Answers that the store gave before this time confirm nothing.
     valid_from: Time,
     /// Result of the last check, so that only changes are logged.
     was_recent: bool,
 }
 
 impl ConfirmationState {
-    pub(super) fn control_plane_restored(&mut self, now: Time) {
-        self.control_plane_clock.reset();
+    pub(super) fn store_restored(&mut self, now: Time) {
+        self.store_clock.reset();
         self.valid_from = now + SETTLE_TIME_AFTER_RESTORE;
     }
 }
 
-/// Records an answer of the control plane. `read` is the version that it contained, if one was
-/// written since the previous answer.
-pub(super) fn control_plane_answered(
+/// Records an answer of the store. `read` is the version that it contained, if one was written
+/// since the previous answer.
+pub(super) fn store_answered(
     node: &Node,
     asked_at: Time,
     host_time: Option<Duration>,
@@ -75,7 +75,7 @@
     let held = node.fleet.in_force().map(|it| it.version());
     let mut state = node.fleet.confirmation_state.borrow_mut();
     let given_at = state
-        .control_plane_clock
+        .store_clock
         .given_at(asked_at, node.clock.now(), host_time);
     state.newest = read.or(state.newest);
     if state.newest == held && held.is_some() && given_at >= state.valid_from {
@@ -152,7 +152,7 @@
     own.is_none_or(|own| own > age)
 }
 
-/// The other daemons that follow the control plane, those of the own zone first.
+/// The other daemons that follow the store, those of the own zone first.
 fn followers(node: &Node) -> Vec<Addressed> {
     let me = node.fleet.membership.borrow().me();
     let all = contact::followers(node).chain(gossip::followers_elsewhere(node));
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -1,11 +1,10 @@
-//! Checks that the daemons which follow the control plane for this zone are there to announce new
-//! versions.
+//! Checks that the daemons which follow the store for this zone are there to announce new versions.
 //!
 //! Versions are announced unasked, so a daemon that receives nothing cannot tell whether there is
 //! nothing to announce. It therefore asks the followers at intervals shorter than the time within
-//! which a version has to be in force, and [polls the control plane itself](super::configuration)
-//! as soon as none of them answers. A follower that has lost the control plane tells all daemons at
-//! once: others of its zone take its place, and the other followers ask the control plane again.
+//! which a version has to be in force, and [polls the store itself](super::configuration) as soon
+//! as none of them answers. A follower that has lost the store notifies all daemons at once: others
+//! of its zone take its place, and the other followers ask the store again.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,8 +19,8 @@
 use crate::wire::{Ask, Following, Reply};
 
 /// Time between two checks, and the timeout of one, as fractions of the time within which a version
-/// has to be in force. After the longest pause, two timeouts and a request to the control plane fit
-/// into that time.
+/// has to be in force. After the longest delay, two timeouts and a request to the store fit into
+/// that time.
 const CHECK_INTERVAL: f64 = 0.3;
 const ANSWER_TIMEOUT: f64 = 0.15;
 
@@ -29,19 +28,19 @@
 /// may be unreachable.
 const MAX_TIMEOUTS: u32 = 2;
 
-/// Time until a daemon of a zone that starts as a whole has begun to follow the control plane, in
-/// addition to the time in which it meets its zone. In a first start there are no callers yet, and
-/// the last daemons may start seconds after the first ones.
+/// Time until a daemon of a zone that starts as a whole has begun to follow the store, in addition
+/// to the time in which it meets its zone. In a first start there are no callers yet, and the last
+/// daemons may start seconds after the first ones.
 const FOLLOW_DELAY: Duration = Duration::from_secs(1);
 const FIRST_START_FOLLOW_DELAY: Duration = Duration::from_secs(3);
 
-/// Waits until the next check is due, or until a member reports that it has lost the control plane.
+/// Waits until the next check is due, or until a member reports that it has lost the store.
 pub(super) async fn pause(node: &Node) {
     let share = rand::rng().random_range(0.75..1.25);
     let pause = node.cfg.apply_within.mul_f64(CHECK_INTERVAL * share);
     tokio::select! {
         () = tokio::time::sleep(pause) => {}
-        () = node.fleet.control_plane_doubted.notified() => {}
+        () = node.fleet.store_doubted.notified() => {}
     }
 }
 
@@ -53,11 +52,11 @@
 }
 
 /// Whether this daemon may leave polling to others, because a follower of its zone answers. While
-/// the zone starts, nobody follows the control plane yet, and the daemon assumes that someone will.
+/// the zone starts, nobody follows the store yet, and the daemon assumes that someone will.
 ///
-/// A follower that has lost the control plane is skipped, and its replacement is asked. If all that
-/// answer have lost it, the control plane is unreachable from the zone, and another daemon would
-/// not reach it either.
+/// A follower that has lost the store is skipped, and its replacement is asked. If all that answer
+/// have lost it, the store is unreachable from the zone, and another daemon would not reach it
+/// either.
 pub(super) async fn can_rely_on_followers(node: &Rc<Node>) -> bool {
     let follow_delay = if node.cfg.is_first_start {
         FIRST_START_FOLLOW_DELAY
@@ -69,7 +68,7 @@
     }
     let mut asked = Vec::new();
     let mut timeouts = 0;
-    let mut all_lost_control_plane = true;
+    let mut all_lost_store = true;
     while timeouts < MAX_TIMEOUTS
         && let Some((key, addr)) = next_follower(node, &asked)
     {
@@ -77,14 +76,14 @@
         match ask(node, key, addr).await {
             Some(Following::Follows) => return true,
             Some(Following::LostHost) => {}
-            Some(Following::No) => all_lost_control_plane = false,
+            Some(Following::No) => all_lost_store = false,
             None => {
                 timeouts += 1;
-                all_lost_control_plane = false;
+                all_lost_store = false;
             }
         }
     }
-    all_lost_control_plane && !asked.is_empty()
+    all_lost_store && !asked.is_empty()
 }
 
 /// The followers of the own zone, as far as this daemon knows.
@@ -126,7 +125,7 @@
 /// Answers [`Ask::Following`] of another daemon in the zone.
 pub(crate) fn answer(node: &Node) -> Reply {
     let mark = node.fleet.membership.borrow().mark();
-    let following = if node.fleet.reaches_control_plane.get() == Some(false) {
+    let following = if node.fleet.reaches_store.get() == Some(false) {
         Following::LostHost
     } else if role::polls_for_zone(node) {
         Following::Follows
@@ -136,15 +135,15 @@
     Reply::Following(following, mark)
 }
 
-/// Records that the control plane answers this daemon.
-pub(super) fn control_plane_answered(node: &Node) {
+/// Records that the store answers this daemon.
+pub(super) fn store_answered(node: &Node) {
     let me = node.fleet.membership.borrow().me();
     node.fleet.contact.borrow_mut().regained(me);
 }
 
-/// Records that the control plane does not answer this daemon. The daemons that rely on it are told
-/// at once, since their time is shorter than the interval of their checks.
-pub(super) fn lost_control_plane(node: &Rc<Node>) {
+/// Records that the store does not answer this daemon. The daemons that rely on it are notified at
+/// once, since their time is shorter than the interval of their checks.
+pub(super) fn lost_store(node: &Rc<Node>) {
     let me = node.fleet.membership.borrow().me();
     let now = node.clock.now();
     let mut contact = node.fleet.contact.borrow_mut();
@@ -156,12 +155,12 @@
     }
 }
 
-/// Records that the control plane does not answer a member. It may not answer this daemon either,
-/// which would notice only at the end of its wait.
+/// Records that the store does not answer a member. It may not answer this daemon either, which
+/// would notice only at the end of its wait.
 pub(crate) fn peer_lost_host(node: &Node, peer: MemberKey) {
     if node.fleet.is_in_own_zone(peer) {
         let now = node.clock.now();
         node.fleet.contact.borrow_mut().lost_platform(peer, now);
     }
-    node.fleet.control_plane_doubted.notify_waiters();
+    node.fleet.store_doubted.notify_waiters();
 }
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -67,8 +67,8 @@
     zone.map(|(key, it)| (key, it.member.peer)).collect()
 }
 
-/// Announces the held configuration to the followers in other zones. The control plane may reject
-/// all followers of a zone; callers there would then be served by an old version until regular
+/// Announces the held configuration to the followers in other zones. The store may reject all
+/// followers of a zone; callers there would then be served by an old version until regular
 /// exchanges bring the new one, which is too late. Announcing it to every daemon there would cost a
 /// message to each daemon of the fleet for every version.
 pub(crate) fn tell_other_zones(node: &Rc<Node>) {
@@ -87,7 +87,7 @@
     zones.into_values().flat_map(followers_of).collect()
 }
 
-/// The members of one zone that follow the control plane for it.
+/// The members of one zone that follow the store for it.
 pub(crate) fn followers_of(zone: Vec<Addressed>) -> impl Iterator<Item = Addressed> {
     let keys: Vec<_> = zone.iter().map(|(key, _)| *key).collect();
     let follows = move |(key, _): &Addressed| PollRole::polls(*key, &keys);
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -31,7 +31,7 @@
 use crate::in_force::InForce;
 use crate::node::Node;
 use crate::quota;
-use crate::rollout::{self, Newcomers};
+use crate::rollout::{self, NewVersions};
 use compression::CompressedUpdate;
 use confirmation::ConfirmationState;
 
@@ -58,29 +58,28 @@
     /// When the candidates were last rebuilt.
     refreshed_at: Cell<Option<Time>>,
     /// Software versions of the targets, with the time when each first appeared.
-    newcomers: RefCell<Newcomers>,
+    new_versions: RefCell<NewVersions>,
     /// Whether another rebuild is scheduled for targets that are held back for now.
     is_hold_expiry_scheduled: Cell<bool>,
     /// Whether a pull of the configuration from a peer is in progress.
     is_pulling: Cell<bool>,
-    /// Whether the last request to the control plane was answered; `None` before the first one.
-    reaches_control_plane: Cell<Option<bool>>,
+    /// Whether the last request to the store was answered; `None` before the first one.
+    reaches_store: Cell<Option<bool>>,
     /// How this daemon learns of new versions; `None` before it has first decided.
     role: Cell<Option<PollRole>>,
     /// Members of the own zone that currently cannot announce new versions.
     contact: RefCell<Contact>,
-    /// Era of the control plane's last answer.
+    /// Era of the store's last answer.
     era: Cell<Option<Era>>,
     confirmation_state: RefCell<ConfirmationState>,
-    /// The control plane was restored from an older copy, so rows that this daemon wrote may be
-    /// lost.
+    /// The store was restored from an older copy, so rows that this daemon wrote may be lost.
     was_restored: Cell<bool>,
-    /// Notified when the instance resumes from a suspension: pending requests to the control plane
-    /// are to be sent again.
+    /// Notified when the instance resumes from a suspension: pending requests to the store are to
+    /// be sent again.
     resumed: Notify,
-    /// Notified when a member has lost the control plane. This daemon may have lost it too, or the
-    /// member that announces versions to it.
-    control_plane_doubted: Notify,
+    /// Notified when a member has lost the store. This daemon may have lost it too, or the member
+    /// that announces versions to it.
+    store_doubted: Notify,
     /// When the roster was last read.
     roster_read_at: Cell<Option<Time>>,
     /// Whether this instance is on the roster.
@@ -101,17 +100,17 @@
             places: RefCell::default(),
             is_refresh_scheduled: Cell::new(false),
             refreshed_at: Cell::new(None),
-            newcomers: RefCell::default(),
+            new_versions: RefCell::default(),
             is_hold_expiry_scheduled: Cell::new(false),
             is_pulling: Cell::new(false),
-            reaches_control_plane: Cell::new(None),
+            reaches_store: Cell::new(None),
             role: Cell::new(None),
             contact: RefCell::default(),
             era: Cell::new(None),
             confirmation_state: RefCell::default(),
             was_restored: Cell::new(false),
             resumed: Notify::new(),
-            control_plane_doubted: Notify::new(),
+            store_doubted: Notify::new(),
             roster_read_at: Cell::new(None),
             is_on_roster: Cell::new(false),
             removed_members: RefCell::default(),
@@ -150,14 +149,12 @@
         }
     }
 
-    /// Records the era of an answer of the control plane.
+    /// Records the era of an answer of the store.
     fn record_era(&self, era: Era, now: Time) {
         let before = self.era.replace(Some(era));
         if before.is_some_and(|it| it < era) {
             self.was_restored.set(true);
-            self.confirmation_state
-                .borrow_mut()
-                .control_plane_restored(now);
+            self.confirmation_state.borrow_mut().store_restored(now);
         }
     }
 
@@ -183,9 +180,8 @@
     node.journal.gauge("target.takes_calls", takes_calls.into());
     let follows_host = role::follows_host(node);
     node.journal.gauge("host.followed", follows_host.into());
-    let reaches_control_plane = node.fleet.reaches_control_plane.get() == Some(true);
-    node.journal
-        .gauge("host.reached", reaches_control_plane.into());
+    let reaches_store = node.fleet.reaches_store.get() == Some(true);
+    node.journal.gauge("host.reached", reaches_store.into());
 }
 
 fn own_member(cfg: &MeshConfig) -> Member {
@@ -240,7 +236,7 @@
     node.journal.count("candidates.rebuilt");
     let now = node.clock.now();
     let membership = node.fleet.membership.borrow();
-    let mut newcomers = node.fleet.newcomers.borrow_mut();
+    let mut new_versions = node.fleet.new_versions.borrow_mut();
     let mut is_holding = false;
     let mut services: HashMap<ServiceName, Vec<Candidate>> = HashMap::new();
     let mut places = HashMap::new();
@@ -255,7 +251,8 @@
         };
         places.insert(announced.upstream.clone(), place);
         let (service, software) = (&announced.service, &announced.software);
-        let is_held = newcomers.hold(service, software, now) && !node.rollouts.is_ordered(service);
+        let is_held =
+            new_versions.should_hold(service, software, now) && !node.rollouts.is_ordered(service);
         is_holding |= is_held;
         let candidates = services.entry(service.clone()).or_default();
         candidates.push(Candidate {
@@ -270,11 +267,11 @@
             software: announced.software.clone(),
         });
     }
-    newcomers.retain(|service, software| {
+    new_versions.retain(|service, software| {
         let known = services.get(service).into_iter().flatten();
         known.into_iter().any(|it| it.software == *software)
     });
-    drop((membership, newcomers));
+    drop((membership, new_versions));
     rollout::rebuild(node);
     quota::members_changed(node);
     *node.fleet.places.borrow_mut() = places;
@@ -291,7 +288,7 @@
     }
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
-        tokio::time::sleep(Newcomers::HOLD).await;
+        tokio::time::sleep(NewVersions::HOLD_TIME).await;
         node.fleet.is_hold_expiry_scheduled.set(false);
         schedule_refresh(&node);
     });
--- a/crates/mesh/src/fleet/role.rs
+++ b/crates/mesh/src/fleet/role.rs
@@ -1,5 +1,5 @@
-//! Role of a daemon in learning of new versions: it follows the control plane for its zone, is
-//! notified by the daemons that do, or polls on its own behalf.
+//! Role of a daemon in learning of new versions. It follows the store for its zone, that is, polls
+//! it and notifies the others; or it is notified by the followers; or it polls on its own behalf.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::node::Node;
 
 /// Age of the last confirmed newest version from which a daemon polls on its own behalf. It covers
-/// two failed waits of the zone's followers, and some exchanges until word of them has spread.
+/// two failed waits of the zone's followers, and some exchanges until all daemons know of them.
 const MAX_HEAD_AGE: Duration = Duration::from_secs(8);
 
 /// Age of the process from which it waits for changes on behalf of its zone even if it may not have
@@ -21,8 +21,8 @@
 /// meanwhile are not missed, since the wait continues from the first read.
 const ZONE_DISCOVERY: Duration = Duration::from_secs(2);
 
-/// Value of `ZONE_DISCOVERY` for a first start, in which daemons meet only after they have read
-/// the roster.
+/// Value of `ZONE_DISCOVERY` for a first start, in which daemons meet only after they have read the
+/// roster.
 const FIRST_START_ZONE_DISCOVERY: Duration = Duration::from_secs(4);
 
 /// Records the role, and logs it if it has changed.
@@ -55,22 +55,22 @@
     may_miss_members && node.clock.now() < zone_discovery_end(node)
 }
 
-/// Whether this daemon waits for changes of the control plane on behalf of its zone; false for one
-/// that has just started.
+/// Whether this daemon waits for changes of the store on behalf of its zone; false for one that has
+/// just started.
 pub(super) fn polls_for_zone(node: &Node) -> bool {
     node.fleet.role.get() == Some(PollRole::Poller) && !is_meeting_zone(node)
 }
 
-/// Whether this daemon is chosen to follow the control plane for its zone.
+/// Whether this daemon is chosen to follow the store for its zone.
 pub(crate) fn follows_host(node: &Node) -> bool {
     assigned(node) == PollRole::Poller
 }
 
-/// Whether this daemon has to read from the control plane what daemons out of its reach found. That
-/// is so for a follower of a zone that is partitioned from another one, for one that replaces a
-/// silent follower, and for a daemon that is alone.
-pub(super) fn reads_findings_from_control_plane(node: &Node) -> bool {
-    if node.fleet.reaches_control_plane.get() != Some(true) {
+/// Whether this daemon has to read from the store what daemons out of its reach found. That is so
+/// for a follower of a zone that is partitioned from another one, for one that replaces a silent
+/// follower, and for a daemon that is alone.
+pub(super) fn reads_findings_from_store(node: &Node) -> bool {
+    if node.fleet.reaches_store.get() != Some(true) {
         return false;
     }
     match node.fleet.role.get() {
@@ -88,7 +88,7 @@
     let membership = node.fleet.membership.borrow();
     let head_age = membership.head_age(node.clock.now());
     let role = PollRole::of(membership.me(), &zone, head_age, MAX_HEAD_AGE);
-    // It has lost the control plane, and other daemons of the zone have not.
+    // It has lost the store, and other daemons of the zone have not.
     let is_replaced = !zone.contains(&membership.me());
     match role {
         PollRole::Poller if is_replaced => PollRole::Idle,
@@ -97,7 +97,7 @@
 }
 
 /// Whether other daemons send this one the messages for its zone: it is among the zone's followers,
-/// even if the control plane does not answer it.
+/// even if the store does not answer it.
 pub(crate) fn hears_for_zone(node: &Node) -> bool {
     let zone = gossip::own_zone(node).into_iter();
     let zone: Vec<_> = zone.map(|(key, _)| key).collect();
--- a/crates/mesh/src/fleet/roster.rs
+++ b/crates/mesh/src/fleet/roster.rs
@@ -1,4 +1,4 @@
-//! The roster, the control plane's list of instances, in which daemons find their first peers.
+//! The roster, the store's list of instances, in which daemons find their first peers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,33 +14,33 @@
 use crate::node::Node;
 use crate::quarantine::{self, Way};
 
-/// Timeout of a request to the control plane.
+/// Timeout of a request to the store.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Interval of the checks for due work.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause before a retry after a request that failed.
+/// Delay before a retry after a request that failed.
 const RETRY_DELAY: Duration = Duration::from_millis(750);
 
-/// Pause before the second read of a daemon that met nobody after the first one.
+/// Delay before the second read of a daemon that met nobody after the first one.
 const SECOND_READ_DELAY: Duration = Duration::from_millis(1500);
 
-/// Longest pause between two reads of a daemon that knows no peer.
-const MAX_READ_PAUSE: Duration = Duration::from_secs(30);
+/// Longest delay between two reads of a daemon that knows no peer.
+const MAX_READ_DELAY: Duration = Duration::from_secs(30);
 
 /// How often a daemon that is not on the roster checks whether it has to be.
 const ANNOUNCE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Limit on the doublings of the pause, which by then has reached `MAX_READ_PAUSE`.
+/// Limit on the doublings of the delay, which by then has reached `MAX_READ_DELAY`.
 const MAX_DOUBLINGS: u32 = 8;
 
 /// How often the roster is read while other daemons are out of reach.
 const CATCH_UP_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// Rows per zone that suffice for a starting daemon to meet its zone, even if some of those
-/// instances die at once. All others stay off the roster, so that a start of the whole fleet
-/// writes as little for a large fleet as for a small one.
+/// instances die at once. All others stay off the roster, so that a start of the whole fleet writes
+/// as little for a large fleet as for a small one.
 const ROWS_PER_ZONE: usize = 3;
 
 /// Time over which the first reads are spread in the first start of a fleet. There are no callers
@@ -105,15 +105,15 @@
 
 impl<H: Host> RosterTask<H> {
     /// Schedules this daemon's own row and the quarantined requests to be written again, after the
-    /// control plane was restored from an older copy. Followers notice that, and they are the
-    /// daemons that have to be on the roster.
+    /// store was restored from an older copy. Followers notice that, and they are the daemons that
+    /// have to be on the roster.
     fn rewrite_rows(&mut self) {
         self.is_announced = false;
         self.due = self.node.clock.now();
         self.node.requests.keep_all(self.due);
     }
 
-    /// Does what is due and returns the pause until the next step.
+    /// Does what is due and returns the delay until the next step.
     async fn step(&mut self) -> Duration {
         let is_alone = self.node.fleet.size() == 1;
         if is_alone || self.reads == 0 {
@@ -124,7 +124,7 @@
                 return RETRY_DELAY;
             }
             let doublings = self.reads.min(MAX_DOUBLINGS) - 1;
-            return (SECOND_READ_DELAY * (1 << doublings)).min(MAX_READ_PAUSE);
+            return (SECOND_READ_DELAY * (1 << doublings)).min(MAX_READ_DELAY);
         }
         // A zone has followers for as long as it has members, and they change only with its
         // members.
@@ -146,8 +146,8 @@
     ///
     /// A row that an earlier process of this instance left has the same address as a new one would,
     /// so it is kept: when 295 instances lose power at once, that saves a write for each. Two
-    /// daemons that both read before either is on the roster miss each other, but are then alone and
-    /// read again.
+    /// daemons that both read before either is on the roster miss each other, but are then alone
+    /// and read again.
     async fn read_members(&mut self) -> Option<usize> {
         let listed = self.read(Way::Exchange).await?;
         let rows: Vec<_> = listed.members.into_iter().map(|it| it.row).collect();
@@ -165,12 +165,12 @@
     }
 
     /// Reads the stored requests while other daemons are out of reach. Findings of those are sent
-    /// only to the daemons that they can reach, so the control plane is the only way for them to
-    /// arrive here.
+    /// only to the daemons that they can reach, so the store is the only way for them to arrive
+    /// here.
     async fn catch_up(&mut self) {
         let now = self.node.clock.now();
         let is_due = now >= self.caught_up_at + CATCH_UP_INTERVAL;
-        if !is_due || !role::reads_findings_from_control_plane(&self.node) {
+        if !is_due || !role::reads_findings_from_store(&self.node) {
             return;
         }
         self.caught_up_at = now;
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -19,8 +19,8 @@
 use crate::node::Node;
 use crate::wire::{Ask, Newer, Reply};
 
-/// Delay before a pull from a peer in another zone, which lets the control plane's answer or a peer
-/// of the own zone come first: traffic between zones is expensive.
+/// Delay before a pull from a peer in another zone, which lets the store's answer or a peer of the
+/// own zone come first: traffic between zones is expensive.
 const REMOTE_PULL_DELAY: Duration = Duration::from_millis(800);
 
 /// Earlier configurations kept for peers that are slightly behind. It exceeds the number of
@@ -61,7 +61,7 @@
 }
 
 /// Announces a new version. A follower also announces one that it received from a peer, since the
-/// control plane may have rejected the follower itself.
+/// store may have rejected the follower itself.
 fn announce(node: &Rc<Node>, source: Source) {
     match source {
         Source::Host => {
@@ -168,8 +168,8 @@
         }
     };
     gossip::hear_rollouts(node, rollouts);
-    // The control plane or another peer was faster. A difference from the earlier state no longer
-    // applies, and the next exchange tells whether the peer has a still newer one.
+    // The store or another peer was faster. A difference from the earlier state no longer applies,
+    // and the next exchange tells whether the peer has a still newer one.
     if held(node) != asked_with {
         return;
     }
--- a/crates/mesh/src/host.rs
+++ b/crates/mesh/src/host.rs
@@ -1,4 +1,4 @@
-//! Interface to the control plane, the service that runs the fleet.
+//! Interface to the store in which the platform keeps the state of the fleet.
 
 use std::fmt;
 use std::future::Future;
@@ -10,12 +10,12 @@
 use stoatstep_resource::{InstanceId, ServiceName, State};
 use stoatstep_rollout::{Order, OrderId, Software, Step, UnixTime};
 
-/// Counts how often the control plane was restored from an older copy of its data. After a restore
-/// it has lost its newest writes, and assigns their versions again to other writes.
+/// Counts how often the store was restored from an older copy of its data. After a restore it has
+/// lost its newest writes, and assigns their versions again to other writes.
 pub type Era = u64;
 
-/// Position in the control plane's history of changes. Versions of two eras are not comparable: a
-/// higher one may be older, and an equal one may be another write.
+/// Position in the store's history of changes. Versions of two eras are not comparable: a higher
+/// one may be older, and an equal one may be another write.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Cursor {
     /// Era in which the version was assigned.
@@ -29,7 +29,7 @@
 pub struct Update {
     /// Position from which to wait for the next change.
     pub cursor: Cursor,
-    /// Reading of the control plane's monotonic clock when it answered, if it reports one.
+    /// Reading of the store's monotonic clock when it answered, if it reports one.
     pub host_time: Option<Duration>,
     /// The newest configuration, if one was written since the last answer.
     pub state: Option<State>,
@@ -52,7 +52,7 @@
     Withdrawn(ServiceName),
 }
 
-/// Status of a roll-out, as the control plane stores it.
+/// Status of a roll-out, as the store keeps it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutStatus {
     /// The order that it belongs to.
@@ -85,8 +85,8 @@
 }
 
 impl From<RolloutState> for Step {
-    /// The control plane does not store the individual steps of an active roll-out. A daemon that
-    /// resumes one starts with the first step.
+    /// The store does not keep the individual steps of an active roll-out. A daemon that resumes
+    /// one starts with the first step.
     fn from(state: RolloutState) -> Self {
         match state {
             RolloutState::Active => Self::Trial,
@@ -96,8 +96,8 @@
     }
 }
 
-/// Contents of the roster. Both parts are in one list, so that a starting daemon needs one
-/// request only.
+/// Contents of the roster. Both parts are in one list, so that a starting daemon needs one request
+/// only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listed {
     /// Instances that have announced themselves.
@@ -106,7 +106,7 @@
     pub requests: Vec<KeptRequest>,
 }
 
-/// Version of a row at the control plane; 0 if there is no row.
+/// Version of a row at the store; 0 if there is no row.
 pub type RowVersion = u64;
 
 /// Stored status of a service's last roll-out.
@@ -118,7 +118,7 @@
     pub version: RowVersion,
 }
 
-/// Reasons why the control plane gave no usable answer.
+/// Reasons why the store gave no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum HostError {
     /// It did not answer, or asked to retry later. A write may have been carried out.
@@ -145,8 +145,8 @@
 
 impl std::error::Error for HostError {}
 
-/// Requests of the daemon to the control plane. The daemon decides when to send them, and what to
-/// do without an answer.
+/// Requests of the daemon to the store. The daemon decides when to send them, and what to do
+/// without an answer.
 pub trait Host: 'static {
     /// Reads the newest configuration.
     fn configuration(&self) -> impl Future<Output = Result<Update, HostError>>;
--- a/crates/mesh/src/journal.rs
+++ b/crates/mesh/src/journal.rs
@@ -16,11 +16,11 @@
 
 /// Lines per second about successful calls. Enough for every call of an ordinary day; under heavy
 /// load the rest is only counted.
-const ORDINARY: u32 = 200;
+const SUCCESS_LINES: u32 = 200;
 
 /// Lines per second for each kind of refusal, unknown outcome or late answer. A later diagnosis
 /// needs these lines most, so they have a limit of their own.
-const EXCEPTIONAL: u32 = 200;
+const FAILURE_LINES: u32 = 200;
 
 /// Window in which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
@@ -89,7 +89,7 @@
     pub(crate) fn new(log: Logger) -> Self {
         Self {
             log,
-            lines: RefCell::new(RateLimit::new(ORDINARY.max(EXCEPTIONAL), WINDOW)),
+            lines: RefCell::new(RateLimit::new(SUCCESS_LINES.max(FAILURE_LINES), WINDOW)),
             metrics: Metrics::new(),
             histograms: RefCell::new(Histograms::new(MAX_ROUTES)),
         }
@@ -122,7 +122,7 @@
 
     /// Logs the end of a call, whatever its outcome.
     pub(crate) fn call_ended(&self, ended: &CallEnded<'_>, now: Time) {
-        self.measure(ended);
+        self.record_times(ended);
         let is_late = ended.times.total > ended.objective;
         let kind = match ended.end {
             End::Answered(answer) if answer.is_failure() => "failed",
@@ -134,7 +134,7 @@
         let Some(left_out) = self.admits(kind, now) else {
             return;
         };
-        let (outcome, status, reason) = described(ended.end);
+        let (outcome, status, reason) = describe_end(ended.end);
         let bytes = match ended.end {
             End::Answered(answer) => answer.body.len(),
             End::Refused(_) => 0,
@@ -191,7 +191,7 @@
         }
     }
 
-    fn measure(&self, ended: &CallEnded<'_>) {
+    fn record_times(&self, ended: &CallEnded<'_>) {
         let class = if ended.call.idempotent {
             "idempotent"
         } else {
@@ -212,7 +212,7 @@
     }
 }
 
-fn described(end: &End) -> (&'static str, u16, &'static str) {
+fn describe_end(end: &End) -> (&'static str, u16, &'static str) {
     match end {
         End::Answered(answer) => (Outcome::Answered.as_str(), answer.status, ""),
         End::Refused(refusal) => (refusal.outcome().as_str(), 0, refusal.reason.as_str()),
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -1,10 +1,10 @@
-//! The daemon of a fleet whose configuration is kept by a control plane. It takes calls from
-//! callers on its own instance, has them run beside a target, and learns everything else from the
-//! control plane, its target and its peers.
+//! The daemon of a fleet whose configuration is kept in a store of the platform. It takes calls
+//! from callers on its own instance, has them run beside a target, and learns everything else from
+//! the store, its target and its peers.
 //!
-//! * The *control plane* is whatever runs the fleet. It keeps one configuration document and a list
-//!   of instances for the daemons to start from, and is reached through [`Host`]. In log lines and
-//!   metrics it is called `host`.
+//! * The *store* is provided by the platform that runs the fleet. It keeps one configuration
+//!   document and a list of instances for the daemons to start from, and is reached through
+//!   [`Host`]. In log lines and metrics it is called `host`.
 //! * The *target* beside the daemon announces itself in heartbeats, see [`Heartbeat`].
 //! * *Peers* are the other daemons. They exchange membership and configuration, and forward each
 //!   other's calls over links.
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -54,7 +54,7 @@
 }
 
 impl Node {
-    /// Whether this daemon was told to stop.
+    /// Whether this daemon was asked to stop.
     pub(crate) fn is_leaving(&self) -> bool {
         self.departure.get().has_begun()
     }
@@ -126,8 +126,8 @@
         heard
     }
 
-    /// Handles the departure of the target with this id, for the life that began at `born` if it
-    /// reports one. Once this returns, no further call goes to that life.
+    /// Handles the departure of the target with this id, for the generation that started at `born`
+    /// if it reports one. Once this returns, no further call goes to that generation.
     pub fn target_left(&self, id: &str, born: Option<Birth>) {
         executor::target_left(&self.0, id, born);
         gossip::target_changed(&self.0);
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -18,7 +18,7 @@
 use crate::wire::{Ask, CallParts};
 
 /// Time after which a suspected request that is running has probably ended.
-const RUNS_RETRY: Duration = Duration::from_millis(250);
+const RUNNING_RETRY: Duration = Duration::from_millis(250);
 
 /// How a finding of a peer arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -34,9 +34,9 @@
 pub(crate) struct Requests {
     known: RefCell<Quarantine>,
     /// Requests that were running at the local target when it ended.
-    own: RefCell<BTreeSet<Fingerprint>>,
-    /// Requests whose state has to be written to the control plane.
-    to_keep: RefCell<BTreeSet<Fingerprint>>,
+    interrupted: RefCell<BTreeSet<Fingerprint>>,
+    /// Requests whose state has to be written to the store.
+    to_store: RefCell<BTreeSet<Fingerprint>>,
 }
 
 impl Requests {
@@ -45,28 +45,28 @@
         self.known.borrow().news(now)
     }
 
-    /// Schedules the state of a request to be written to the control plane.
+    /// Schedules the state of a request to be written to the store.
     pub(crate) fn keep(&self, request: Fingerprint) {
-        self.to_keep.borrow_mut().insert(request);
+        self.to_store.borrow_mut().insert(request);
     }
 
-    /// Schedules all quarantined requests to be written to the control plane.
+    /// Schedules all quarantined requests to be written to the store.
     pub(crate) fn keep_all(&self, now: Time) {
         let held = self.known.borrow();
-        self.to_keep.borrow_mut().extend(held.held(now));
+        self.to_store.borrow_mut().extend(held.held(now));
     }
 
-    /// Takes the next request whose state has to be written to the control plane.
+    /// Takes the next request whose state has to be written to the store.
     pub(crate) fn next_to_keep(&self) -> Option<Fingerprint> {
-        self.to_keep.borrow_mut().pop_first()
+        self.to_store.borrow_mut().pop_first()
     }
 
     /// Removes expired entries.
     pub(crate) fn tick(&self, now: Time) {
         let mut known = self.known.borrow_mut();
         known.tick(now);
-        let mut own = self.own.borrow_mut();
-        own.retain(|it| known.lives(*it) > 0);
+        let mut interrupted = self.interrupted.borrow_mut();
+        interrupted.retain(|it| known.lives(*it) > 0);
     }
 }
 
@@ -75,37 +75,37 @@
 /// just started has no findings yet, and because a finding may arrive while the call waits in the
 /// queue.
 pub(crate) fn refusal(node: &Node, call: &CallParts) -> Option<Refusal> {
-    let content = watched(node, call)?;
+    let content = tracked_fingerprint(node, call)?;
     let known = node.requests.known.borrow();
     let left = known.holds(content, node.clock.now())?;
     Some(Refusal::retry(Reason::Quarantined, left))
 }
 
 /// The fingerprint of a call, if any suspected request is known.
-fn watched(node: &Node, call: &CallParts) -> Option<Fingerprint> {
-    let is_any_known = !node.requests.known.borrow().is_empty();
-    let is_watched = is_any_known && node.cfg.has(Mechanism::Quarantine);
-    is_watched.then(|| call.fingerprint())
+fn tracked_fingerprint(node: &Node, call: &CallParts) -> Option<Fingerprint> {
+    let is_any_suspected = !node.requests.known.borrow().is_empty();
+    let is_tracked = is_any_suspected && node.cfg.has(Mechanism::Quarantine);
+    is_tracked.then(|| call.fingerprint())
 }
 
 /// The fingerprint of a call, if a target ended while running that request and none has answered it
 /// since. Such a request may run, but only once at a time: if it is the cause, its target ends
 /// together with all its copies.
 pub(crate) fn suspected(node: &Node, call: &CallParts) -> Option<Fingerprint> {
-    let content = watched(node, call)?;
+    let content = tracked_fingerprint(node, call)?;
     let lives = node.requests.known.borrow().lives(content);
     (lives > 0).then_some(content)
 }
 
 /// A refusal for a suspected request that is already running.
 pub(crate) fn refusal_beside_itself() -> Refusal {
-    Refusal::retry(Reason::Quarantined, RUNS_RETRY)
+    Refusal::retry(Reason::Quarantined, RUNNING_RETRY)
 }
 
-/// Records that the life `upstream` of the local target ended while it ran these requests.
+/// Records that the generation `upstream` of the local target ended while it ran these requests.
 ///
-/// All daemons are told at once. Regular exchanges alone take seconds, and in that time a request
-/// that is sent ten times a second ends the remaining targets of its service.
+/// All daemons are notified at once. Regular exchanges alone take seconds, and in that time a
+/// request that is sent ten times a second ends the remaining targets of its service.
 pub(crate) fn target_ended(node: &Rc<Node>, upstream: &str, requests: &[Fingerprint]) {
     let now = node.clock.now();
     let lives = vec![life_mark(upstream)];
@@ -114,10 +114,10 @@
         lives: lives.clone(),
         ago: Duration::ZERO,
     };
-    node.requests.own.borrow_mut().extend(requests);
+    node.requests.interrupted.borrow_mut().extend(requests);
     let news = requests.iter().map(ended);
-    let news: Vec<_> = news.filter(|it| learn(node, it)).collect();
-    // The findings include earlier lives, for daemons that missed the messages about those.
+    let news: Vec<_> = news.filter(|it| apply(node, it)).collect();
+    // The findings include earlier generations, for daemons that missed the messages about those.
     let known = node.requests.known.borrow();
     let findings = news
         .iter()
@@ -129,14 +129,14 @@
     }
 }
 
-/// The row to store for a request at the control plane; `None` if the request is not quarantined.
+/// The row of a request for the store; `None` if the request is not quarantined.
 pub(crate) fn kept(node: &Node, request: Fingerprint) -> Option<KeptRequest> {
     let known = node.requests.known.borrow();
     known.kept(request, node.clock.now(), unix_time())
 }
 
-/// Applies the stored requests of the control plane as if they had come from a peer by `way`, and
-/// schedules expired ones for deletion.
+/// Applies the requests held in the store as if they had come from a peer by `way`, and schedules
+/// expired ones for deletion.
 pub(crate) fn hear_kept(node: &Rc<Node>, requests: &[KeptRequest], way: Way) {
     let now = unix_time();
     let mut findings = Vec::new();
@@ -150,9 +150,9 @@
 }
 
 /// Records that a target answered a call. If the request is quarantined somewhere, or soon might
-/// be, all daemons are told at once. In the first second of a fleet no request has been answered
-/// yet, and a common one may have been running at three targets that ended; with regular exchanges
-/// alone it would be refused for seconds.
+/// be, all daemons are notified at once. In the first second of a fleet no request has been
+/// answered yet, and a common one may have been running at three targets that ended; with regular
+/// exchanges alone it would be refused for seconds.
 pub(crate) fn answered(node: &Rc<Node>, call: &CallParts) {
     let known = node.requests.known.borrow();
     if known.is_empty() {
@@ -168,7 +168,7 @@
     }
     let ago = Duration::ZERO;
     let finding = Finding::Answered { request, ago };
-    learn(node, &finding);
+    apply(node, &finding);
     if is_held {
         node.requests.keep(request);
     }
@@ -179,7 +179,7 @@
 
 /// Applies findings of a peer, and forwards those that are new.
 pub(crate) fn hear(node: &Rc<Node>, findings: &[Finding], way: Way) {
-    let news = findings.iter().filter(|it| learn(node, it));
+    let news = findings.iter().filter(|it| apply(node, it));
     let news: Vec<_> = news.cloned().collect();
     if way == Way::Direct && !news.is_empty() {
         gossip::relay(node, &Ask::Findings(news));
@@ -187,7 +187,7 @@
 }
 
 /// Applies a finding, and returns whether it is new.
-fn learn(node: &Node, finding: &Finding) -> bool {
+fn apply(node: &Node, finding: &Finding) -> bool {
     let now = node.clock.now();
     let mut known = node.requests.known.borrow_mut();
     let learned = known.hear(finding, now);
@@ -199,7 +199,12 @@
         Learned::Held(left) => {
             // Every daemon whose target ended writes the row: any of them may fail at any moment,
             // and the row is the same.
-            if node.requests.own.borrow().contains(&finding.request()) {
+            if node
+                .requests
+                .interrupted
+                .borrow()
+                .contains(&finding.request())
+            {
                 node.requests.keep(finding.request());
             }
             node.journal.count("requests.quarantined");
--- a/crates/mesh/src/quota/home.rs
+++ b/crates/mesh/src/quota/home.rs
@@ -16,24 +16,24 @@
 use stoatstep_resource::{CustomerName, Quota, ZoneName};
 use stoatstep_telemetry::fields;
 
-use super::{ask, count};
+use super::{ask, to_f64};
 use crate::fleet::role;
 use crate::node::Node;
 use crate::wire::Ask;
 
 /// Time for which dead members still count when the share of the remaining ones is computed: they
 /// may be on the other side of a network partition and use their part.
-const DEAD_COUNT_FOR: Duration = Duration::from_secs(30);
+const DEAD_MEMBER_WINDOW: Duration = Duration::from_secs(30);
 
 /// Time between two attempts to borrow for one customer.
-const BORROW_PAUSE: Duration = Duration::from_millis(250);
+const BORROW_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Period for which a home borrows in advance.
-const BORROW_AHEAD: Duration = Duration::from_millis(500);
+const BORROW_PERIOD: Duration = Duration::from_millis(500);
 
 /// Location of a customer's home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Place {
+pub(super) enum Location {
     /// This daemon.
     Here,
     /// The daemon at this address.
@@ -43,29 +43,29 @@
 /// State of this daemon as a home.
 #[derive(Default)]
 pub(super) struct Homes {
-    held: RefCell<HashMap<CustomerName, Held>>,
+    buckets: RefCell<HashMap<CustomerName, CustomerBucket>>,
     /// Members of the own zone that can be homes, by key.
-    ring: RefCell<Vec<MemberKey>>,
+    candidates: RefCell<Vec<MemberKey>>,
     /// When the members last changed.
-    since: Cell<Time>,
+    changed_at: Cell<Time>,
 }
 
 /// Quota state of one customer.
-struct Held {
+struct CustomerBucket {
     bucket: Bucket,
     /// Earliest time of the next request to the other zones.
-    borrows_from: Time,
+    next_borrow: Time,
 }
 
 impl Homes {
     /// Number of members of the own zone that can be homes.
     pub(super) fn members(&self) -> usize {
-        self.ring.borrow().len()
+        self.candidates.borrow().len()
     }
 
     fn home_of(&self, customer: &str) -> Option<MemberKey> {
-        let ring = self.ring.borrow();
-        first_of(seed_of(customer), ring.iter().copied())
+        let candidates = self.candidates.borrow();
+        first_of(seed_of(customer), candidates.iter().copied())
     }
 }
 
@@ -81,28 +81,28 @@
     let me = membership.me();
     let zone = membership.table().in_zone(&node.cfg.zone);
     let zone = zone.filter(|(_, it)| can_be_home(&it.member));
-    let ring: Vec<_> = zone.map(|(key, _)| key).collect();
-    if *homes.ring.borrow() == ring {
+    let candidates: Vec<_> = zone.map(|(key, _)| key).collect();
+    if *homes.candidates.borrow() == candidates {
         return;
     }
-    homes.ring.replace(ring);
-    homes.since.set(node.clock.now());
-    let mut held = homes.held.borrow_mut();
-    held.retain(|customer, _| homes.home_of(customer) == Some(me));
+    homes.candidates.replace(candidates);
+    homes.changed_at.set(node.clock.now());
+    let mut buckets = homes.buckets.borrow_mut();
+    buckets.retain(|customer, _| homes.home_of(customer) == Some(me));
 }
 
 /// Location of the customer's home; `None` until this daemon has met its zone.
-pub(super) fn place_of(node: &Node, customer: &str) -> Option<Place> {
+pub(super) fn location_of(node: &Node, customer: &str) -> Option<Location> {
     if role::is_meeting_zone(node) {
         return None;
     }
     let home = node.quotas.homes.home_of(customer)?;
     let membership = node.fleet.membership();
     if home == membership.me() {
-        return Some(Place::Here);
+        return Some(Location::Here);
     }
     let entry = membership.table().get(home)?;
-    Some(Place::At(entry.member.peer))
+    Some(Location::At(entry.member.peer))
 }
 
 /// Grants tokens; `None` if this daemon is not the customer's home.
@@ -116,12 +116,12 @@
         });
     };
     let now = node.clock.now();
-    let (granted, is_low) = with_held(node, customer, |it| {
+    let (granted, is_low) = with_bucket(node, customer, |it| {
         let granted = it.bucket.grant(wanted, share, now);
         (granted, it.bucket.is_low(share))
     });
     if granted.retry_after.is_some() {
-        note_short(node, customer, (wanted, granted), quota);
+        log_shortage(node, customer, (wanted, granted), quota);
     }
     if is_low {
         borrow(node, customer, share);
@@ -134,7 +134,7 @@
     let (share, quota) = own_share(node, customer)?;
     quota?;
     let now = node.clock.now();
-    let tokens = with_held(node, customer, |it| it.bucket.lend(wanted, share, now));
+    let tokens = with_bucket(node, customer, |it| it.bucket.lend(wanted, share, now));
     Some(Grant {
         tokens,
         retry_after: None,
@@ -143,16 +143,16 @@
 
 /// The share that this daemon may grant as the customer's home, and the whole quota.
 fn own_share(node: &Node, customer: &str) -> Option<(Share, Option<Quota>)> {
-    if place_of(node, customer) != Some(Place::Here) {
+    if location_of(node, customer) != Some(Location::Here) {
         return None;
     }
     let in_force = node.fleet.in_force()?;
     let quota = in_force.keys.customer(customer)?.quota;
-    let whole = Quota {
+    let no_quota = Quota {
         per_minute: 0,
         burst: 0,
     };
-    let share = Share::new(quota.unwrap_or(whole), share_of_zone(node));
+    let share = Share::new(quota.unwrap_or(no_quota), share_of_zone(node));
     Some((share, quota))
 }
 
@@ -161,24 +161,30 @@
 pub(super) fn share_of_zone(node: &Node) -> f64 {
     let now = node.clock.now();
     let membership = node.fleet.membership();
-    let since = now.saturating_sub(DEAD_COUNT_FOR);
+    let since = now.saturating_sub(DEAD_MEMBER_WINDOW);
     let dead = membership.table().died_since(&node.cfg.zone, since);
     let alive = node.quotas.homes.members();
-    let seen = count(alive) / count((alive + dead).max(1));
-    seen / count(node.cfg.zones)
+    let visible = to_f64(alive) / to_f64((alive + dead).max(1));
+    visible / to_f64(node.cfg.zones)
 }
 
-fn with_held<T>(node: &Node, customer: &CustomerName, act: impl FnOnce(&mut Held) -> T) -> T {
+fn with_bucket<T>(
+    node: &Node,
+    customer: &CustomerName,
+    act: impl FnOnce(&mut CustomerBucket) -> T,
+) -> T {
     let homes = &node.quotas.homes;
-    let mut held = homes.held.borrow_mut();
-    let held = held.entry(customer.clone()).or_insert_with(|| Held {
-        bucket: Bucket::empty(homes.since.get()),
-        borrows_from: Time::ZERO,
-    });
-    act(held)
+    let mut buckets = homes.buckets.borrow_mut();
+    let bucket = buckets
+        .entry(customer.clone())
+        .or_insert_with(|| CustomerBucket {
+            bucket: Bucket::empty(homes.changed_at.get()),
+            next_borrow: Time::ZERO,
+        });
+    act(bucket)
 }
 
-fn note_short(node: &Node, customer: &str, (wanted, granted): (u32, Grant), quota: Quota) {
+fn log_shortage(node: &Node, customer: &str, (wanted, granted): (u32, Grant), quota: Quota) {
     node.journal.count("quota.short");
     if let Some(left_out) = node.journal.admits("quota", node.clock.now()) {
         slog::info!(node.log, "quota used up"; fields::CUSTOMER => customer,
@@ -190,19 +196,19 @@
 /// Asks the customer's homes in the other zones for unused tokens.
 fn borrow(node: &Rc<Node>, customer: &CustomerName, share: Share) {
     let now = node.clock.now();
-    let is_due = with_held(node, customer, |it| {
-        let is_due = now >= it.borrows_from;
+    let is_due = with_bucket(node, customer, |it| {
+        let is_due = now >= it.next_borrow;
         if is_due {
-            it.borrows_from = now + BORROW_PAUSE;
+            it.next_borrow = now + BORROW_INTERVAL;
         }
         is_due
     });
     if !is_due {
         return;
     }
-    let ahead = share.per_second * BORROW_AHEAD.as_secs_f64();
-    let wanted = Share::whole(ahead).max(1);
-    for addr in homes_elsewhere(node, customer) {
+    let tokens_ahead = share.per_second * BORROW_PERIOD.as_secs_f64();
+    let wanted = Share::whole(tokens_ahead).max(1);
+    for addr in homes_in_other_zones(node, customer) {
         let (node, customer) = (Rc::clone(node), customer.clone());
         ntex::rt::spawn(async move {
             let ask_for = Ask::Borrow(customer.clone(), wanted);
@@ -210,8 +216,8 @@
                 return;
             };
             let now = node.clock.now();
-            let mut held = node.quotas.homes.held.borrow_mut();
-            if let Some(held) = held.get_mut(&customer) {
+            let mut buckets = node.quotas.homes.buckets.borrow_mut();
+            if let Some(held) = buckets.get_mut(&customer) {
                 held.bucket.borrowed(lent.tokens, now);
             }
         });
@@ -219,7 +225,7 @@
 }
 
 /// The customer's homes in the other zones, as far as this daemon knows.
-fn homes_elsewhere(node: &Node, customer: &str) -> Vec<SocketAddr> {
+fn homes_in_other_zones(node: &Node, customer: &str) -> Vec<SocketAddr> {
     let membership = node.fleet.membership();
     let mut zones: BTreeMap<&ZoneName, Vec<MemberKey>> = BTreeMap::new();
     for (key, entry) in membership.table().present() {
--- a/crates/mesh/src/rollout/judge.rs
+++ b/crates/mesh/src/rollout/evaluation.rs
@@ -10,7 +10,7 @@
 use stoatstep_rollout::{Canaries, Plan, Progress, Seen, Step, Verdict, judge};
 use stoatstep_telemetry::fields;
 
-use super::settle::{self, Settling};
+use super::transition::{self, Transition};
 use super::view::{Peer, View};
 use super::{Source, evidence, hear};
 use crate::clock::unix_time;
@@ -18,98 +18,100 @@
 use crate::node::Node;
 
 /// How often due steps are checked.
-const STEP: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Number of daemons that advance a roll-out. The control plane may reject a third of all daemons
-/// for seconds; with five, that hits all of them in one of 200 such periods.
-const DECIDERS: usize = 5;
+/// Number of daemons that advance a roll-out. The store may reject a third of all daemons for
+/// seconds; with five, that hits all of them in one of 200 such periods.
+const MAX_DECIDERS: usize = 5;
 
 /// Delay of each daemon after the one before it for taking up an order, which needs two requests to
-/// the control plane.
-const TAKE_UP_LATER: Duration = Duration::from_millis(750);
+/// the store.
+const TAKE_UP_STAGGER: Duration = Duration::from_millis(750);
 
 /// Delay of each daemon after the one before it for all later steps.
-const STEP_LATER: Duration = Duration::from_millis(100);
+const STEP_STAGGER: Duration = Duration::from_millis(100);
 
 /// Number of daemons of the old side that are asked for evidence. Their counts have to be large
 /// compared with those of the few targets on trial, and each evaluation costs a message of some 100
 /// bytes per daemon.
-const OLD_ASKED: usize = 6;
+const OLD_SAMPLE_SIZE: usize = 6;
 
-/// Shortest time between the last step and the check that the old side is idle. Word of the step
-/// takes some tens of milliseconds, and calls may be on their way.
-const LEAST_LAST: Duration = Duration::from_millis(300);
+/// Shortest time between the last step and the check that the old side is idle. A report of the
+/// step takes some tens of milliseconds, and calls may be on their way.
+const MIN_LAST_STEP: Duration = Duration::from_millis(300);
 
 /// Longest time for which an overdue roll-out waits for the old side.
-const LONGEST_LAST: Duration = Duration::from_secs(2);
+const MAX_OVERDUE_LAST_STEP: Duration = Duration::from_secs(2);
 
 /// Advances the roll-outs of the daemon's own service until the process ends.
 pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
     while !node.is_leaving() {
-        tokio::time::sleep(STEP).await;
-        for turn in turns(&node) {
-            turn.take(&node, &host).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        for evaluation in due_evaluations(&node) {
+            evaluation.run(&node, &host).await;
         }
     }
 }
 
 /// One evaluation of a roll-out by a daemon that advances it.
-struct Turn {
+struct Evaluation {
     progress: Progress,
     /// Time since the order became known, and time since the current step did.
-    heard_for: Duration,
-    at_step_for: Duration,
+    known_for: Duration,
+    step_known_for: Duration,
     rank: u32,
     view: View,
     canaries: Canaries,
 }
 
-fn turns(node: &Node) -> Vec<Turn> {
+fn due_evaluations(node: &Node) -> Vec<Evaluation> {
     let Some(own) = node.executor.upstream() else {
         return Vec::new();
     };
     let book = node.rollouts.book.borrow();
     let open = book.open(node.clock.now());
-    let turns = open.filter_map(|(progress, heard_for, at_step_for)| {
+    let due_evaluations = open.filter_map(|(progress, known_for, step_known_for)| {
         let order = &progress.order;
         let view = View::of(node, &order.service, &order.target);
         let names = view.deciders().iter().map(|it| it.upstream.clone());
         let ranked = Canaries::ranked(order.id, names);
-        let rank = ranked.iter().take(DECIDERS).position(|it| *it == own)?;
+        let rank = ranked.iter().take(MAX_DECIDERS).position(|it| *it == own)?;
         let names = view.new.iter().map(|it| it.upstream.clone());
-        Some(Turn {
+        Some(Evaluation {
             canaries: Canaries::choose(order.id, names, view.old.len()),
             progress: progress.clone(),
-            heard_for,
-            at_step_for,
+            known_for,
+            step_known_for,
             rank: u32::try_from(rank).unwrap_or(u32::MAX),
             view,
         })
     });
-    turns.collect()
+    due_evaluations.collect()
 }
 
-impl Turn {
-    async fn take<H: Host>(&self, node: &Rc<Node>, host: &Rc<H>) {
-        let settle = |settling| settle::begin(node, host, &self.progress, settling);
+impl Evaluation {
+    async fn run<H: Host>(&self, node: &Rc<Node>, host: &Rc<H>) {
+        let begin = |transition| transition::begin(node, host, &self.progress, transition);
         match self.progress.step {
             Step::Ordered => {
                 if self.is_overdue() {
-                    self.halt(node, "nobody took it up in time");
-                } else if !self.view.new.is_empty() && self.heard_for >= self.later(TAKE_UP_LATER) {
-                    settle(Settling::TakeUp);
+                    self.abandon(node, "nobody took it up in time");
+                } else if !self.view.new.is_empty()
+                    && self.known_for >= self.stagger(TAKE_UP_STAGGER)
+                {
+                    begin(Transition::TakeUp);
                 }
             }
             Step::Trial | Step::Load => {
-                let Some(verdict) = self.look(node).await else {
+                let Some(verdict) = self.compare_evidence(node).await else {
                     return;
                 };
                 match (verdict, self.due(node)) {
-                    (Verdict::Bad(seen), _) => self.condemn(node, &seen),
+                    (Verdict::Bad(seen), _) => self.halt_bad_version(node, &seen),
                     (Verdict::Unclear, _) if self.is_overdue() => {
-                        self.halt(node, "too few calls to judge it by");
+                        self.abandon(node, "too few calls to judge it by");
                     }
-                    (Verdict::Good, Step::All) => settle(Settling::GoOn),
+                    (Verdict::Good, Step::All) => begin(Transition::GoOn),
                     (_, Step::Load | Step::All) if self.progress.step == Step::Trial => {
                         hear(node, &self.progress.at(Step::Load), Source::Own);
                     }
@@ -117,23 +119,23 @@
                 }
             }
             Step::All => {
-                let verdict = self.look(node).await;
+                let verdict = self.compare_evidence(node).await;
                 if let Some(Verdict::Bad(seen)) = verdict {
-                    self.condemn(node, &seen);
-                } else if verdict.is_some() && self.is_old_side_done(node).await {
-                    settle(Settling::Complete);
+                    self.halt_bad_version(node, &seen);
+                } else if verdict.is_some() && self.is_old_side_idle(node).await {
+                    begin(Transition::Complete);
                 }
             }
             Step::Halted => {
-                if self.at_step_for >= self.later(STEP_LATER) {
-                    settle(Settling::RollBack);
+                if self.step_known_for >= self.stagger(STEP_STAGGER) {
+                    begin(Transition::RollBack);
                 }
             }
             Step::Completed | Step::RolledBack => {}
         }
     }
 
-    fn later(&self, by: Duration) -> Duration {
+    fn stagger(&self, by: Duration) -> Duration {
         by * self.rank
     }
 
@@ -148,29 +150,29 @@
             node.cfg.exposure,
             self.canaries.load(),
         );
-        let now = unix_time().saturating_sub(self.later(STEP_LATER));
+        let now = unix_time().saturating_sub(self.stagger(STEP_STAGGER));
         plan.due(&self.progress, now)
     }
 
     /// The verdict on the evidence; `None` if the old side is out of reach. The evidence of the new
     /// side alone allows no comparison, and must not end a roll-out.
-    async fn look(&self, node: &Rc<Node>) -> Option<Verdict> {
-        let is_tried = |peer: &&Peer| self.canaries.has(&peer.upstream);
-        let tried: Vec<Peer> = self.view.new.iter().filter(is_tried).cloned().collect();
+    async fn compare_evidence(&self, node: &Rc<Node>) -> Option<Verdict> {
+        let is_on_trial = |peer: &&Peer| self.canaries.has(&peer.upstream);
+        let on_trial: Vec<Peer> = self.view.new.iter().filter(is_on_trial).cloned().collect();
         let order = &self.progress.order;
         let mut old = self.view.old.clone();
         Canaries::rank(order.id, &mut old, |it| it.upstream.as_str());
-        old.truncate(OLD_ASKED);
-        let new = evidence::ask(node, order, &tried).await;
+        old.truncate(OLD_SAMPLE_SIZE);
+        let new = evidence::ask(node, order, &on_trial).await;
         let old = evidence::ask(node, order, &old).await;
         if old.is_empty() && !self.view.old.is_empty() {
             return None;
         }
-        node.rollouts.in_touch.set(Some(node.clock.now()));
+        node.rollouts.last_contact.set(Some(node.clock.now()));
         Some(judge(&new, &old))
     }
 
-    fn condemn(&self, node: &Rc<Node>, seen: &Seen) {
+    fn halt_bad_version(&self, node: &Rc<Node>, seen: &Seen) {
         slog::warn!(node.log, "version found bad"; fields::SERVICE => %self.progress.order.service,
             fields::ORDER => self.progress.order.id, fields::SOFTWARE => %self.progress.order.target,
             fields::STEP => self.progress.step.as_str(), fields::REASON => seen.badness.as_str(),
@@ -180,7 +182,7 @@
         hear(node, &self.progress.at(Step::Halted), Source::Own);
     }
 
-    fn halt(&self, node: &Rc<Node>, why: &'static str) {
+    fn abandon(&self, node: &Rc<Node>, why: &'static str) {
         slog::warn!(node.log, "roll-out given up"; fields::SERVICE => %self.progress.order.service,
             fields::ORDER => self.progress.order.id, fields::STEP => self.progress.step.as_str(),
             fields::REASON => why);
@@ -189,12 +191,12 @@
 
     /// Whether the old side is idle, or cannot be waited for any longer. At completion its targets
     /// end together with the calls that they still run.
-    async fn is_old_side_done(&self, node: &Rc<Node>) -> bool {
-        if self.at_step_for < LEAST_LAST + self.later(STEP_LATER) {
+    async fn is_old_side_idle(&self, node: &Rc<Node>) -> bool {
+        if self.step_known_for < MIN_LAST_STEP + self.stagger(STEP_STAGGER) {
             return false;
         }
         let is_last_call = Plan::is_last_call(&self.progress, unix_time());
-        if is_last_call && (!self.is_overdue() || self.at_step_for > LONGEST_LAST) {
+        if is_last_call && (!self.is_overdue() || self.step_known_for > MAX_OVERDUE_LAST_STEP) {
             return true;
         }
         let order = &self.progress.order;
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -1,10 +1,10 @@
 //! A daemon's part in roll-outs. The decisions are made by `stoatstep-rollout`.
 
+mod evaluation;
 mod evidence;
-mod judge;
-mod newcomers;
-mod settle;
-mod spread;
+mod new_versions;
+mod propagation;
+mod transition;
 mod view;
 
 use std::cell::{Cell, RefCell};
@@ -22,15 +22,15 @@
 use crate::node::Node;
 use crate::wire::CallParts;
 
+pub(crate) use evaluation::run;
 pub(crate) use evidence::of_target as evidence;
-pub(crate) use judge::run;
-pub(crate) use newcomers::Newcomers;
+pub(crate) use new_versions::NewVersions;
 use view::View;
 
 /// Time without contact to other targets after which the daemon beside a target on trial holds it
 /// back. A daemon that is cut off does not learn that the version is bad, and neither do its
 /// entries.
-const LONELY_AFTER: Duration = Duration::from_secs(2);
+const ISOLATED_AFTER: Duration = Duration::from_secs(2);
 
 /// Roll-out state of a daemon, and the resulting division of calls.
 #[derive(Default)]
@@ -40,9 +40,9 @@
     /// Calls by route of the services that have a roll-out on trial.
     mixes: RefCell<HashMap<ServiceName, Mix>>,
     /// When an evaluation last reached other targets of the service.
-    in_touch: Cell<Option<Time>>,
-    /// Whether a status write at the control plane is in progress.
-    is_settling: Cell<bool>,
+    last_contact: Cell<Option<Time>>,
+    /// Whether a status write at the store is in progress.
+    is_writing_status: Cell<bool>,
 }
 
 impl Rollouts {
@@ -80,11 +80,11 @@
             return true;
         };
         let is_on_trial = software == lane.target && matches!(lane.step, Step::Trial | Step::Load);
-        let is_lonely = self
-            .in_touch
+        let is_isolated = self
+            .last_contact
             .get()
-            .is_some_and(|at| now.saturating_sub(at) > LONELY_AFTER);
-        lane.admits(software, upstream) && !(is_on_trial && is_lonely)
+            .is_some_and(|at| now.saturating_sub(at) > ISOLATED_AFTER);
+        lane.admits(software, upstream) && !(is_on_trial && is_isolated)
     }
 
     /// Whether an order for the service is known.
@@ -103,7 +103,7 @@
 /// Where a report of roll-out progress came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The control plane.
+    /// The store.
     Host,
     /// A decision of this daemon.
     Own,
@@ -111,8 +111,8 @@
     Peer,
 }
 
-/// Applies order changes of the control plane. `age` is the longest time for which an order without
-/// a status may have been waiting.
+/// Applies order changes of the store. `age` is the longest time for which an order without a
+/// status may have been waiting.
 pub(crate) fn hear_host(node: &Rc<Node>, news: Vec<RolloutNews>, age: Duration) {
     for news in news {
         match news {
@@ -162,7 +162,7 @@
         .count(&format!("rollouts.{}", progress.step.as_str()));
     node.executor.begin_tally(&order.service, order.id);
     rebuild(node);
-    spread::pass_on(node, progress, source);
+    propagation::propagate(node, progress, source);
 }
 
 /// Recomputes the division of calls from the known orders and the membership.
--- a/crates/mesh/src/rollout/spread.rs
+++ b/crates/mesh/src/rollout/propagation.rs
@@ -13,10 +13,10 @@
 /// Sends progress to the daemons that need it soon. The others receive it in the regular exchanges.
 ///
 /// A step that halts the new side has to reach its daemons within a second, since each one that
-/// does not know of it keeps running at the previous step. The daemon that decided therefore tells
-/// them directly, in addition to the messages through the followers of each zone, any of which may
-/// be gone.
-pub(super) fn pass_on(node: &Rc<Node>, progress: &Progress, source: Source) {
+/// does not know of it keeps running at the previous step. The daemon that decided therefore
+/// notifies them directly, in addition to the messages through the followers of each zone, any of
+/// which may be gone.
+pub(super) fn propagate(node: &Rc<Node>, progress: &Progress, source: Source) {
     let told = Ask::Rollout(progress.clone());
     match source {
         Source::Host | Source::Own => gossip::tell_fleet(node, &told),
--- a/crates/mesh/src/rollout/settle.rs
+++ b/crates/mesh/src/rollout/transition.rs
@@ -1,4 +1,4 @@
-//! Conditional writes of a roll-out's status at the control plane.
+//! Conditional writes of a roll-out's status at the store.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,26 +11,25 @@
 use crate::host::{Host, HostError, RolloutState, RolloutStatus};
 use crate::node::Node;
 
-/// Timeout of a request to the control plane.
+/// Timeout of a request to the store.
 const ANSWER_BOUND: Duration = Duration::from_secs(1);
 
-/// Pause after a failure. Another daemon may succeed meanwhile, and each request to the control
-/// plane has a cost.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Backoff after a failure. Another daemon may succeed meanwhile, and each request to the store has
+/// a cost.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// A status to write, and the step that follows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Settling {
+pub(super) enum Transition {
     /// Takes up the order.
     TakeUp,
-    /// Begins the last step, after confirming that the control plane is reachable and has stored no
-    /// end.
+    /// Begins the last step, after confirming that the store is reachable and holds no end.
     GoOn,
     Complete,
     RollBack,
 }
 
-impl Settling {
+impl Transition {
     fn state(self) -> RolloutState {
         match self {
             Self::TakeUp | Self::GoOn => RolloutState::Active,
@@ -50,48 +49,48 @@
 }
 
 /// Writes the status in the background, unless another write is in progress. The step changes once
-/// the control plane has answered.
+/// the store has answered.
 pub(super) fn begin<H: Host>(
     node: &Rc<Node>,
     host: &Rc<H>,
     progress: &Progress,
-    settling: Settling,
+    transition: Transition,
 ) {
-    if node.rollouts.is_settling.replace(true) {
+    if node.rollouts.is_writing_status.replace(true) {
         return;
     }
     let (node, host, progress) = (Rc::clone(node), Rc::clone(host), progress.clone());
     ntex::rt::spawn(async move {
-        match settle(&*host, &progress, settling).await {
+        match write_status(&*host, &progress, transition).await {
             Ok(progress) => hear(&node, &progress, Source::Own),
             Err(err) => {
                 slog::warn!(node.log, "roll-out not settled"; fields::SERVICE => %progress.order.service,
-                    fields::ORDER => progress.order.id, fields::STEP => settling.step().as_str(),
+                    fields::ORDER => progress.order.id, fields::STEP => transition.step().as_str(),
                     fields::ERROR => %err);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
-        node.rollouts.is_settling.set(false);
+        node.rollouts.is_writing_status.set(false);
     });
 }
 
 /// Returns the resulting progress: that of the written status, or of one that another daemon wrote
 /// before.
-async fn settle<H: Host>(
+async fn write_status<H: Host>(
     host: &H,
     progress: &Progress,
-    settling: Settling,
+    transition: Transition,
 ) -> Result<Progress, HostError> {
     let order = &progress.order;
     let held = bounded(host.rollout(&order.service)).await?;
     let known = held.status.as_ref().filter(|it| it.order == order.id);
     if let Some(known) = known
-        && (known.state.is_final() || known.state == settling.state())
+        && (known.state.is_final() || known.state == transition.state())
     {
         let step = if known.state.is_final() {
             known.state.into()
         } else {
-            settling.step()
+            transition.step()
         };
         let due = known.due;
         return Ok(Progress {
@@ -102,12 +101,12 @@
     let status = RolloutStatus {
         order: order.id,
         target: order.target.clone(),
-        state: settling.state(),
+        state: transition.state(),
         due: progress.due,
     };
     // After a conflict, the next attempt reads what the other daemon wrote.
     bounded(host.settle_rollout(&order.service, &status, held.version)).await?;
-    Ok(progress.at(settling.step()))
+    Ok(progress.at(transition.step()))
 }
 
 async fn bounded<T>(asked: impl Future<Output = Result<T, HostError>>) -> Result<T, HostError> {
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -65,14 +65,14 @@
     /// Asks how occupied the receiver's target is.
     #[serde(rename = "u")]
     Occupancy,
-    /// Asks until when the receiver's configuration was known to be the control plane's newest.
+    /// Asks until when the receiver's configuration was known to be the store's newest.
     #[serde(rename = "f")]
     Confirmed,
-    /// Asks whether the receiver follows the control plane for its zone, and what it holds.
+    /// Asks whether the receiver follows the store for its zone, and what it holds.
     #[serde(rename = "w")]
     Following,
-    /// Reports that the control plane does not answer the sender, which follows it for its zone;
-    /// answered like a ping.
+    /// Reports that the store does not answer the sender, which follows it for its zone; answered
+    /// like a ping.
     #[serde(rename = "l")]
     LostHost(MemberKey),
     /// Asks a customer's home for tokens of its quota.
@@ -122,16 +122,16 @@
     Pong,
 }
 
-/// Whether a daemon follows the control plane for its zone.
+/// Whether a daemon follows the store for its zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Following {
-    /// It follows the control plane and announces new versions.
+    /// It follows the store and announces new versions.
     #[serde(rename = "f")]
     Follows,
-    /// It is to follow the control plane, which does not answer it.
+    /// It is to follow the store, which does not answer it.
     #[serde(rename = "l")]
     LostHost,
-    /// It does not follow the control plane.
+    /// It does not follow the store.
     #[serde(rename = "n")]
     No,
 }
@@ -146,7 +146,7 @@
     pub(crate) findings: Vec<Finding>,
 }
 
-/// Confirmation that a configuration was the control plane's newest.
+/// Confirmation that a configuration was the store's newest.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct Confirmed {
     pub(crate) version: Version,
@@ -248,7 +248,7 @@
 pub(crate) struct Attempt {
     pub(crate) id: AttemptId,
     pub(crate) ticket: Ticket,
-    /// Life of the target for which the attempt is meant.
+    /// Generation of the target for which the attempt is meant.
     pub(crate) upstream: UpstreamName,
     /// Time until the caller stops waiting.
     pub(crate) left: Duration,
@@ -278,7 +278,7 @@
     /// The complete answer of the target.
     #[serde(rename = "a")]
     Answered(Arc<Answer>),
-    /// The attempt did not run, or that is unknown; the reason tells which.
+    /// The attempt did not run, or that is unknown; the reason says which.
     #[serde(rename = "r")]
     Refused(Refusal),
 }
