--- a/crates/distribution/src/confirmation.rs
+++ b/crates/distribution/src/confirmation.rs
@@ -53,7 +53,7 @@
 /// tells its own clock in each answer: the time that passed there since an earlier answer
 /// passed here as well.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct HostClock {
+pub struct StoreClock {
     anchor: Option<Anchor>,
 }
 
@@ -64,7 +64,7 @@
     host: Duration,
 }
 
-impl HostClock {
+impl StoreClock {
     /// The earliest time at which an answer was given that was asked for at `asked_at` and
     /// came at `now`.
     pub fn given_at(&mut self, asked_at: Time, now: Time, host: Option<Duration>) -> Time {
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -29,7 +29,7 @@
 
 pub use cold_start::{ColdStart, Standing, Step};
 pub use collect::{Hold, Holdings, Refusal};
-pub use confirmation::{Confirmation, HostClock};
+pub use confirmation::{Confirmation, StoreClock};
 pub use contact::Contact;
 pub use poller::{PollOutcome, PollRole, Poller};
 pub use quarantine::{Quarantined, Reason};
--- a/crates/distribution/tests/all/confirmation.rs
+++ b/crates/distribution/tests/all/confirmation.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use stoatstep_distribution::{Confirmation, HostClock};
+use stoatstep_distribution::{Confirmation, StoreClock};
 use stoatstep_membership::Time;
 
 const BOUND: Duration = Duration::from_secs(5);
@@ -39,7 +39,7 @@
 /// has to ask more often than there are changes.
 #[test]
 fn a_long_wait_is_dated_by_the_hosts_clock() {
-    let mut clock = HostClock::default();
+    let mut clock = StoreClock::default();
     let host = Some(ms(70_000));
     assert_eq!(clock.given_at(ms(100), ms(104), host), ms(100));
     let given = clock.given_at(ms(104), ms(3110), Some(ms(73_000)));
@@ -59,7 +59,7 @@
         drift_ppm in -500_i64..500,
         host_begins in 0_u64..100_000,
     ) {
-        let mut clock = HostClock::default();
+        let mut clock = StoreClock::default();
         let mut now = 0_u64;
         for (there, waits, back) in answers {
             let asked_at = now;
--- a/crates/mesh/src/fleet/configuration.rs
+++ b/crates/mesh/src/fleet/configuration.rs
@@ -17,7 +17,7 @@
 use super::gossip;
 use super::role;
 use super::versions::{self, Source};
-use crate::host::{Cursor, Host, HostError, Update};
+use crate::fleet_store::{ConfigurationUpdate, Cursor, FleetStore, FleetStoreError};
 use crate::node::Node;
 use crate::rollout;
 
@@ -66,7 +66,7 @@
 ///
 /// Two daemons of each zone wait for changes and notify the others; see [`PollRole`]. A daemon that
 /// has no configuration yet asks at once, whatever its role.
-pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
+pub(crate) async fn run<S: FleetStore>(node: Rc<Node>, store: Rc<S>) {
     wait_for_first_turn(&node).await;
     let mut cursor = None;
     let mut failures: u32 = 0;
@@ -89,9 +89,9 @@
         node.journal.count("host.asked");
         let is_waiting = cursor.is_some() && !wait.is_zero();
         let asked = tokio::select! {
-            asked = ask(&*host, cursor, wait) => asked,
+            asked = ask(&*store, cursor, wait) => asked,
             // Changes were missed, and the connection may be gone.
-            () = node.fleet.resumed.notified() => Err(HostError::HistoryLost),
+            () = node.fleet.resumed.notified() => Err(FleetStoreError::HistoryLost),
             () = node.fleet.store_doubted.notified(), if is_waiting => {
                 wait = Duration::ZERO;
                 continue;
@@ -115,7 +115,7 @@
                 let changed = update
                     .state
                     .is_some_and(|it| versions::apply_if_newer(&node, it, Source::Host));
-                confirmation::store_answered(&node, asked_at, update.host_time, read);
+                confirmation::store_answered(&node, asked_at, update.store_time, read);
                 if changed {
                     DELAY_AFTER_CHANGE
                 } else {
@@ -128,7 +128,7 @@
                     log_failure(&node, &err);
                 }
                 node.journal.count("host.failures");
-                if matches!(err, HostError::Unavailable(_)) {
+                if matches!(err, FleetStoreError::Unavailable(_)) {
                     contact::lost_store(&node);
                 }
                 // Read the whole configuration next: that is answered at once or not at all.
@@ -155,8 +155,8 @@
 /// If it answers that the history is gone, it can be read at once: a delay would only keep an old
 /// version in force. This applies only once in a row, or a store that always answers so would be
 /// asked without end.
-fn backoff(err: &HostError, is_new: bool, failures: u32) -> Duration {
-    if is_new && *err == HostError::HistoryLost {
+fn backoff(err: &FleetStoreError, is_new: bool, failures: u32) -> Duration {
+    if is_new && *err == FleetStoreError::HistoryLost {
         return Duration::ZERO;
     }
     let bound = FIRST_BACKOFF * (1 << failures.min(8));
@@ -191,13 +191,13 @@
 
 /// Logs once that the store is lost, and every answer that cannot be decoded. An invalid document
 /// stays until the operator writes another one, and is read about three times a second until then.
-fn log_failure(node: &Node, err: &HostError) {
+fn log_failure(node: &Node, err: &FleetStoreError) {
     match err {
-        HostError::HistoryLost => slog::info!(node.log, "host's history lost, read anew"),
-        HostError::Malformed(_) | HostError::Conflict => {
+        FleetStoreError::HistoryLost => slog::info!(node.log, "host's history lost, read anew"),
+        FleetStoreError::Malformed(_) | FleetStoreError::Conflict => {
             slog::error!(node.log, "configuration not understood"; fields::ERROR => %err);
         }
-        HostError::Unavailable(_) => {
+        FleetStoreError::Unavailable(_) => {
             if node.fleet.reaches_store.replace(Some(false)) != Some(false) {
                 slog::warn!(node.log, "host lost"; fields::ERROR => %err);
             }
@@ -205,14 +205,14 @@
     }
 }
 
-async fn ask<H: Host>(
-    host: &H,
+async fn ask<S: FleetStore>(
+    store: &S,
     cursor: Option<Cursor>,
     wait: Duration,
-) -> Result<Update, HostError> {
+) -> Result<ConfigurationUpdate, FleetStoreError> {
     let asked = match cursor {
-        None => timeout(ANSWER_TIMEOUT, host.configuration()).await,
-        Some(cursor) => timeout(wait + ANSWER_MARGIN, host.changed(cursor, wait)).await,
+        None => timeout(ANSWER_TIMEOUT, store.configuration()).await,
+        Some(cursor) => timeout(wait + ANSWER_MARGIN, store.wait_for_change(cursor, wait)).await,
     };
-    asked.unwrap_or_else(|_| Err(HostError::Unavailable("no answer in time".into())))
+    asked.unwrap_or_else(|_| Err(FleetStoreError::Unavailable("no answer in time".into())))
 }
--- a/crates/mesh/src/fleet/confirmation.rs
+++ b/crates/mesh/src/fleet/confirmation.rs
@@ -8,7 +8,7 @@
 
 use rand::RngExt;
 use stoatstep_calls::Time;
-use stoatstep_distribution::{Confirmation, HostClock};
+use stoatstep_distribution::{Confirmation, StoreClock};
 use stoatstep_resource::Version;
 use stoatstep_telemetry::fields;
 use tokio::time::sleep;
@@ -48,7 +48,7 @@
 #[derive(Debug, Default)]
 pub(super) struct ConfirmationState {
     confirmation: Confirmation,
-    store_clock: HostClock,
+    store_clock: StoreClock,
     /// Newest version known to be held by the store.
     newest: Option<Version>,
     /// Answers that the store gave before this time confirm nothing.
@@ -69,14 +69,14 @@
 pub(super) fn store_answered(
     node: &Node,
     asked_at: Time,
-    host_time: Option<Duration>,
+    store_time: Option<Duration>,
     read: Option<Version>,
 ) {
     let held = node.fleet.in_force().map(|it| it.version());
     let mut state = node.fleet.confirmation_state.borrow_mut();
     let given_at = state
         .store_clock
-        .given_at(asked_at, node.clock.now(), host_time);
+        .given_at(asked_at, node.clock.now(), store_time);
     state.newest = read.or(state.newest);
     if state.newest == held && held.is_some() && given_at >= state.valid_from {
         state.confirmation.confirm(given_at);
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -75,7 +75,7 @@
         asked.push(key);
         match ask(node, key, addr).await {
             Some(Following::Follows) => return true,
-            Some(Following::LostHost) => {}
+            Some(Following::LostStore) => {}
             Some(Following::No) => all_lost_store = false,
             None => {
                 timeouts += 1;
@@ -114,7 +114,7 @@
     };
     match following {
         Following::Follows => contact.regained(key),
-        Following::LostHost => contact.lost_platform(key, now),
+        Following::LostStore => contact.lost_platform(key, now),
         Following::No => {}
     }
     drop(contact);
@@ -126,7 +126,7 @@
 pub(crate) fn answer(node: &Node) -> Reply {
     let mark = node.fleet.membership.borrow().mark();
     let following = if node.fleet.reaches_store.get() == Some(false) {
-        Following::LostHost
+        Following::LostStore
     } else if role::polls_for_zone(node) {
         Following::Follows
     } else {
@@ -151,13 +151,13 @@
     contact.lost_platform(me, now);
     drop(contact);
     if is_news && role::polls_for_zone(node) {
-        gossip::tell_fleet(node, &Ask::LostHost(me));
+        gossip::tell_fleet(node, &Ask::LostStore(me));
     }
 }
 
 /// Records that the store does not answer a member. It may not answer this daemon either, which
 /// would notice only at the end of its wait.
-pub(crate) fn peer_lost_host(node: &Node, peer: MemberKey) {
+pub(crate) fn peer_lost_store(node: &Node, peer: MemberKey) {
     if node.fleet.is_in_own_zone(peer) {
         let now = node.clock.now();
         node.fleet.contact.borrow_mut().lost_platform(peer, now);
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -27,7 +27,7 @@
 
 use crate::clock::unix_time;
 use crate::config::MeshConfig;
-use crate::host::Era;
+use crate::fleet_store::Era;
 use crate::in_force::InForce;
 use crate::node::Node;
 use crate::quota;
@@ -178,8 +178,8 @@
     node.journal.gauge("queue.waiting", occupancy.queued.into());
     let takes_calls = node.executor.takes_calls(node.clock.now());
     node.journal.gauge("target.takes_calls", takes_calls.into());
-    let follows_host = role::follows_host(node);
-    node.journal.gauge("host.followed", follows_host.into());
+    let follows_store = role::follows_store(node);
+    node.journal.gauge("host.followed", follows_store.into());
     let reaches_store = node.fleet.reaches_store.get() == Some(true);
     node.journal.gauge("host.reached", reaches_store.into());
 }
--- a/crates/mesh/src/fleet/role.rs
+++ b/crates/mesh/src/fleet/role.rs
@@ -62,7 +62,7 @@
 }
 
 /// Whether this daemon is chosen to follow the store for its zone.
-pub(crate) fn follows_host(node: &Node) -> bool {
+pub(crate) fn follows_store(node: &Node) -> bool {
     assigned(node) == PollRole::Poller
 }
 
@@ -102,7 +102,7 @@
     let zone = gossip::own_zone(node).into_iter();
     let zone: Vec<_> = zone.map(|(key, _)| key).collect();
     let me = node.fleet.membership.borrow().me();
-    PollRole::polls(me, &zone) || follows_host(node)
+    PollRole::polls(me, &zone) || follows_store(node)
 }
 
 /// The role in which this daemon acts. A daemon that relies on followers polls on its own behalf if
--- a/crates/mesh/src/fleet/roster.rs
+++ b/crates/mesh/src/fleet/roster.rs
@@ -10,7 +10,7 @@
 use tokio::time::timeout;
 
 use super::{gossip, role};
-use crate::host::{Host, HostError, Listed};
+use crate::fleet_store::{FleetStore, FleetStoreError, RosterContents};
 use crate::node::Node;
 use crate::quarantine::{self, Way};
 
@@ -48,13 +48,13 @@
 const FIRST_READ_SPREAD: Duration = Duration::from_secs(2);
 
 /// Reads the roster while no peer is known, and keeps enough instances on it.
-pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
+pub(crate) async fn run<S: FleetStore>(node: Rc<Node>, store: Rc<S>) {
     // With millisecond resolution: all daemons that read in the same step would find the roster
     // empty.
     tokio::time::sleep(first_read_delay(&node)).await;
     let mut task = RosterTask {
         node: Rc::clone(&node),
-        host,
+        store,
         is_announced: false,
         reads: 0,
         due: node.clock.now(),
@@ -77,7 +77,7 @@
     }
     if task.is_announced {
         let own = node.cfg.instance.clone();
-        task.send("withdrawn", task.host.withdraw(&own)).await;
+        task.send("withdrawn", task.store.withdraw(&own)).await;
     }
 }
 
@@ -90,9 +90,9 @@
     }
 }
 
-struct RosterTask<H> {
+struct RosterTask<S> {
     node: Rc<Node>,
-    host: Rc<H>,
+    store: Rc<S>,
     is_announced: bool,
     /// Number of answered reads.
     reads: u32,
@@ -103,7 +103,7 @@
     store_after: Cell<Duration>,
 }
 
-impl<H: Host> RosterTask<H> {
+impl<S: FleetStore> RosterTask<S> {
     /// Schedules this daemon's own row and the quarantined requests to be written again, after the
     /// store was restored from an older copy. Followers notice that, and they are the daemons that
     /// have to be on the roster.
@@ -128,7 +128,7 @@
         }
         // A zone has followers for as long as it has members, and they change only with its
         // members.
-        let is_missing = !self.is_announced && role::follows_host(&self.node);
+        let is_missing = !self.is_announced && role::follows_store(&self.node);
         if is_missing && !self.announce().await {
             return RETRY_DELAY;
         }
@@ -178,15 +178,15 @@
     }
 
     /// Reads the roster and applies its requests as if they had come from a peer by `way`.
-    async fn read(&self, way: Way) -> Option<Listed> {
-        let listed = self.send("read", self.host.roster()).await?;
+    async fn read(&self, way: Way) -> Option<RosterContents> {
+        let listed = self.send("read", self.store.roster()).await?;
         quarantine::hear_kept(&self.node, &listed.requests, way);
         Some(listed)
     }
 
     async fn announce(&mut self) -> bool {
         let announcement = self.node.fleet.membership.borrow().announcement();
-        let written = self.send("announced", self.host.announce(&announcement));
+        let written = self.send("announced", self.store.announce(&announcement));
         self.is_announced = written.await.is_some();
         self.node.fleet.is_on_roster.set(self.is_announced);
         self.is_announced
@@ -195,11 +195,12 @@
     async fn delete_removed(&self) {
         let removed_members = std::mem::take(&mut *self.node.fleet.removed_members.borrow_mut());
         // All daemons of the zone remove the member, and one deletion is enough.
-        if !role::follows_host(&self.node) {
+        if !role::follows_store(&self.node) {
             return;
         }
         for instance in removed_members {
-            self.send("cleaned up", self.host.withdraw(&instance)).await;
+            self.send("cleaned up", self.store.withdraw(&instance))
+                .await;
         }
     }
 
@@ -212,8 +213,8 @@
         while let Some(next) = self.node.requests.next_to_keep() {
             let kept = quarantine::kept(&self.node, next);
             let done = match &kept {
-                Some(request) => self.send("kept", self.host.keep(request)).await,
-                None => self.send("kept", self.host.drop_kept(next)).await,
+                Some(request) => self.send("kept", self.store.store_request(request)).await,
+                None => self.send("kept", self.store.delete_request(next)).await,
             };
             if done.is_none() {
                 self.node.requests.keep(next);
@@ -227,11 +228,11 @@
     async fn send<T>(
         &self,
         what: &'static str,
-        asked: impl Future<Output = Result<T, HostError>>,
+        asked: impl Future<Output = Result<T, FleetStoreError>>,
     ) -> Option<T> {
         let answer = timeout(ANSWER_TIMEOUT, asked).await;
-        let answer =
-            answer.unwrap_or_else(|_| Err(HostError::Unavailable("no answer in time".into())));
+        let answer = answer
+            .unwrap_or_else(|_| Err(FleetStoreError::Unavailable("no answer in time".into())));
         match answer {
             Ok(answer) => Some(answer),
             Err(err) => {
--- a/crates/mesh/src/host.rs
+++ b/crates/mesh/src/fleet_store.rs
@@ -26,20 +26,20 @@
 
 /// Answer to a read of the configuration or to a wait for a change.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Update {
+pub struct ConfigurationUpdate {
     /// Position from which to wait for the next change.
     pub cursor: Cursor,
     /// Reading of the store's monotonic clock when it answered, if it reports one.
-    pub host_time: Option<Duration>,
+    pub store_time: Option<Duration>,
     /// The newest configuration, if one was written since the last answer.
     pub state: Option<State>,
     /// Roll-out orders that were written or withdrawn since the last answer.
-    pub rollouts: Vec<RolloutNews>,
+    pub rollouts: Vec<OrderChange>,
 }
 
 /// Change of an order for a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum RolloutNews {
+pub enum OrderChange {
     /// The order is in effect.
     Ordered {
         /// The order.
@@ -99,7 +99,7 @@
 /// Contents of the roster. Both parts are in one list, so that a starting daemon needs one request
 /// only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Listed {
+pub struct RosterContents {
     /// Instances that have announced themselves.
     pub members: Vec<Announcement>,
     /// Quarantined requests: those that were running when targets ended.
@@ -111,7 +111,7 @@
 
 /// Stored status of a service's last roll-out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HeldRollout {
+pub struct StoredRollout {
     /// The status; `None` if no daemon of this product has written one.
     pub status: Option<RolloutStatus>,
     /// Version of the row, for a conditional write.
@@ -120,7 +120,7 @@
 
 /// Reasons why the store gave no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum HostError {
+pub enum FleetStoreError {
     /// It did not answer, or asked to retry later. A write may have been carried out.
     Unavailable(SmolStr),
     /// The changes after the cursor are no longer kept, or the cursor is of an earlier era.
@@ -132,7 +132,7 @@
     Conflict,
 }
 
-impl fmt::Display for HostError {
+impl fmt::Display for FleetStoreError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unavailable(why) => write!(f, "unavailable: {why}"),
@@ -143,45 +143,54 @@
     }
 }
 
-impl std::error::Error for HostError {}
+impl std::error::Error for FleetStoreError {}
 
 /// Requests of the daemon to the store. The daemon decides when to send them, and what to do
 /// without an answer.
-pub trait Host: 'static {
+pub trait FleetStore: 'static {
     /// Reads the newest configuration.
-    fn configuration(&self) -> impl Future<Output = Result<Update, HostError>>;
+    fn configuration(&self) -> impl Future<Output = Result<ConfigurationUpdate, FleetStoreError>>;
 
     /// Waits for at most `wait` for a configuration written after `cursor`.
-    fn changed(
+    fn wait_for_change(
         &self,
         cursor: Cursor,
         wait: Duration,
-    ) -> impl Future<Output = Result<Update, HostError>>;
+    ) -> impl Future<Output = Result<ConfigurationUpdate, FleetStoreError>>;
 
     /// Reads the roster: the instances by which a starting daemon finds its first peer, and the
     /// requests that it has to refuse.
-    fn roster(&self) -> impl Future<Output = Result<Listed, HostError>>;
+    fn roster(&self) -> impl Future<Output = Result<RosterContents, FleetStoreError>>;
 
     /// Stores a request that is refused.
-    fn keep(&self, request: &KeptRequest) -> impl Future<Output = Result<(), HostError>>;
+    fn store_request(
+        &self,
+        request: &KeptRequest,
+    ) -> impl Future<Output = Result<(), FleetStoreError>>;
 
     /// Deletes a stored request.
-    fn drop_kept(&self, request: Fingerprint) -> impl Future<Output = Result<(), HostError>>;
+    fn delete_request(
+        &self,
+        request: Fingerprint,
+    ) -> impl Future<Output = Result<(), FleetStoreError>>;
 
     /// Adds this instance to the roster.
-    fn announce(&self, own: &Announcement) -> impl Future<Output = Result<(), HostError>>;
+    fn announce(&self, own: &Announcement) -> impl Future<Output = Result<(), FleetStoreError>>;
 
     /// Deletes an instance from the roster.
-    fn withdraw(&self, instance: &InstanceId) -> impl Future<Output = Result<(), HostError>>;
+    fn withdraw(&self, instance: &InstanceId) -> impl Future<Output = Result<(), FleetStoreError>>;
 
     /// Reads the status of a service's last roll-out.
-    fn rollout(&self, service: &str) -> impl Future<Output = Result<HeldRollout, HostError>>;
+    fn rollout_status(
+        &self,
+        service: &str,
+    ) -> impl Future<Output = Result<StoredRollout, FleetStoreError>>;
 
     /// Writes the status of a service's roll-out, unless its row has changed since version `held`.
-    fn settle_rollout(
+    fn write_rollout_status(
         &self,
         service: &str,
         status: &RolloutStatus,
         held: RowVersion,
-    ) -> impl Future<Output = Result<(), HostError>>;
+    ) -> impl Future<Output = Result<(), FleetStoreError>>;
 }
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -4,7 +4,7 @@
 //!
 //! * The *store* is provided by the platform that runs the fleet. It keeps one configuration
 //!   document and a list of instances for the daemons to start from, and is reached through
-//!   [`Host`]. In log lines and metrics it is called `host`.
+//!   [`FleetStore`]. In log lines and metrics it is called `host`.
 //! * The *target* beside the daemon announces itself in heartbeats, see [`Heartbeat`].
 //! * *Peers* are the other daemons. They exchange membership and configuration, and forward each
 //!   other's calls over links.
@@ -22,7 +22,7 @@
 mod entry;
 mod executor;
 mod fleet;
-mod host;
+mod fleet_store;
 mod identity;
 mod in_force;
 mod journal;
@@ -36,9 +36,9 @@
 
 pub use config::{Addresses, MeshConfig};
 pub use dialect::Dialect;
-pub use host::{
-    Cursor, Era, HeldRollout, Host, HostError, Listed, RolloutNews, RolloutState, RolloutStatus,
-    RowVersion, Update,
+pub use fleet_store::{
+    ConfigurationUpdate, Cursor, Era, FleetStore, FleetStoreError, OrderChange, RolloutState,
+    RolloutStatus, RosterContents, RowVersion, StoredRollout,
 };
 pub use mechanism::{Mechanism, UnknownMechanism};
 pub use node::Mesh;
--- a/crates/mesh/src/link/serve.rs
+++ b/crates/mesh/src/link/serve.rs
@@ -138,8 +138,8 @@
             connection.reply(id, Reply::Occupancy(occupancy));
         }
         Ask::Following => connection.reply(id, fleet::contact::answer(&node)),
-        Ask::LostHost(peer) => {
-            fleet::contact::peer_lost_host(&node, peer);
+        Ask::LostStore(peer) => {
+            fleet::contact::peer_lost_store(&node, peer);
             connection.reply(id, Reply::Pong);
         }
         Ask::Confirmed => {
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -15,7 +15,7 @@
 use crate::entry::{self, Entry};
 use crate::executor::{self, Executor};
 use crate::fleet::{self, Fleet};
-use crate::host::Host;
+use crate::fleet_store::FleetStore;
 use crate::journal::Journal;
 use crate::link::{self, Links, SharedUplink};
 use crate::mechanism::Mechanism;
@@ -70,7 +70,7 @@
     /// # Errors
     ///
     /// If one of its addresses cannot be bound.
-    pub async fn start<H: Host>(cfg: MeshConfig, host: H, log: Logger) -> io::Result<Self> {
+    pub async fn start<S: FleetStore>(cfg: MeshConfig, store: S, log: Logger) -> io::Result<Self> {
         let peers = TcpListener::bind(cfg.addresses.peers).await?;
         let callers = Server::bind(cfg.addresses.callers).await?;
         let metrics = match cfg.metrics {
@@ -102,13 +102,13 @@
         });
         ntex::rt::spawn(link::serve(Rc::clone(&node), peers));
         ntex::rt::spawn(serve_callers(Rc::clone(&node), callers));
-        let host = Rc::new(host);
+        let store = Rc::new(store);
         ntex::rt::spawn(fleet::configuration::run(
             Rc::clone(&node),
-            Rc::clone(&host),
+            Rc::clone(&store),
         ));
-        ntex::rt::spawn(rollout::run(Rc::clone(&node), Rc::clone(&host)));
-        ntex::rt::spawn(fleet::roster::run(Rc::clone(&node), host));
+        ntex::rt::spawn(rollout::run(Rc::clone(&node), Rc::clone(&store)));
+        ntex::rt::spawn(fleet::roster::run(Rc::clone(&node), store));
         ntex::rt::spawn(fleet::confirmation::run(Rc::clone(&node)));
         ntex::rt::spawn(tick(Rc::clone(&node)));
         if let Some(metrics) = metrics {
--- a/crates/mesh/src/rollout/evaluation.rs
+++ b/crates/mesh/src/rollout/evaluation.rs
@@ -14,7 +14,7 @@
 use super::view::{Peer, View};
 use super::{Source, evidence, hear};
 use crate::clock::unix_time;
-use crate::host::Host;
+use crate::fleet_store::FleetStore;
 use crate::node::Node;
 
 /// How often due steps are checked.
@@ -44,11 +44,11 @@
 const MAX_OVERDUE_LAST_STEP: Duration = Duration::from_secs(2);
 
 /// Advances the roll-outs of the daemon's own service until the process ends.
-pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
+pub(crate) async fn run<S: FleetStore>(node: Rc<Node>, store: Rc<S>) {
     while !node.is_leaving() {
         tokio::time::sleep(CHECK_INTERVAL).await;
         for evaluation in due_evaluations(&node) {
-            evaluation.run(&node, &host).await;
+            evaluation.run(&node, &store).await;
         }
     }
 }
@@ -90,8 +90,8 @@
 }
 
 impl Evaluation {
-    async fn run<H: Host>(&self, node: &Rc<Node>, host: &Rc<H>) {
-        let begin = |transition| transition::begin(node, host, &self.progress, transition);
+    async fn run<S: FleetStore>(&self, node: &Rc<Node>, store: &Rc<S>) {
+        let begin = |transition| transition::begin(node, store, &self.progress, transition);
         match self.progress.step {
             Step::Ordered => {
                 if self.is_overdue() {
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -18,7 +18,7 @@
 use stoatstep_telemetry::fields;
 
 use crate::clock::unix_time;
-use crate::host::{RolloutNews, RolloutStatus};
+use crate::fleet_store::{OrderChange, RolloutStatus};
 use crate::node::Node;
 use crate::wire::CallParts;
 
@@ -113,13 +113,13 @@
 
 /// Applies order changes of the store. `age` is the longest time for which an order without a
 /// status may have been waiting.
-pub(crate) fn hear_host(node: &Rc<Node>, news: Vec<RolloutNews>, age: Duration) {
+pub(crate) fn hear_host(node: &Rc<Node>, news: Vec<OrderChange>, age: Duration) {
     for news in news {
         match news {
-            RolloutNews::Ordered { order, status } => {
+            OrderChange::Ordered { order, status } => {
                 hear(node, &progress_of(order, status, age), Source::Host);
             }
-            RolloutNews::Withdrawn(service) => withdrawn(node, &service),
+            OrderChange::Withdrawn(service) => withdrawn(node, &service),
         }
     }
 }
--- a/crates/mesh/src/rollout/transition.rs
+++ b/crates/mesh/src/rollout/transition.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use super::{Source, hear};
-use crate::host::{Host, HostError, RolloutState, RolloutStatus};
+use crate::fleet_store::{FleetStore, FleetStoreError, RolloutState, RolloutStatus};
 use crate::node::Node;
 
 /// Timeout of a request to the store.
@@ -50,18 +50,18 @@
 
 /// Writes the status in the background, unless another write is in progress. The step changes once
 /// the store has answered.
-pub(super) fn begin<H: Host>(
+pub(super) fn begin<S: FleetStore>(
     node: &Rc<Node>,
-    host: &Rc<H>,
+    store: &Rc<S>,
     progress: &Progress,
     transition: Transition,
 ) {
     if node.rollouts.is_writing_status.replace(true) {
         return;
     }
-    let (node, host, progress) = (Rc::clone(node), Rc::clone(host), progress.clone());
+    let (node, store, progress) = (Rc::clone(node), Rc::clone(store), progress.clone());
     ntex::rt::spawn(async move {
-        match write_status(&*host, &progress, transition).await {
+        match write_status(&*store, &progress, transition).await {
             Ok(progress) => hear(&node, &progress, Source::Own),
             Err(err) => {
                 slog::warn!(node.log, "roll-out not settled"; fields::SERVICE => %progress.order.service,
@@ -76,13 +76,13 @@
 
 /// Returns the resulting progress: that of the written status, or of one that another daemon wrote
 /// before.
-async fn write_status<H: Host>(
-    host: &H,
+async fn write_status<S: FleetStore>(
+    store: &S,
     progress: &Progress,
     transition: Transition,
-) -> Result<Progress, HostError> {
+) -> Result<Progress, FleetStoreError> {
     let order = &progress.order;
-    let held = bounded(host.rollout(&order.service)).await?;
+    let held = bounded(store.rollout_status(&order.service)).await?;
     let known = held.status.as_ref().filter(|it| it.order == order.id);
     if let Some(known) = known
         && (known.state.is_final() || known.state == transition.state())
@@ -105,11 +105,13 @@
         due: progress.due,
     };
     // After a conflict, the next attempt reads what the other daemon wrote.
-    bounded(host.settle_rollout(&order.service, &status, held.version)).await?;
+    bounded(store.write_rollout_status(&order.service, &status, held.version)).await?;
     Ok(progress.at(transition.step()))
 }
 
-async fn bounded<T>(asked: impl Future<Output = Result<T, HostError>>) -> Result<T, HostError> {
+async fn bounded<T>(
+    asked: impl Future<Output = Result<T, FleetStoreError>>,
+) -> Result<T, FleetStoreError> {
     let answer = timeout(ANSWER_BOUND, asked).await;
-    answer.unwrap_or_else(|_| Err(HostError::Unavailable("no answer in time".into())))
+    answer.unwrap_or_else(|_| Err(FleetStoreError::Unavailable("no answer in time".into())))
 }
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -74,7 +74,7 @@
     /// Reports that the store does not answer the sender, which follows it for its zone; answered
     /// like a ping.
     #[serde(rename = "l")]
-    LostHost(MemberKey),
+    LostStore(MemberKey),
     /// Asks a customer's home for tokens of its quota.
     #[serde(rename = "t")]
     Tokens(CustomerName, u32),
@@ -117,7 +117,7 @@
     #[serde(rename = "t")]
     Tokens(Option<GrantWire>),
     /// Answers [`Ask::Ping`], [`Ask::Holds`], [`Ask::Rollout`], [`Ask::Findings`] and
-    /// [`Ask::LostHost`].
+    /// [`Ask::LostStore`].
     #[serde(rename = "p")]
     Pong,
 }
@@ -130,7 +130,7 @@
     Follows,
     /// It is to follow the store, which does not answer it.
     #[serde(rename = "l")]
-    LostHost,
+    LostStore,
     /// It does not follow the store.
     #[serde(rename = "n")]
     No,
