--- a/crates/mesh/src/config.rs
+++ b/crates/mesh/src/config.rs
@@ -7,7 +7,7 @@
 use smol_str::SmolStr;
 use stoatstep_resource::{InstanceId, ServiceName, ZoneName};
 
-use crate::dialect::Dialect;
+use crate::header_names::HeaderNames;
 use crate::mechanism::Mechanism;
 
 /// Default time between two heartbeats of a target.
@@ -42,7 +42,7 @@
     pub(crate) zone: ZoneName,
     pub(crate) service: ServiceName,
     pub(crate) addresses: Addresses,
-    pub(crate) dialect: Dialect,
+    pub(crate) header_names: HeaderNames,
     pub(crate) heartbeat: Duration,
     pub(crate) grace: Duration,
     pub(crate) retries: RetryBounds,
@@ -73,7 +73,7 @@
         zone: ZoneName,
         service: ServiceName,
         addresses: Addresses,
-        dialect: Dialect,
+        header_names: HeaderNames,
     ) -> Self {
         Self {
             instance,
@@ -81,7 +81,7 @@
             zone,
             service,
             addresses,
-            dialect,
+            header_names,
             heartbeat: HEARTBEAT,
             grace: GRACE,
             retries: RetryBounds {
--- a/crates/mesh/src/entry/call.rs
+++ b/crates/mesh/src/entry/call.rs
@@ -56,8 +56,8 @@
         let Some(route) = in_force.routes.find(&host, req.path()).cloned() else {
             return Err(Refusal::permanent(Reason::NoRoute));
         };
-        let dialect = &node.cfg.dialect;
-        let Some(request_id) = text(req.headers(), &dialect.request_id) else {
+        let header_names = &node.cfg.header_names;
+        let Some(request_id) = text(req.headers(), &header_names.request_id) else {
             return Err(Refusal::permanent(Reason::BadRequest));
         };
         let deadline = Deadline::after(time_left(node, req, &route), now);
@@ -105,7 +105,7 @@
 
 /// The caller's own bound and the operator's, whichever is shorter.
 fn time_left(node: &Node, req: &Request, route: &ResolvedRoute) -> Duration {
-    let stated = text(req.headers(), &node.cfg.dialect.timeout_ms);
+    let stated = text(req.headers(), &node.cfg.header_names.timeout_ms);
     let millis = stated.and_then(|it| it.parse().ok());
     let bound = route.policy.timeout;
     millis.map_or(bound, |it| Duration::from_millis(it).min(bound))
@@ -132,13 +132,13 @@
     let named = named.to_ascii_lowercase();
     let of_connection =
         |name: &str| is_of_connection(name) || named.split(',').any(|it| it.trim() == name);
-    let dialect = &node.cfg.dialect;
+    let header_names = &node.cfg.header_names;
     let own = [
-        &dialect.request_id,
-        &dialect.timeout_ms,
-        &dialect.caller_service,
-        &dialect.expected_upstream,
-        &dialect.customer,
+        &header_names.request_id,
+        &header_names.timeout_ms,
+        &header_names.caller_service,
+        &header_names.expected_upstream,
+        &header_names.customer,
     ];
     let is_own =
         |name: &str| own.iter().any(|it| *it == name) || name == CREDENTIAL && !passes_credential;
--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -202,7 +202,7 @@
     let Some(left_out) = node.journal.admits(kind, node.clock.now()) else {
         return;
     };
-    let id = req.headers().get(node.cfg.dialect.request_id.as_str());
+    let id = req.headers().get(node.cfg.header_names.request_id.as_str());
     let id = id.and_then(|it| it.to_str().ok()).unwrap_or_default();
     let version = node.fleet.in_force().map_or(0, |it| it.version());
     slog::info!(node.log, "request refused";
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -113,7 +113,7 @@
         };
         Self {
             tables: RefCell::new(tables),
-            target: Target::new(cfg.addresses.target, &cfg.dialect, clock, log),
+            target: Target::new(cfg.addresses.target, &cfg.header_names, clock, log),
             is_asking: Cell::new(false),
         }
     }
--- a/crates/mesh/src/executor/target.rs
+++ b/crates/mesh/src/executor/target.rs
@@ -21,7 +21,7 @@
 use stoatstep_telemetry::fields;
 
 use crate::clock::Clock;
-use crate::dialect::Dialect;
+use crate::header_names::HeaderNames;
 use crate::wire::Attempt;
 use pool::{Connection, Pool};
 
@@ -80,7 +80,7 @@
     log: Logger,
 }
 
-/// The dialect's names in the form that the HTTP library wants.
+/// The header names in the form that the HTTP library wants.
 struct Names {
     request_id: HeaderName,
     timeout_ms: HeaderName,
@@ -96,29 +96,34 @@
     /// # Panics
     ///
     /// Where a name is none that HTTP allows; names are constants of adapters.
-    fn new(dialect: &Dialect) -> Self {
+    fn new(header_names: &HeaderNames) -> Self {
         let name = |text: &SmolStr| {
             HeaderName::from_bytes(text.as_bytes()).expect("header names are valid constants")
         };
         Self {
-            request_id: name(&dialect.request_id),
-            timeout_ms: name(&dialect.timeout_ms),
-            caller_service: name(&dialect.caller_service),
-            customer: name(&dialect.customer),
-            expected_upstream: name(&dialect.expected_upstream),
-            upstream: name(&dialect.upstream),
-            not_run: name(&dialect.not_run),
-            signature: name(&dialect.signature),
+            request_id: name(&header_names.request_id),
+            timeout_ms: name(&header_names.timeout_ms),
+            caller_service: name(&header_names.caller_service),
+            customer: name(&header_names.customer),
+            expected_upstream: name(&header_names.expected_upstream),
+            upstream: name(&header_names.upstream),
+            not_run: name(&header_names.not_run),
+            signature: name(&header_names.signature),
         }
     }
 }
 
 impl Target {
-    pub(super) fn new(addr: SocketAddr, dialect: &Dialect, clock: Clock, log: Logger) -> Self {
+    pub(super) fn new(
+        addr: SocketAddr,
+        header_names: &HeaderNames,
+        clock: Clock,
+        log: Logger,
+    ) -> Self {
         Self {
             addr,
             pool: Pool::new(addr, clock),
-            names: Names::new(dialect),
+            names: Names::new(header_names),
             log,
         }
     }
--- a/crates/mesh/src/dialect.rs
+++ b/crates/mesh/src/header_names.rs
@@ -5,7 +5,7 @@
 /// Names of the headers of calls and answers, all in lower case. The meaning of each header is
 /// fixed; the environment of the daemon sets the names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Dialect {
+pub struct HeaderNames {
     /// Id of one request of a caller. It is passed to the target unchanged, and the target's answer
     /// repeats it.
     pub request_id: SmolStr,
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -17,12 +17,12 @@
 
 mod clock;
 mod config;
-mod dialect;
 mod drain;
 mod entry;
 mod executor;
 mod fleet;
 mod fleet_store;
+mod header_names;
 mod identity;
 mod in_force;
 mod journal;
@@ -35,11 +35,11 @@
 mod wire;
 
 pub use config::{Addresses, MeshConfig};
-pub use dialect::Dialect;
 pub use fleet_store::{
     ConfigurationUpdate, Cursor, Era, FleetStore, FleetStoreError, OrderChange, RolloutState,
     RolloutStatus, RosterContents, RowVersion, StoredRollout,
 };
+pub use header_names::HeaderNames;
 pub use mechanism::{Mechanism, UnknownMechanism};
 pub use node::Mesh;
 pub use stoatstep_calls::{Fingerprint, KeptRequest};
