--- a/crates/mesh/src/config.rs
+++ b/crates/mesh/src/config.rs
@@ -48,7 +48,7 @@
     pub(crate) retries: RetryBounds,
     pub(crate) metrics: Option<SocketAddr>,
     pub(crate) link_bytes_per_s: Option<f64>,
-    pub(crate) without: BTreeSet<Mechanism>,
+    pub(crate) disabled: BTreeSet<Mechanism>,
     pub(crate) is_first_start: bool,
     pub(crate) exposure: f64,
     pub(crate) key_lifetime: Option<Duration>,
@@ -90,7 +90,7 @@
             },
             metrics: None,
             link_bytes_per_s: None,
-            without: BTreeSet::new(),
+            disabled: BTreeSet::new(),
             is_first_start: false,
             exposure: EXPOSURE,
             key_lifetime: None,
@@ -132,13 +132,13 @@
     /// Mechanisms that are switched off. Default: none. `docs/design/further.md` lists the measured
     /// effect of each.
     #[must_use]
-    pub fn without(mut self, mechanisms: BTreeSet<Mechanism>) -> Self {
-        self.without = mechanisms;
+    pub fn disable(mut self, mechanisms: BTreeSet<Mechanism>) -> Self {
+        self.disabled = mechanisms;
         self
     }
 
-    pub(crate) fn has(&self, mechanism: Mechanism) -> bool {
-        !self.without.contains(&mechanism)
+    pub(crate) fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.disabled.contains(&mechanism)
     }
 
     /// Capacity of the instance's link, in bytes per second. Default: unknown, and large answers
--- a/crates/mesh/src/entry/attempt.rs
+++ b/crates/mesh/src/entry/attempt.rs
@@ -71,7 +71,7 @@
     let mut outstanding = Outstanding::new(node, call, upstream);
     let (ended, occupancy) = attempt(node, call, upstream, place).await;
     outstanding.seen = match seen(&ended) {
-        Seen::Failed if !node.cfg.has(Mechanism::Ejection) => Seen::Nothing,
+        Seen::Failed if !node.cfg.is_enabled(Mechanism::Ejection) => Seen::Nothing,
         seen => seen,
     };
     outstanding.occupancy = occupancy;
--- a/crates/mesh/src/entry/carry.rs
+++ b/crates/mesh/src/entry/carry.rs
@@ -160,12 +160,14 @@
     let answers = answers.get(&call.parts.route).copied().unwrap_or_default();
     let wish = Wish {
         objective: call.objective.saturating_sub(now),
-        answer_bytes: if node.cfg.has(Mechanism::AnswerSize) {
+        answer_bytes: if node.cfg.is_enabled(Mechanism::AnswerSize) {
             answers.bytes()
         } else {
             0.0
         },
-        run: answers.run().filter(|_| node.cfg.has(Mechanism::RouteTime)),
+        run: answers
+            .run()
+            .filter(|_| node.cfg.is_enabled(Mechanism::RouteTime)),
         among,
     };
     let pick = placement.pick(&call.parts.service, tried, wish, now, rng)?;
@@ -195,7 +197,7 @@
 }
 
 fn is_worth_asking_on(node: &Node, made: &mut Made, reason: Reason) -> bool {
-    let overloaded = if node.cfg.has(Mechanism::SecondQueue) {
+    let overloaded = if node.cfg.is_enabled(Mechanism::SecondQueue) {
         MAX_OVERLOADED
     } else {
         1
--- a/crates/mesh/src/entry/probes.rs
+++ b/crates/mesh/src/entry/probes.rs
@@ -23,7 +23,7 @@
 
 /// Asks a few targets of the service.
 pub(super) fn ask(node: &Rc<Node>, service: &ServiceName, among: Among<'_>) {
-    if !node.cfg.has(Mechanism::LoadProbes) {
+    if !node.cfg.is_enabled(Mechanism::LoadProbes) {
         return;
     }
     let now = node.clock.now();
--- a/crates/mesh/src/entry/throttle.rs
+++ b/crates/mesh/src/entry/throttle.rs
@@ -18,7 +18,7 @@
 /// Whether a call is let through. Where too many routes are watched, the others are let
 /// through unwatched.
 pub(super) fn admits(node: &Node, call: &Call) -> bool {
-    if !node.cfg.has(Mechanism::Throttle) {
+    if !node.cfg.is_enabled(Mechanism::Throttle) {
         return true;
     }
     let mut tables = node.entry.tables.borrow_mut();
--- a/crates/mesh/src/executor/slot.rs
+++ b/crates/mesh/src/executor/slot.rs
@@ -47,7 +47,7 @@
     deadline: Deadline,
 ) -> Result<Slot, Refusal> {
     let now = node.clock.now();
-    let objective = if node.cfg.has(Mechanism::QueueObjective) {
+    let objective = if node.cfg.is_enabled(Mechanism::QueueObjective) {
         now + attempt.objective
     } else {
         deadline.expires()
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -80,7 +80,7 @@
         let clock = Clock::start();
         let uplink = Rc::new(SharedUplink::new(
             cfg.link_bytes_per_s
-                .filter(|_| cfg.has(Mechanism::LinkPace)),
+                .filter(|_| cfg.is_enabled(Mechanism::LinkPace)),
             clock,
         ));
         let node = Rc::new(Node {
@@ -120,7 +120,7 @@
     /// Handles a heartbeat of the target beside the daemon. Once this returns, no further call goes
     /// to a target that drains.
     #[must_use = "a stale heartbeat is acked like any other, but may be worth a log line"]
-    pub fn hear(&self, beat: Heartbeat) -> Heard {
+    pub fn handle_heartbeat(&self, beat: Heartbeat) -> Heard {
         let heard = executor::hear(&self.0, beat);
         gossip::target_changed(&self.0);
         heard
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -84,7 +84,7 @@
 /// The fingerprint of a call, if any suspected request is known.
 fn tracked_fingerprint(node: &Node, call: &CallParts) -> Option<Fingerprint> {
     let is_any_suspected = !node.requests.known.borrow().is_empty();
-    let is_tracked = is_any_suspected && node.cfg.has(Mechanism::Quarantine);
+    let is_tracked = is_any_suspected && node.cfg.is_enabled(Mechanism::Quarantine);
     is_tracked.then(|| call.fingerprint())
 }
 
