--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -136,7 +136,7 @@
     let suspected = quarantine::suspected(node, &attempt.call);
     if suspected.is_some_and(|it| ended::running(node, &attempt.upstream).contains(&it)) {
         node.journal.count("requests.kept_apart");
-        return Report::not_started(quarantine::refusal_beside_itself());
+        return Report::not_started(quarantine::refusal_while_running());
     }
     if !may_start(node, attempt) {
         return Report::not_started(Refusal::permanent(Reason::Revoked));
@@ -228,7 +228,7 @@
     {
         answers::learn(&mut tables, &attempt.call.route, answer, report.at_target);
     }
-    if node.rollouts.is_judged(&attempt.call.service) {
+    if node.rollouts.is_active(&attempt.call.service) {
         judged::count(&mut tables, attempt, report, now);
     }
     if speaks_for_it {
--- a/crates/mesh/src/fleet/configuration.rs
+++ b/crates/mesh/src/fleet/configuration.rs
@@ -81,7 +81,7 @@
             contact::pause(&node).await;
             continue;
         }
-        if cursor.is_some() && role::is_meeting_zone(&node) {
+        if cursor.is_some() && role::is_discovering_zone(&node) {
             tokio::time::sleep(START_CHECK_INTERVAL).await;
             continue;
         }
@@ -110,7 +110,7 @@
                 gossip::input(&node, Input::HeadRead);
                 let age = order_age(last_answer, asked_at, node.clock.now());
                 last_answer = Some(node.clock.now());
-                rollout::hear_host(&node, update.rollouts, age);
+                rollout::apply_orders(&node, update.rollouts, age);
                 let read = update.state.as_ref().map(State::version);
                 let changed = update
                     .state
--- a/crates/mesh/src/fleet/confirmation.rs
+++ b/crates/mesh/src/fleet/confirmation.rs
@@ -14,7 +14,7 @@
 use tokio::time::sleep;
 
 use super::contact;
-use super::gossip::{self, Addressed};
+use super::gossip::{self, PeerAddress};
 use crate::node::Node;
 use crate::wire::{Ask, Confirmed as ConfirmedWire, Reply};
 
@@ -153,9 +153,9 @@
 }
 
 /// The other daemons that follow the store, those of the own zone first.
-fn followers(node: &Node) -> Vec<Addressed> {
+fn followers(node: &Node) -> Vec<PeerAddress> {
     let me = node.fleet.membership.borrow().me();
-    let all = contact::followers(node).chain(gossip::followers_elsewhere(node));
+    let all = contact::followers(node).chain(gossip::followers_in_other_zones(node));
     all.filter(|(key, _)| *key != me).collect()
 }
 
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -13,7 +13,7 @@
 use rand::RngExt;
 use stoatstep_membership::MemberKey;
 
-use super::gossip::{self, Addressed};
+use super::gossip::{self, PeerAddress};
 use super::{role, versions};
 use crate::node::Node;
 use crate::wire::{Ask, Following, Reply};
@@ -87,14 +87,14 @@
 }
 
 /// The followers of the own zone, as far as this daemon knows.
-pub(super) fn followers(node: &Node) -> impl Iterator<Item = Addressed> {
+pub(super) fn followers(node: &Node) -> impl Iterator<Item = PeerAddress> {
     let eligible = eligible(node);
     let mut zone = gossip::own_zone(node);
     zone.retain(|(key, _)| eligible.contains(key));
     gossip::followers_of(zone)
 }
 
-fn next_follower(node: &Node, asked: &[MemberKey]) -> Option<Addressed> {
+fn next_follower(node: &Node, asked: &[MemberKey]) -> Option<PeerAddress> {
     let me = node.fleet.membership.borrow().me();
     let others = followers(node).filter(|(key, _)| *key != me && !asked.contains(key));
     let followers = others.collect();
@@ -151,7 +151,7 @@
     contact.lost_platform(me, now);
     drop(contact);
     if is_news && role::polls_for_zone(node) {
-        gossip::tell_fleet(node, &Ask::LostStore(me));
+        gossip::notify_fleet(node, &Ask::LostStore(me));
     }
 }
 
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -15,7 +15,7 @@
 use super::{role, schedule_refresh, versions};
 use crate::node::Node;
 use crate::rollout::{self, Source};
-use crate::wire::{Ask, News, Reply};
+use crate::wire::{Ask, Piggyback, Reply};
 use crate::{drain, executor, quarantine};
 
 /// Timeout of a probe. A round trip in a region takes a few milliseconds.
@@ -28,7 +28,7 @@
 const TABLE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A daemon with the address at which it listens for peers.
-pub(crate) type Addressed = (MemberKey, SocketAddr);
+pub(crate) type PeerAddress = (MemberKey, SocketAddr);
 
 /// Passes an input to the membership state machine and carries out the resulting actions.
 pub(crate) fn input(node: &Rc<Node>, input: Input) {
@@ -56,12 +56,12 @@
 
 /// Announces the held configuration to the peers of the own zone at once. Regular exchanges would
 /// take seconds to reach all of them.
-pub(crate) fn tell_zone(node: &Rc<Node>) {
-    tell(node, own_zone(node), &held_configuration(node));
+pub(crate) fn notify_zone(node: &Rc<Node>) {
+    notify(node, own_zone(node), &held_configuration(node));
 }
 
 /// The daemons of the own zone, this one included.
-pub(crate) fn own_zone(node: &Node) -> Vec<Addressed> {
+pub(crate) fn own_zone(node: &Node) -> Vec<PeerAddress> {
     let membership = node.fleet.membership.borrow();
     let zone = membership.table().in_zone(&node.cfg.zone);
     zone.map(|(key, it)| (key, it.member.peer)).collect()
@@ -71,14 +71,18 @@
 /// followers of a zone; callers there would then be served by an old version until regular
 /// exchanges bring the new one, which is too late. Announcing it to every daemon there would cost a
 /// message to each daemon of the fleet for every version.
-pub(crate) fn tell_other_zones(node: &Rc<Node>) {
-    tell(node, followers_elsewhere(node), &held_configuration(node));
+pub(crate) fn notify_other_zones(node: &Rc<Node>) {
+    notify(
+        node,
+        followers_in_other_zones(node),
+        &held_configuration(node),
+    );
 }
 
 /// The followers in the other zones.
-pub(crate) fn followers_elsewhere(node: &Node) -> Vec<Addressed> {
+pub(crate) fn followers_in_other_zones(node: &Node) -> Vec<PeerAddress> {
     let membership = node.fleet.membership.borrow();
-    let mut zones: BTreeMap<&str, Vec<Addressed>> = BTreeMap::new();
+    let mut zones: BTreeMap<&str, Vec<PeerAddress>> = BTreeMap::new();
     for (key, entry) in membership.table().present() {
         let zone = zones.entry(&entry.member.zone).or_default();
         zone.push((key, entry.member.peer));
@@ -88,9 +92,9 @@
 }
 
 /// The members of one zone that follow the store for it.
-pub(crate) fn followers_of(zone: Vec<Addressed>) -> impl Iterator<Item = Addressed> {
+pub(crate) fn followers_of(zone: Vec<PeerAddress>) -> impl Iterator<Item = PeerAddress> {
     let keys: Vec<_> = zone.iter().map(|(key, _)| *key).collect();
-    let follows = move |(key, _): &Addressed| PollRole::polls(*key, &keys);
+    let follows = move |(key, _): &PeerAddress| PollRole::polls(*key, &keys);
     zone.into_iter().filter(follows)
 }
 
@@ -101,7 +105,7 @@
 }
 
 /// Sends a message without waiting for the answer.
-pub(crate) fn tell(node: &Rc<Node>, peers: Vec<Addressed>, message: &Ask) {
+pub(crate) fn notify(node: &Rc<Node>, peers: Vec<PeerAddress>, message: &Ask) {
     let me = node.fleet.membership.borrow().me();
     for (_, addr) in peers.into_iter().filter(|(key, _)| *key != me) {
         let (node, message) = (Rc::clone(node), message.clone());
@@ -114,43 +118,43 @@
 
 /// Sends a message to the daemons of the own zone and to the followers of each other zone, which
 /// [forward it](relay).
-pub(crate) fn tell_fleet(node: &Rc<Node>, message: &Ask) {
-    tell(node, own_zone(node), message);
-    tell(node, followers_elsewhere(node), message);
+pub(crate) fn notify_fleet(node: &Rc<Node>, message: &Ask) {
+    notify(node, own_zone(node), message);
+    notify(node, followers_in_other_zones(node), message);
 }
 
 /// Forwards a message from another zone to the own zone, if this daemon is one of those that
 /// receive messages for it.
 pub(crate) fn relay(node: &Rc<Node>, message: &Ask) {
-    if role::hears_for_zone(node) {
-        tell(node, own_zone(node), message);
+    if role::receives_for_zone(node) {
+        notify(node, own_zone(node), message);
     }
 }
 
 /// State that is sent along with an exchange.
-pub(crate) fn news(node: &Node) -> News {
+pub(crate) fn piggyback(node: &Node) -> Piggyback {
     let now = node.clock.now();
-    News {
-        rollouts: node.rollouts.news(now),
-        findings: node.requests.news(now),
+    Piggyback {
+        rollouts: node.rollouts.updates(now),
+        findings: node.quarantine.updates(now),
     }
 }
 
 /// Applies the state that came along with an exchange.
-pub(crate) fn hear_news(node: &Rc<Node>, news: News) {
-    hear_rollouts(node, news.rollouts);
-    quarantine::hear(node, &news.findings, quarantine::Way::Exchange);
+pub(crate) fn apply_piggyback(node: &Rc<Node>, piggyback: Piggyback) {
+    apply_rollouts(node, piggyback.rollouts);
+    quarantine::apply_findings(node, &piggyback.findings, quarantine::Delivery::Exchange);
 }
 
 /// Applies the roll-out progress that a peer reports.
-pub(crate) fn hear_rollouts(node: &Rc<Node>, rollouts: Vec<Progress>) {
+pub(crate) fn apply_rollouts(node: &Rc<Node>, rollouts: Vec<Progress>) {
     for progress in rollouts {
-        rollout::hear(node, &progress, Source::Peer);
+        rollout::apply_progress(node, &progress, Source::Peer);
     }
 }
 
 /// Handles a peer's unsolicited announcement of the configuration that it holds.
-pub(crate) fn told(node: &Rc<Node>, peer: MemberKey, mark: Mark) {
+pub(crate) fn peer_announced(node: &Rc<Node>, peer: MemberKey, mark: Mark) {
     let addr = {
         let membership = node.fleet.membership.borrow();
         membership.table().get(peer).map(|it| it.member.peer)
@@ -272,10 +276,10 @@
     message: GossipRequest,
     bound: Duration,
 ) -> Option<GossipReply> {
-    let ask = Ask::Gossip(message, news(node));
+    let ask = Ask::Gossip(message, piggyback(node));
     match node.links.ask_within(addr, ask, bound).await {
-        Ok(Reply::Gossip(reply, news)) => {
-            hear_news(node, news);
+        Ok(Reply::Gossip(reply, piggyback)) => {
+            apply_piggyback(node, piggyback);
             Some(reply)
         }
         Ok(_) | Err(_) => None,
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -252,7 +252,7 @@
         places.insert(announced.upstream.clone(), place);
         let (service, software) = (&announced.service, &announced.software);
         let is_held =
-            new_versions.should_hold(service, software, now) && !node.rollouts.is_ordered(service);
+            new_versions.should_hold(service, software, now) && !node.rollouts.has_order(service);
         is_holding |= is_held;
         let candidates = services.entry(service.clone()).or_default();
         candidates.push(Candidate {
--- a/crates/mesh/src/fleet/role.rs
+++ b/crates/mesh/src/fleet/role.rs
@@ -49,7 +49,7 @@
 }
 
 /// Whether this daemon probably knows only a part of its zone.
-pub(crate) fn is_meeting_zone(node: &Node) -> bool {
+pub(crate) fn is_discovering_zone(node: &Node) -> bool {
     let membership = node.fleet.membership.borrow();
     let may_miss_members = node.cfg.is_first_start || membership.is_meeting_zone();
     may_miss_members && node.clock.now() < zone_discovery_end(node)
@@ -58,7 +58,7 @@
 /// Whether this daemon waits for changes of the store on behalf of its zone; false for one that has
 /// just started.
 pub(super) fn polls_for_zone(node: &Node) -> bool {
-    node.fleet.role.get() == Some(PollRole::Poller) && !is_meeting_zone(node)
+    node.fleet.role.get() == Some(PollRole::Poller) && !is_discovering_zone(node)
 }
 
 /// Whether this daemon is chosen to follow the store for its zone.
@@ -98,7 +98,7 @@
 
 /// Whether other daemons send this one the messages for its zone: it is among the zone's followers,
 /// even if the store does not answer it.
-pub(crate) fn hears_for_zone(node: &Node) -> bool {
+pub(crate) fn receives_for_zone(node: &Node) -> bool {
     let zone = gossip::own_zone(node).into_iter();
     let zone: Vec<_> = zone.map(|(key, _)| key).collect();
     let me = node.fleet.membership.borrow().me();
--- a/crates/mesh/src/fleet/roster.rs
+++ b/crates/mesh/src/fleet/roster.rs
@@ -12,7 +12,7 @@
 use super::{gossip, role};
 use crate::fleet_store::{FleetStore, FleetStoreError, RosterContents};
 use crate::node::Node;
-use crate::quarantine::{self, Way};
+use crate::quarantine::{self, Delivery};
 
 /// Timeout of a request to the store.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
@@ -110,7 +110,7 @@
     fn rewrite_rows(&mut self) {
         self.is_announced = false;
         self.due = self.node.clock.now();
-        self.node.requests.keep_all(self.due);
+        self.node.quarantine.schedule_store_all(self.due);
     }
 
     /// Does what is due and returns the delay until the next step.
@@ -149,7 +149,7 @@
     /// daemons that both read before either is on the roster miss each other, but are then alone
     /// and read again.
     async fn read_members(&mut self) -> Option<usize> {
-        let listed = self.read(Way::Exchange).await?;
+        let listed = self.read(Delivery::Exchange).await?;
         let rows: Vec<_> = listed.members.into_iter().map(|it| it.row).collect();
         let cfg = &self.node.cfg;
         let is_own = |it: &Row| it.instance == cfg.instance && it.peer == cfg.addresses.peers;
@@ -174,13 +174,13 @@
             return;
         }
         self.caught_up_at = now;
-        self.read(Way::Direct).await;
+        self.read(Delivery::Direct).await;
     }
 
-    /// Reads the roster and applies its requests as if they had come from a peer by `way`.
-    async fn read(&self, way: Way) -> Option<RosterContents> {
+    /// Reads the roster and applies its requests as if they had come from a peer by `delivery`.
+    async fn read(&self, delivery: Delivery) -> Option<RosterContents> {
         let listed = self.send("read", self.store.roster()).await?;
-        quarantine::hear_kept(&self.node, &listed.requests, way);
+        quarantine::apply_stored(&self.node, &listed.requests, delivery);
         Some(listed)
     }
 
@@ -210,14 +210,14 @@
         if self.node.clock.now() < self.store_after.get() {
             return;
         }
-        while let Some(next) = self.node.requests.next_to_keep() {
-            let kept = quarantine::kept(&self.node, next);
-            let done = match &kept {
+        while let Some(next) = self.node.quarantine.next_to_store() {
+            let stored = quarantine::stored(&self.node, next);
+            let done = match &stored {
                 Some(request) => self.send("kept", self.store.store_request(request)).await,
                 None => self.send("kept", self.store.delete_request(next)).await,
             };
             if done.is_none() {
-                self.node.requests.keep(next);
+                self.node.quarantine.schedule_store(next);
                 self.store_after.set(self.node.clock.now() + RETRY_DELAY);
                 return;
             }
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -65,10 +65,10 @@
 fn announce(node: &Rc<Node>, source: Source) {
     match source {
         Source::Host => {
-            gossip::tell_zone(node);
-            gossip::tell_other_zones(node);
+            gossip::notify_zone(node);
+            gossip::notify_other_zones(node);
         }
-        Source::Peer if role::hears_for_zone(node) => gossip::tell_zone(node),
+        Source::Peer if role::receives_for_zone(node) => gossip::notify_zone(node),
         Source::Peer => {}
     }
 }
@@ -167,7 +167,7 @@
             return;
         }
     };
-    gossip::hear_rollouts(node, rollouts);
+    gossip::apply_rollouts(node, rollouts);
     // The store or another peer was faster. A difference from the earlier state no longer applies,
     // and the next exchange tells whether the peer has a still newer one.
     if held(node) != asked_with {
--- a/crates/mesh/src/link/serve.rs
+++ b/crates/mesh/src/link/serve.rs
@@ -103,9 +103,9 @@
             Reply::Settled(executor::settle(&node, attempt, ticket).await)
         }),
         Ask::Gossip(message, news) => later(connection, id, async move {
-            fleet::gossip::hear_news(&node, news);
+            fleet::gossip::apply_piggyback(&node, news);
             let reply = fleet::gossip::answer(&node, message).await;
-            Reply::Gossip(reply, fleet::gossip::news(&node))
+            Reply::Gossip(reply, fleet::gossip::piggyback(&node))
         }),
         Ask::Newer(held) => {
             let newer = fleet::versions::newer_than(&node, held);
@@ -118,11 +118,11 @@
             connection.reply(id, Reply::Newer(newer, rollouts));
         }
         Ask::Rollout(progress) => {
-            rollout::hear(&node, &progress, Source::Peer);
+            rollout::apply_progress(&node, &progress, Source::Peer);
             connection.reply(id, Reply::Pong);
         }
         Ask::Findings(findings) => {
-            quarantine::hear(&node, &findings, quarantine::Way::Direct);
+            quarantine::apply_findings(&node, &findings, quarantine::Delivery::Direct);
             connection.reply(id, Reply::Pong);
         }
         Ask::Evidence(service, order) => {
@@ -130,7 +130,7 @@
             connection.reply(id, Reply::Evidence(evidence));
         }
         Ask::Holds(peer, mark) => {
-            fleet::gossip::told(&node, peer, mark);
+            fleet::gossip::peer_announced(&node, peer, mark);
             connection.reply(id, Reply::Pong);
         }
         Ask::Occupancy => {
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -19,7 +19,7 @@
 use crate::journal::Journal;
 use crate::link::{self, Links, SharedUplink};
 use crate::mechanism::Mechanism;
-use crate::quarantine::Requests;
+use crate::quarantine::QuarantineState;
 use crate::quota::{self, Quotas};
 use crate::rollout::{self, Rollouts};
 use crate::{drain, fleet::gossip};
@@ -45,7 +45,7 @@
     pub(crate) executor: Executor,
     pub(crate) fleet: Fleet,
     pub(crate) rollouts: Rollouts,
-    pub(crate) requests: Requests,
+    pub(crate) quarantine: QuarantineState,
     pub(crate) quotas: Quotas,
     pub(crate) in_flight: Cell<u32>,
     /// Answers to callers that are not yet fully written.
@@ -91,7 +91,7 @@
             executor: Executor::new(&cfg, clock, log.clone()),
             fleet: Fleet::new(&cfg),
             rollouts: Rollouts::default(),
-            requests: Requests::default(),
+            quarantine: QuarantineState::default(),
             quotas: Quotas::default(),
             in_flight: Cell::new(0),
             unwritten: callers.unwritten(),
@@ -183,7 +183,7 @@
         gossip::tick(&node);
         gossip::target_changed(&node);
         executor::tick(&node);
-        node.requests.tick(node.clock.now());
+        node.quarantine.tick(node.clock.now());
         quota::tick(&node);
     }
 }
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -22,7 +22,7 @@
 
 /// How a finding of a peer arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Way {
+pub(crate) enum Delivery {
     /// In a message of its own, sent as soon as it was found.
     Direct,
     /// As part of a regular exchange.
@@ -31,7 +31,7 @@
 
 /// What this daemon knows of requests under which targets end.
 #[derive(Default)]
-pub(crate) struct Requests {
+pub(crate) struct QuarantineState {
     known: RefCell<Quarantine>,
     /// Requests that were running at the local target when it ended.
     interrupted: RefCell<BTreeSet<Fingerprint>>,
@@ -39,25 +39,25 @@
     to_store: RefCell<BTreeSet<Fingerprint>>,
 }
 
-impl Requests {
+impl QuarantineState {
     /// Findings to send in the regular exchanges.
-    pub(crate) fn news(&self, now: Time) -> Vec<Finding> {
+    pub(crate) fn updates(&self, now: Time) -> Vec<Finding> {
         self.known.borrow().news(now)
     }
 
     /// Schedules the state of a request to be written to the store.
-    pub(crate) fn keep(&self, request: Fingerprint) {
+    pub(crate) fn schedule_store(&self, request: Fingerprint) {
         self.to_store.borrow_mut().insert(request);
     }
 
     /// Schedules all quarantined requests to be written to the store.
-    pub(crate) fn keep_all(&self, now: Time) {
+    pub(crate) fn schedule_store_all(&self, now: Time) {
         let held = self.known.borrow();
         self.to_store.borrow_mut().extend(held.held(now));
     }
 
     /// Takes the next request whose state has to be written to the store.
-    pub(crate) fn next_to_keep(&self) -> Option<Fingerprint> {
+    pub(crate) fn next_to_store(&self) -> Option<Fingerprint> {
         self.to_store.borrow_mut().pop_first()
     }
 
@@ -76,14 +76,14 @@
 /// queue.
 pub(crate) fn refusal(node: &Node, call: &CallParts) -> Option<Refusal> {
     let content = tracked_fingerprint(node, call)?;
-    let known = node.requests.known.borrow();
+    let known = node.quarantine.known.borrow();
     let left = known.holds(content, node.clock.now())?;
     Some(Refusal::retry(Reason::Quarantined, left))
 }
 
 /// The fingerprint of a call, if any suspected request is known.
 fn tracked_fingerprint(node: &Node, call: &CallParts) -> Option<Fingerprint> {
-    let is_any_suspected = !node.requests.known.borrow().is_empty();
+    let is_any_suspected = !node.quarantine.known.borrow().is_empty();
     let is_tracked = is_any_suspected && node.cfg.is_enabled(Mechanism::Quarantine);
     is_tracked.then(|| call.fingerprint())
 }
@@ -93,12 +93,12 @@
 /// together with all its copies.
 pub(crate) fn suspected(node: &Node, call: &CallParts) -> Option<Fingerprint> {
     let content = tracked_fingerprint(node, call)?;
-    let lives = node.requests.known.borrow().lives(content);
+    let lives = node.quarantine.known.borrow().lives(content);
     (lives > 0).then_some(content)
 }
 
 /// A refusal for a suspected request that is already running.
-pub(crate) fn refusal_beside_itself() -> Refusal {
+pub(crate) fn refusal_while_running() -> Refusal {
     Refusal::retry(Reason::Quarantined, RUNNING_RETRY)
 }
 
@@ -114,39 +114,39 @@
         lives: lives.clone(),
         ago: Duration::ZERO,
     };
-    node.requests.interrupted.borrow_mut().extend(requests);
-    let news = requests.iter().map(ended);
-    let news: Vec<_> = news.filter(|it| apply(node, it)).collect();
+    node.quarantine.interrupted.borrow_mut().extend(requests);
+    let new_findings = requests.iter().map(ended);
+    let new_findings: Vec<_> = new_findings.filter(|it| apply(node, it)).collect();
     // The findings include earlier generations, for daemons that missed the messages about those.
-    let known = node.requests.known.borrow();
-    let findings = news
+    let known = node.quarantine.known.borrow();
+    let findings = new_findings
         .iter()
         .filter_map(|it| known.finding(it.request(), now));
     let findings: Vec<_> = findings.collect();
     drop(known);
     if !findings.is_empty() {
-        gossip::tell_fleet(node, &Ask::Findings(findings));
+        gossip::notify_fleet(node, &Ask::Findings(findings));
     }
 }
 
 /// The row of a request for the store; `None` if the request is not quarantined.
-pub(crate) fn kept(node: &Node, request: Fingerprint) -> Option<KeptRequest> {
-    let known = node.requests.known.borrow();
+pub(crate) fn stored(node: &Node, request: Fingerprint) -> Option<KeptRequest> {
+    let known = node.quarantine.known.borrow();
     known.kept(request, node.clock.now(), unix_time())
 }
 
-/// Applies the requests held in the store as if they had come from a peer by `way`, and schedules
-/// expired ones for deletion.
-pub(crate) fn hear_kept(node: &Rc<Node>, requests: &[KeptRequest], way: Way) {
+/// Applies the requests held in the store as if they had come from a peer by `delivery`, and
+/// schedules expired ones for deletion.
+pub(crate) fn apply_stored(node: &Rc<Node>, requests: &[KeptRequest], delivery: Delivery) {
     let now = unix_time();
     let mut findings = Vec::new();
     for kept in requests {
         findings.push(kept.finding(now));
         if kept.is_over(now, LIVES) {
-            node.requests.keep(kept.request);
+            node.quarantine.schedule_store(kept.request);
         }
     }
-    hear(node, &findings, way);
+    apply_findings(node, &findings, delivery);
 }
 
 /// Records that a target answered a call. If the request is quarantined somewhere, or soon might
@@ -154,7 +154,7 @@
 /// answered yet, and a common one may have been running at three targets that ended; with regular
 /// exchanges alone it would be refused for seconds.
 pub(crate) fn answered(node: &Rc<Node>, call: &CallParts) {
-    let known = node.requests.known.borrow();
+    let known = node.quarantine.known.borrow();
     if known.is_empty() {
         return;
     }
@@ -170,26 +170,26 @@
     let finding = Finding::Answered { request, ago };
     apply(node, &finding);
     if is_held {
-        node.requests.keep(request);
+        node.quarantine.schedule_store(request);
     }
     if is_near {
-        gossip::tell_fleet(node, &Ask::Findings(vec![finding]));
+        gossip::notify_fleet(node, &Ask::Findings(vec![finding]));
     }
 }
 
 /// Applies findings of a peer, and forwards those that are new.
-pub(crate) fn hear(node: &Rc<Node>, findings: &[Finding], way: Way) {
-    let news = findings.iter().filter(|it| apply(node, it));
-    let news: Vec<_> = news.cloned().collect();
-    if way == Way::Direct && !news.is_empty() {
-        gossip::relay(node, &Ask::Findings(news));
+pub(crate) fn apply_findings(node: &Rc<Node>, findings: &[Finding], delivery: Delivery) {
+    let new_findings = findings.iter().filter(|it| apply(node, it));
+    let new_findings: Vec<_> = new_findings.cloned().collect();
+    if delivery == Delivery::Direct && !new_findings.is_empty() {
+        gossip::relay(node, &Ask::Findings(new_findings));
     }
 }
 
 /// Applies a finding, and returns whether it is new.
 fn apply(node: &Node, finding: &Finding) -> bool {
     let now = node.clock.now();
-    let mut known = node.requests.known.borrow_mut();
+    let mut known = node.quarantine.known.borrow_mut();
     let learned = known.hear(finding, now);
     let lives = known.lives(finding.request());
     drop(known);
@@ -200,12 +200,12 @@
             // Every daemon whose target ended writes the row: any of them may fail at any moment,
             // and the row is the same.
             if node
-                .requests
+                .quarantine
                 .interrupted
                 .borrow()
                 .contains(&finding.request())
             {
-                node.requests.keep(finding.request());
+                node.quarantine.schedule_store(finding.request());
             }
             node.journal.count("requests.quarantined");
             slog::warn!(node.log, "request quarantined"; fields::CONTENT => %finding.request(),
--- a/crates/mesh/src/rollout/evaluation.rs
+++ b/crates/mesh/src/rollout/evaluation.rs
@@ -12,7 +12,7 @@
 
 use super::transition::{self, Transition};
 use super::view::{Peer, View};
-use super::{Source, evidence, hear};
+use super::{Source, apply_progress, evidence};
 use crate::clock::unix_time;
 use crate::fleet_store::FleetStore;
 use crate::node::Node;
@@ -113,7 +113,7 @@
                     }
                     (Verdict::Good, Step::All) => begin(Transition::GoOn),
                     (_, Step::Load | Step::All) if self.progress.step == Step::Trial => {
-                        hear(node, &self.progress.at(Step::Load), Source::Own);
+                        apply_progress(node, &self.progress.at(Step::Load), Source::Own);
                     }
                     _ => {}
                 }
@@ -179,14 +179,14 @@
             fields::ROUTE => seen.route.as_deref(),
             fields::NEW_BAD => seen.new.0, fields::NEW_RUNS => seen.new.1,
             fields::OLD_BAD => seen.old.0, fields::OLD_RUNS => seen.old.1);
-        hear(node, &self.progress.at(Step::Halted), Source::Own);
+        apply_progress(node, &self.progress.at(Step::Halted), Source::Own);
     }
 
     fn abandon(&self, node: &Rc<Node>, why: &'static str) {
         slog::warn!(node.log, "roll-out given up"; fields::SERVICE => %self.progress.order.service,
             fields::ORDER => self.progress.order.id, fields::STEP => self.progress.step.as_str(),
             fields::REASON => why);
-        hear(node, &self.progress.at(Step::Halted), Source::Own);
+        apply_progress(node, &self.progress.at(Step::Halted), Source::Own);
     }
 
     /// Whether the old side is idle, or cannot be waited for any longer. At completion its targets
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -47,7 +47,7 @@
 
 impl Rollouts {
     /// Progress to send in the regular exchanges.
-    pub(crate) fn news(&self, now: Time) -> Vec<Progress> {
+    pub(crate) fn updates(&self, now: Time) -> Vec<Progress> {
         self.book.borrow().news(now)
     }
 
@@ -88,12 +88,12 @@
     }
 
     /// Whether an order for the service is known.
-    pub(crate) fn is_ordered(&self, service: &str) -> bool {
+    pub(crate) fn has_order(&self, service: &str) -> bool {
         self.book.borrow().get(service).is_some()
     }
 
     /// Whether the service has an active roll-out, so that answers of its targets are counted.
-    pub(crate) fn is_judged(&self, service: &str) -> bool {
+    pub(crate) fn is_active(&self, service: &str) -> bool {
         let lanes = self.lanes.borrow();
         let lane = lanes.get(service);
         lane.is_some_and(|it| matches!(it.step, Step::Trial | Step::Load | Step::All))
@@ -113,13 +113,13 @@
 
 /// Applies order changes of the store. `age` is the longest time for which an order without a
 /// status may have been waiting.
-pub(crate) fn hear_host(node: &Rc<Node>, news: Vec<OrderChange>, age: Duration) {
-    for news in news {
-        match news {
+pub(crate) fn apply_orders(node: &Rc<Node>, changes: Vec<OrderChange>, age: Duration) {
+    for change in changes {
+        match change {
             OrderChange::Ordered { order, status } => {
-                hear(node, &progress_of(order, status, age), Source::Host);
+                apply_progress(node, &progress_of(order, status, age), Source::Host);
             }
-            OrderChange::Withdrawn(service) => withdrawn(node, &service),
+            OrderChange::Withdrawn(service) => apply_withdrawal(node, &service),
         }
     }
 }
@@ -136,17 +136,17 @@
     }
 }
 
-fn withdrawn(node: &Rc<Node>, service: &str) {
+fn apply_withdrawal(node: &Rc<Node>, service: &str) {
     let known = node.rollouts.book.borrow().get(service).cloned();
     if let Some(known) = known.filter(|it| !it.step.is_final()) {
         slog::info!(node.log, "roll-out withdrawn"; fields::SERVICE => service,
             fields::ORDER => known.order.id, fields::STEP => known.step.as_str());
-        hear(node, &known.at(Step::Halted), Source::Own);
+        apply_progress(node, &known.at(Step::Halted), Source::Own);
     }
 }
 
 /// Applies a progress report, and forwards it if it is new.
-pub(crate) fn hear(node: &Rc<Node>, progress: &Progress, source: Source) {
+pub(crate) fn apply_progress(node: &Rc<Node>, progress: &Progress, source: Source) {
     let now = node.clock.now();
     let change = node.rollouts.book.borrow_mut().hear(progress.clone(), now);
     let Change::Moved { from } = change else {
--- a/crates/mesh/src/rollout/propagation.rs
+++ b/crates/mesh/src/rollout/propagation.rs
@@ -19,12 +19,12 @@
 pub(super) fn propagate(node: &Rc<Node>, progress: &Progress, source: Source) {
     let told = Ask::Rollout(progress.clone());
     match source {
-        Source::Host | Source::Own => gossip::tell_fleet(node, &told),
+        Source::Host | Source::Own => gossip::notify_fleet(node, &told),
         Source::Peer => gossip::relay(node, &told),
     }
     if source == Source::Own {
         let view = View::of(node, &progress.order.service, &progress.order.target);
         let new = view.new.into_iter().map(|it| (it.key, it.addr));
-        gossip::tell(node, new.collect(), &told);
+        gossip::notify(node, new.collect(), &told);
     }
 }
--- a/crates/mesh/src/rollout/transition.rs
+++ b/crates/mesh/src/rollout/transition.rs
@@ -7,7 +7,7 @@
 use stoatstep_telemetry::fields;
 use tokio::time::timeout;
 
-use super::{Source, hear};
+use super::{Source, apply_progress};
 use crate::fleet_store::{FleetStore, FleetStoreError, RolloutState, RolloutStatus};
 use crate::node::Node;
 
@@ -62,7 +62,7 @@
     let (node, store, progress) = (Rc::clone(node), Rc::clone(store), progress.clone());
     ntex::rt::spawn(async move {
         match write_status(&*store, &progress, transition).await {
-            Ok(progress) => hear(&node, &progress, Source::Own),
+            Ok(progress) => apply_progress(&node, &progress, Source::Own),
             Err(err) => {
                 slog::warn!(node.log, "roll-out not settled"; fields::SERVICE => %progress.order.service,
                     fields::ORDER => progress.order.id, fields::STEP => transition.step().as_str(),
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -46,7 +46,7 @@
     Settle(AttemptId, Ticket),
     /// A membership message, with other new state.
     #[serde(rename = "g")]
-    Gossip(GossipRequest, News),
+    Gossip(GossipRequest, Piggyback),
     /// Asks for the configuration, if it is newer than this one.
     #[serde(rename = "n")]
     Newer(Mark),
@@ -97,7 +97,7 @@
     Settled(WireSettled),
     /// Answers [`Ask::Gossip`].
     #[serde(rename = "g")]
-    Gossip(GossipReply, News),
+    Gossip(GossipReply, Piggyback),
     /// Answers [`Ask::Newer`], with all roll-outs if the sender of the request has just started.
     #[serde(rename = "n")]
     Newer(Newer, Vec<Progress>),
@@ -139,7 +139,7 @@
 /// State that is sent along with regular exchanges, so that a daemon that missed the message about
 /// a change receives it within seconds.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub(crate) struct News {
+pub(crate) struct Piggyback {
     /// Progress of the active roll-outs.
     pub(crate) rollouts: Vec<Progress>,
     /// Findings about requests under which targets end.
