--- a/crates/mesh/src/entry/attempt.rs
+++ b/crates/mesh/src/entry/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::call::Call;
 use crate::executor;
-use crate::fleet::Place;
+use crate::fleet::TargetLocation;
 use crate::journal::AttemptFailed;
 use crate::link::LinkError;
 use crate::mechanism::Mechanism;
@@ -66,7 +66,7 @@
     node: &Rc<Node>,
     call: &Call,
     upstream: &UpstreamName,
-    place: Place,
+    place: TargetLocation,
 ) -> Ended {
     let mut outstanding = Outstanding::new(node, call, upstream);
     let (ended, occupancy) = attempt(node, call, upstream, place).await;
@@ -82,7 +82,7 @@
     node: &Rc<Node>,
     call: &Call,
     upstream: &UpstreamName,
-    place: Place,
+    place: TargetLocation,
 ) -> (Ended, Option<Occupancy>) {
     for _ in 0..TICKETS {
         let Some(left) = call.deadline.for_next_hop(node.clock.now()) else {
@@ -100,8 +100,8 @@
             call: Rc::clone(&call.parts),
         };
         let (ended, occupancy) = match place {
-            Place::Local => off_link(of_ran(local(node, attempt).await)),
-            Place::Remote(addr) => remote(node, call, addr, attempt).await,
+            TargetLocation::Local => off_link(of_ran(local(node, attempt).await)),
+            TargetLocation::Remote(addr) => remote(node, call, addr, attempt).await,
         };
         let is_stale = matches!(&ended.end, End::Refused(it) if it.reason == Reason::StaleTicket);
         if !is_stale {
@@ -137,14 +137,14 @@
 
 /// Before an executor's first answer there is no ticket, and one that it will
 /// refuse stands in.
-fn ticket(node: &Node, place: Place) -> Ticket {
+fn ticket(node: &Node, place: TargetLocation) -> Ticket {
     let refused = Ticket {
         incarnation: 0,
         stamp: Duration::ZERO,
     };
     match place {
-        Place::Local => node.executor.ticket(node.clock.now()),
-        Place::Remote(addr) => {
+        TargetLocation::Local => node.executor.ticket(node.clock.now()),
+        TargetLocation::Remote(addr) => {
             let tables = node.entry.tables.borrow();
             tables.tickets.get(&addr).copied().unwrap_or(refused)
         }
--- a/crates/mesh/src/entry/carry.rs
+++ b/crates/mesh/src/entry/carry.rs
@@ -12,7 +12,7 @@
 use super::call::Call;
 use super::divided::Divided;
 use super::probes;
-use crate::fleet::Place;
+use crate::fleet::TargetLocation;
 use crate::identity;
 use crate::journal::Times;
 use crate::mechanism::Mechanism;
@@ -135,7 +135,7 @@
     call: &Call,
     tried: &[UpstreamName],
     divided: &mut Divided,
-) -> Option<(Pick, Place)> {
+) -> Option<(Pick, TargetLocation)> {
     let pick = choose_among(node, call, tried, divided.among());
     if pick.is_some() || !divided.turns_back() {
         return pick;
@@ -148,7 +148,7 @@
     call: &Call,
     tried: &[UpstreamName],
     among: Among<'_>,
-) -> Option<(Pick, Place)> {
+) -> Option<(Pick, TargetLocation)> {
     let now = node.clock.now();
     let mut tables = node.entry.tables.borrow_mut();
     let Tables {
@@ -171,7 +171,7 @@
         among,
     };
     let pick = placement.pick(&call.parts.service, tried, wish, now, rng)?;
-    let place = node.fleet.place(&pick.upstream)?;
+    let place = node.fleet.target_location(&pick.upstream)?;
     Some((pick, place))
 }
 
--- a/crates/mesh/src/entry/probes.rs
+++ b/crates/mesh/src/entry/probes.rs
@@ -9,7 +9,7 @@
 use stoatstep_resource::{ServiceName, UpstreamName};
 
 use super::Tables;
-use crate::fleet::Place;
+use crate::fleet::TargetLocation;
 use crate::mechanism::Mechanism;
 use crate::node::Node;
 use crate::wire::{Ask, Reply};
@@ -38,10 +38,10 @@
 }
 
 async fn ask_one(node: &Rc<Node>, service: &ServiceName, target: &UpstreamName) {
-    let occupancy = match node.fleet.place(target) {
+    let occupancy = match node.fleet.target_location(target) {
         // Answers of the own target do not leave the instance.
-        Some(Place::Local) => node.executor.occupancy(),
-        Some(Place::Remote(addr)) => {
+        Some(TargetLocation::Local) => node.executor.occupancy(),
+        Some(TargetLocation::Remote(addr)) => {
             let asked = node.links.ask_within(addr, Ask::Occupancy, ANSWER_BOUND);
             match asked.await {
                 Ok(Reply::Occupancy(occupancy)) => occupancy,
--- a/crates/mesh/src/entry/quota.rs
+++ b/crates/mesh/src/entry/quota.rs
@@ -8,7 +8,7 @@
 
 use super::call::Call;
 use crate::node::Node;
-use crate::quota::{self, Verdict};
+use crate::quota::{self, TokenOutcome};
 
 /// Pause asked for where the home did not answer.
 const UNKNOWN_RETRY: Duration = Duration::from_millis(200);
@@ -36,13 +36,13 @@
     };
     let customer = &identity.customer;
     let verdict = match node.quotas.take(customer, node.clock.now()) {
-        Taken::Token => Verdict::Granted,
-        Taken::Refused(pause) => Verdict::Refused(pause),
+        Taken::Token => TokenOutcome::Granted,
+        Taken::Refused(pause) => TokenOutcome::Refused(pause),
         Taken::Ask => quota::wait(node, customer).await,
     };
     match verdict {
-        Verdict::Granted => Ok(Charge(Some(customer.clone()))),
-        Verdict::Refused(pause) => Err(Refusal::retry(Reason::OverQuota, pause)),
-        Verdict::Unknown => Err(Refusal::retry(Reason::QuotaUnknown, UNKNOWN_RETRY)),
+        TokenOutcome::Granted => Ok(Charge(Some(customer.clone()))),
+        TokenOutcome::Refused(pause) => Err(Refusal::retry(Reason::OverQuota, pause)),
+        TokenOutcome::Unknown => Err(Refusal::retry(Reason::QuotaUnknown, UNKNOWN_RETRY)),
     }
 }
--- a/crates/mesh/src/fleet/confirmation.rs
+++ b/crates/mesh/src/fleet/confirmation.rs
@@ -16,7 +16,7 @@
 use super::contact;
 use super::gossip::{self, PeerAddress};
 use crate::node::Node;
-use crate::wire::{Ask, Confirmed as ConfirmedWire, Reply};
+use crate::wire::{Ask, ConfirmedVersion, Reply};
 
 /// How often a daemon checks whether it has to ask.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
@@ -115,10 +115,10 @@
 }
 
 /// The confirmation that this daemon reports to peers.
-pub(crate) fn own(node: &Node) -> Option<ConfirmedWire> {
+pub(crate) fn own(node: &Node) -> Option<ConfirmedVersion> {
     let in_force = node.fleet.in_force()?;
     let state = node.fleet.confirmation_state.borrow();
-    Some(ConfirmedWire {
+    Some(ConfirmedVersion {
         version: in_force.version(),
         age: state.confirmation.age(node.clock.now())?,
     })
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -37,7 +37,7 @@
 
 /// Where to send attempts for a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
+pub(crate) enum TargetLocation {
     /// The target runs beside this daemon.
     Local,
     /// The target's daemon listens at this address.
@@ -52,7 +52,7 @@
     /// Compressed configuration that was last sent to a peer, reused for peers that hold the same
     /// version.
     compressed_update: RefCell<Option<CompressedUpdate>>,
-    places: RefCell<HashMap<UpstreamName, Place>>,
+    target_locations: RefCell<HashMap<UpstreamName, TargetLocation>>,
     /// Whether a rebuild of the candidates is scheduled.
     is_refresh_scheduled: Cell<bool>,
     /// When the candidates were last rebuilt.
@@ -97,7 +97,7 @@
             in_force: RefCell::default(),
             earlier_states: RefCell::default(),
             compressed_update: RefCell::default(),
-            places: RefCell::default(),
+            target_locations: RefCell::default(),
             is_refresh_scheduled: Cell::new(false),
             refreshed_at: Cell::new(None),
             new_versions: RefCell::default(),
@@ -124,8 +124,8 @@
     }
 
     /// Where to send attempts for a target.
-    pub(crate) fn place(&self, upstream: &str) -> Option<Place> {
-        self.places.borrow().get(upstream).copied()
+    pub(crate) fn target_location(&self, upstream: &str) -> Option<TargetLocation> {
+        self.target_locations.borrow().get(upstream).copied()
     }
 
     /// Whether a member belongs to this daemon's own zone.
@@ -239,17 +239,17 @@
     let mut new_versions = node.fleet.new_versions.borrow_mut();
     let mut is_holding = false;
     let mut services: HashMap<ServiceName, Vec<Candidate>> = HashMap::new();
-    let mut places = HashMap::new();
+    let mut target_locations = HashMap::new();
     for (key, entry) in membership.table().present() {
         let Some(announced) = &entry.member.announced else {
             continue;
         };
-        let place = if key == membership.me() {
-            Place::Local
+        let location = if key == membership.me() {
+            TargetLocation::Local
         } else {
-            Place::Remote(entry.member.peer)
+            TargetLocation::Remote(entry.member.peer)
         };
-        places.insert(announced.upstream.clone(), place);
+        target_locations.insert(announced.upstream.clone(), location);
         let (service, software) = (&announced.service, &announced.software);
         let is_held =
             new_versions.should_hold(service, software, now) && !node.rollouts.has_order(service);
@@ -274,7 +274,7 @@
     drop((membership, new_versions));
     rollout::rebuild(node);
     quota::members_changed(node);
-    *node.fleet.places.borrow_mut() = places;
+    *node.fleet.target_locations.borrow_mut() = target_locations;
     node.entry.set_candidates(&services, now);
     if is_holding {
         refresh_after_hold(node);
--- a/crates/mesh/src/quota.rs
+++ b/crates/mesh/src/quota.rs
@@ -27,7 +27,7 @@
 
 /// Result of waiting for a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Verdict {
+pub(crate) enum TokenOutcome {
     /// The call has a token.
     Granted,
     /// The quota is used up, and tokens are available after this time.
@@ -46,7 +46,7 @@
 /// The calls of one customer at this entry that wait for tokens, and the tokens in stock.
 struct CustomerQueue {
     purse: Purse,
-    waiting: VecDeque<oneshot::Sender<Verdict>>,
+    waiting: VecDeque<oneshot::Sender<TokenOutcome>>,
     is_request_open: bool,
     /// Tokens that may be used while the home does not answer.
     reserve: Bucket,
@@ -68,16 +68,16 @@
             && let Some(call) = self.waiting.pop_front()
         {
             // A call that no longer waits needs no token.
-            if call.send(Verdict::Granted).is_ok() {
+            if call.send(TokenOutcome::Granted).is_ok() {
                 tokens -= 1;
             }
         }
         self.purse.keep(tokens, now);
     }
 
-    fn finish_all(&mut self, verdict: Verdict) {
+    fn finish_all(&mut self, outcome: TokenOutcome) {
         for call in self.waiting.drain(..) {
-            let _ = call.send(verdict);
+            let _ = call.send(outcome);
         }
     }
 }
@@ -94,7 +94,12 @@
     }
 
     /// Queues a call for a token, and returns whether the home is already being asked.
-    fn enqueue(&self, customer: &CustomerName, call: oneshot::Sender<Verdict>, now: Time) -> bool {
+    fn enqueue(
+        &self,
+        customer: &CustomerName,
+        call: oneshot::Sender<TokenOutcome>,
+        now: Time,
+    ) -> bool {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(customer.clone());
         let queue = queue.or_insert_with(|| CustomerQueue::new(now));
@@ -111,13 +116,13 @@
 }
 
 /// Waits for a token from the customer's home.
-pub(crate) async fn wait(node: &Rc<Node>, customer: &CustomerName) -> Verdict {
+pub(crate) async fn wait(node: &Rc<Node>, customer: &CustomerName) -> TokenOutcome {
     let (tx, rx) = oneshot::channel();
     let is_request_open = node.quotas.enqueue(customer, tx, node.clock.now());
     if !is_request_open {
         ntex::rt::spawn(request_tokens(Rc::clone(node), customer.clone()));
     }
-    rx.await.unwrap_or(Verdict::Unknown)
+    rx.await.unwrap_or(TokenOutcome::Unknown)
 }
 
 /// Asks the home for tokens while calls wait, with one request at a time: calls that arrive during
@@ -167,13 +172,13 @@
         let waiting = u32::try_from(queue.waiting.len()).unwrap_or(u32::MAX);
         let granted = reserve.map(|share| queue.reserve.grant(waiting, share, now));
         queue.distribute(granted.map_or(0, |it| it.tokens), now);
-        queue.finish_all(Verdict::Unknown);
+        queue.finish_all(TokenOutcome::Unknown);
         return;
     };
     queue.distribute(granted.tokens, now);
     if let Some(pause) = granted.retry_after {
         queue.purse.refused(pause, now);
-        queue.finish_all(Verdict::Refused(pause));
+        queue.finish_all(TokenOutcome::Refused(pause));
     }
 }
 
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -109,7 +109,7 @@
     Occupancy(Occupancy),
     /// Answers [`Ask::Confirmed`].
     #[serde(rename = "f")]
-    Confirmed(Option<Confirmed>),
+    Confirmed(Option<ConfirmedVersion>),
     /// Answers [`Ask::Following`].
     #[serde(rename = "w")]
     Following(Following, Mark),
@@ -148,7 +148,7 @@
 
 /// Confirmation that a configuration was the store's newest.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(crate) struct Confirmed {
+pub(crate) struct ConfirmedVersion {
     pub(crate) version: Version,
     /// Time since the confirmation.
     pub(crate) age: Duration,
