--- a/crates/mesh/src/fleet/compression.rs
+++ b/crates/mesh/src/fleet/compression.rs
@@ -52,7 +52,7 @@
     let mut decoder = DeflateDecoder::new(bytes).take(MAX_DECOMPRESSED_SIZE + 1);
     decoder.read_to_end(&mut plain)?;
     if plain.len() as u64 > MAX_DECOMPRESSED_SIZE {
-        return Err(io::Error::other("a configuration is too large"));
+        return Err(io::Error::other("decompressed configuration is too large"));
     }
     rmp_serde::from_slice(&plain).map_err(io::Error::other)
 }
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -256,11 +256,11 @@
 
 async fn exchange(node: Rc<Node>, peer: MemberKey, addr: SocketAddr, message: Exchange) {
     let reply = send_exchange(&node, addr, message).await;
-    let heard = match reply {
+    let received = match reply {
         Some(reply) => Input::Replied { peer, reply },
         None => Input::Unreached { peer },
     };
-    input(&node, heard);
+    input(&node, received);
 }
 
 async fn send_exchange(node: &Rc<Node>, addr: SocketAddr, message: Exchange) -> Option<Exchange> {
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -200,7 +200,7 @@
     };
     let state = match newer {
         Newer::Nothing => return Ok(None),
-        Newer::Packed(_) => return Err("packed twice".into()),
+        Newer::Packed(_) => return Err("configuration is compressed twice".into()),
         Newer::Whole(snapshot) => State::try_from(snapshot).map_err(|err| err.to_string())?,
         Newer::Difference(difference) => {
             let Some(held) = node.fleet.in_force() else {
--- a/crates/mesh/src/fleet_store.rs
+++ b/crates/mesh/src/fleet_store.rs
@@ -136,9 +136,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unavailable(why) => write!(f, "unavailable: {why}"),
-            Self::HistoryLost => f.write_str("the history of changes is gone"),
+            Self::HistoryLost => f.write_str("the history of changes is no longer available"),
             Self::Malformed(why) => write!(f, "malformed answer: {why}"),
-            Self::Conflict => f.write_str("somebody else wrote first"),
+            Self::Conflict => f.write_str("another writer changed the row first"),
         }
     }
 }
