--- a/crates/mesh/src/journal.rs
+++ b/crates/mesh/src/journal.rs
@@ -19,7 +19,7 @@
 const SUCCESS_LINES: u32 = 200;
 
 /// Lines per second for each kind of refusal, unknown outcome or late answer. A later diagnosis
-/// needs these lines most, so they have a limit of their own.
+/// needs these lines most.
 const FAILURE_LINES: u32 = 200;
 
 /// Window in which lines are counted.
