--- a/crates/mesh/src/entry/attempt.rs
+++ b/crates/mesh/src/entry/attempt.rs
@@ -12,7 +12,7 @@
 
 use super::call::Call;
 use crate::executor;
-use crate::fleet::Place;
+use crate::fleet::TargetLocation;
 use crate::journal::AttemptFailed;
 use crate::link::LinkError;
 use crate::mechanism::Mechanism;
@@ -68,12 +68,12 @@
     node: &Rc<Node>,
     call: &Call,
     upstream: &UpstreamName,
-    place: Place,
+    place: TargetLocation,
 ) -> AttemptOutcome {
     let mut guard = OutstandingGuard::new(node, call, upstream);
     let (outcome, occupancy) = attempt(node, call, upstream, place).await;
     guard.feedback = match feedback(&outcome) {
-        AttemptFeedback::Failed if !node.cfg.has(Mechanism::Ejection) => AttemptFeedback::Nothing,
+        AttemptFeedback::Failed if !node.cfg.is_enabled(Mechanism::Ejection) => AttemptFeedback::Nothing,
         feedback => feedback,
     };
     guard.occupancy = occupancy;
@@ -84,7 +84,7 @@
     node: &Rc<Node>,
     call: &Call,
     upstream: &UpstreamName,
-    place: Place,
+    place: TargetLocation,
 ) -> (AttemptOutcome, Option<Occupancy>) {
     for _ in 0..MAX_TICKETS {
         let Some(left) = call.deadline.for_next_hop(node.clock.now()) else {
@@ -102,8 +102,8 @@
             call: Rc::clone(&call.parts),
         };
         let (outcome, occupancy) = match place {
-            Place::Local => without_uplink(outcome_of_run(local(node, attempt).await)),
-            Place::Remote(addr) => remote(node, call, addr, attempt).await,
+            TargetLocation::Local => without_uplink(outcome_of_run(local(node, attempt).await)),
+            TargetLocation::Remote(addr) => remote(node, call, addr, attempt).await,
         };
         let is_stale = matches!(&outcome.end, End::Refused(it) if it.reason == Reason::StaleTicket);
         if !is_stale {
@@ -139,14 +139,14 @@
 
 /// The newest ticket of an executor. Before the executor's first answer this is a
 /// placeholder, which it refuses as stale and answers with a valid ticket.
-fn ticket(node: &Node, place: Place) -> Ticket {
+fn ticket(node: &Node, place: TargetLocation) -> Ticket {
     let refused = Ticket {
         incarnation: 0,
         stamp: Duration::ZERO,
     };
     match place {
-        Place::Local => node.executor.ticket(node.clock.now()),
-        Place::Remote(addr) => {
+        TargetLocation::Local => node.executor.ticket(node.clock.now()),
+        TargetLocation::Remote(addr) => {
             let tables = node.entry.tables.borrow();
             tables.tickets.get(&addr).copied().unwrap_or(refused)
         }
--- a/crates/mesh/src/entry/call.rs
+++ b/crates/mesh/src/entry/call.rs
@@ -57,8 +57,8 @@
         let Some(route) = in_force.routes.find(&host, req.path()).cloned() else {
             return Err(Refusal::permanent(Reason::NoRoute));
         };
-        let dialect = &node.cfg.dialect;
-        let Some(request_id) = header_text(req.headers(), &dialect.request_id) else {
+        let header_names = &node.cfg.header_names;
+        let Some(request_id) = header_text(req.headers(), &header_names.request_id) else {
             return Err(Refusal::permanent(Reason::BadRequest));
         };
         let deadline = Deadline::after(effective_timeout(node, req, &route), now);
@@ -106,7 +106,7 @@
 
 /// The caller's timeout or the one of the route's policy, whichever is shorter.
 fn effective_timeout(node: &Node, req: &Request, route: &ResolvedRoute) -> Duration {
-    let stated = header_text(req.headers(), &node.cfg.dialect.timeout_ms);
+    let stated = header_text(req.headers(), &node.cfg.header_names.timeout_ms);
     let millis = stated.and_then(|it| it.parse().ok());
     let bound = route.policy.timeout;
     millis.map_or(bound, |it| Duration::from_millis(it).min(bound))
@@ -134,13 +134,13 @@
     let named = named.to_ascii_lowercase();
     let of_connection =
         |name: &str| is_of_connection(name) || named.split(',').any(|it| it.trim() == name);
-    let dialect = &node.cfg.dialect;
+    let header_names = &node.cfg.header_names;
     let own = [
-        &dialect.request_id,
-        &dialect.timeout_ms,
-        &dialect.caller_service,
-        &dialect.expected_upstream,
-        &dialect.customer,
+        &header_names.request_id,
+        &header_names.timeout_ms,
+        &header_names.caller_service,
+        &header_names.expected_upstream,
+        &header_names.customer,
     ];
     let is_set_by_daemon =
         |name: &str| own.iter().any(|it| *it == name) || name == CREDENTIAL && !forwards_credential;
--- a/crates/mesh/src/entry/forward.rs
+++ b/crates/mesh/src/entry/forward.rs
@@ -14,7 +14,7 @@
 use super::call::Call;
 use super::probes;
 use super::traffic_split::TrafficSplit;
-use crate::fleet::Place;
+use crate::fleet::TargetLocation;
 use crate::identity;
 use crate::journal::Times;
 use crate::mechanism::Mechanism;
@@ -140,7 +140,7 @@
     call: &Call,
     tried: &[UpstreamName],
     split: &mut TrafficSplit,
-) -> Option<(Pick, Place)> {
+) -> Option<(Pick, TargetLocation)> {
     let pick = choose_from(node, call, tried, split.allowed_targets());
     if pick.is_some() || !split.fall_back() {
         return pick;
@@ -153,7 +153,7 @@
     call: &Call,
     tried: &[UpstreamName],
     among: TargetFilter<'_>,
-) -> Option<(Pick, Place)> {
+) -> Option<(Pick, TargetLocation)> {
     let now = node.clock.now();
     let mut tables = node.entry.tables.borrow_mut();
     let Tables {
@@ -165,16 +165,18 @@
     let answers = answers.get(&call.parts.route).copied().unwrap_or_default();
     let wish = PlacementRequest {
         objective: call.objective.saturating_sub(now),
-        answer_bytes: if node.cfg.has(Mechanism::AnswerSize) {
+        answer_bytes: if node.cfg.is_enabled(Mechanism::AnswerSize) {
             answers.bytes()
         } else {
             0.0
         },
-        run: answers.run().filter(|_| node.cfg.has(Mechanism::RouteTime)),
+        run: answers
+            .run()
+            .filter(|_| node.cfg.is_enabled(Mechanism::RouteTime)),
         filter: among,
     };
     let pick = placement.pick(&call.parts.service, tried, wish, now, rng)?;
-    let place = node.fleet.place(&pick.upstream)?;
+    let place = node.fleet.target_location(&pick.upstream)?;
     Some((pick, place))
 }
 
@@ -205,7 +207,7 @@
 }
 
 fn may_try_other_target(node: &Node, history: &mut AttemptHistory, reason: Reason) -> bool {
-    let overloaded = if node.cfg.has(Mechanism::SecondQueue) {
+    let overloaded = if node.cfg.is_enabled(Mechanism::SecondQueue) {
         MAX_OVERLOADED
     } else {
         1
--- a/crates/mesh/src/entry/probes.rs
+++ b/crates/mesh/src/entry/probes.rs
@@ -9,7 +9,7 @@
 use stoatstep_resource::{ServiceName, UpstreamName};
 
 use super::Tables;
-use crate::fleet::Place;
+use crate::fleet::TargetLocation;
 use crate::mechanism::Mechanism;
 use crate::node::Node;
 use crate::wire::{Ask, Reply};
@@ -23,7 +23,7 @@
 
 /// Sends probes to a few targets of the service without waiting for their replies.
 pub(super) fn send(node: &Rc<Node>, service: &ServiceName, among: TargetFilter<'_>) {
-    if !node.cfg.has(Mechanism::LoadProbes) {
+    if !node.cfg.is_enabled(Mechanism::LoadProbes) {
         return;
     }
     let now = node.clock.now();
@@ -38,10 +38,10 @@
 }
 
 async fn probe(node: &Rc<Node>, service: &ServiceName, target: &UpstreamName) {
-    let occupancy = match node.fleet.place(target) {
+    let occupancy = match node.fleet.target_location(target) {
         // Answers of the local target are not sent over the uplink, so its load is left out.
-        Some(Place::Local) => node.executor.occupancy(),
-        Some(Place::Remote(addr)) => {
+        Some(TargetLocation::Local) => node.executor.occupancy(),
+        Some(TargetLocation::Remote(addr)) => {
             let asked = node.links.ask_within(addr, Ask::Occupancy, REPLY_TIMEOUT);
             match asked.await {
                 Ok(Reply::Occupancy(occupancy)) => occupancy,
--- a/crates/mesh/src/entry/quota.rs
+++ b/crates/mesh/src/entry/quota.rs
@@ -8,7 +8,7 @@
 
 use super::call::Call;
 use crate::node::Node;
-use crate::quota::{self, Verdict};
+use crate::quota::{self, TokenOutcome};
 
 /// Retry delay given to callers if the quota's home did not answer.
 const HOME_UNREACHABLE_RETRY: Duration = Duration::from_millis(200);
@@ -37,13 +37,13 @@
     };
     let customer = &identity.customer;
     let verdict = match node.quotas.take(customer, node.clock.now()) {
-        Taken::Token => Verdict::Granted,
-        Taken::Refused(delay) => Verdict::Refused(delay),
+        Taken::Token => TokenOutcome::Granted,
+        Taken::Refused(delay) => TokenOutcome::Refused(delay),
         Taken::Ask => quota::wait(node, customer).await,
     };
     match verdict {
-        Verdict::Granted => Ok(Charge(Some(customer.clone()))),
-        Verdict::Refused(delay) => Err(Refusal::retry(Reason::OverQuota, delay)),
-        Verdict::Unknown => Err(Refusal::retry(Reason::QuotaUnknown, HOME_UNREACHABLE_RETRY)),
+        TokenOutcome::Granted => Ok(Charge(Some(customer.clone()))),
+        TokenOutcome::Refused(delay) => Err(Refusal::retry(Reason::OverQuota, delay)),
+        TokenOutcome::Unknown => Err(Refusal::retry(Reason::QuotaUnknown, HOME_UNREACHABLE_RETRY)),
     }
 }
--- a/crates/mesh/src/entry/throttle.rs
+++ b/crates/mesh/src/entry/throttle.rs
@@ -18,7 +18,7 @@
 /// Whether the throttle admits a call. Calls of routes beyond the limit on tracked routes
 /// are always admitted.
 pub(super) fn admits(node: &Node, call: &Call) -> bool {
-    if !node.cfg.has(Mechanism::Throttle) {
+    if !node.cfg.is_enabled(Mechanism::Throttle) {
         return true;
     }
     let mut tables = node.entry.tables.borrow_mut();
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -141,7 +141,7 @@
     let suspected = quarantine::suspected(node, &attempt.call);
     if suspected.is_some_and(|it| process_exit::running(node, &attempt.upstream).contains(&it)) {
         node.journal.count("requests.kept_apart");
-        return RunOutcome::not_started(quarantine::refusal_beside_itself());
+        return RunOutcome::not_started(quarantine::refusal_while_running());
     }
     if !may_start(node, attempt) {
         return RunOutcome::not_started(Refusal::permanent(Reason::Revoked));
@@ -236,7 +236,7 @@
     {
         answer_stats::record(&mut tables, &attempt.call.route, answer, outcome.at_target);
     }
-    if node.rollouts.is_judged(&attempt.call.service) {
+    if node.rollouts.is_active(&attempt.call.service) {
         rollout_tally::record_run(&mut tables, attempt, outcome, now);
     }
     if is_success {
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership over links.
+//! Runs the membership protocol over links, and sends one-way messages to peers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,73 +12,77 @@
 use stoatstep_rollout::Progress;
 use stoatstep_telemetry::fields;
 
-use super::{refresh_soon, role, versions};
+use super::{role, schedule_refresh, versions};
 use crate::node::Node;
 use crate::rollout::{self, Source};
-use crate::wire::{Ask, News, Reply};
+use crate::wire::{Ask, Piggyback, Reply};
 use crate::{drain, executor, quarantine};
 
-/// Time for a probe. A round trip in a region takes a few milliseconds.
-const PROBE_BOUND: Duration = Duration::from_millis(500);
+/// Timeout of a probe. A round trip in a region takes a few milliseconds.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for a helper, which probes with the bound above.
-const HELPER_BOUND: Duration = Duration::from_millis(1200);
+/// Timeout of an indirect probe, in which the helper itself waits for up to [`PROBE_TIMEOUT`].
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Time for a table.
-const TABLE_BOUND: Duration = Duration::from_secs(2);
+/// Timeout of a pull of the membership table.
+const TABLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A daemon, and where it listens.
-pub(crate) type Addressed = (MemberKey, SocketAddr);
+/// A daemon with the address at which it listens for peers.
+pub(crate) type PeerAddress = (MemberKey, SocketAddr);
 
-/// Feeds the machine and does what it asks for.
+/// Passes an input to the membership state machine and carries out the resulting actions.
 pub(crate) fn input(node: &Rc<Node>, input: Input) {
     let now = node.clock.now();
     let actions = node.fleet.membership.borrow_mut().handle(now, input);
-    act(node, actions);
+    perform(node, actions);
 }
 
-/// Moves the machine's time on.
+/// Advances the membership state machine's time.
 pub(crate) fn tick(node: &Rc<Node>) {
     input(node, Input::Tick);
 }
 
-/// Tells the fleet that this daemon stops.
+/// Announces that this daemon stops.
 pub(crate) fn leave(node: &Rc<Node>) {
     input(node, Input::Leave);
 }
 
-/// Tells the fleet what the target beside this daemon last announced. Nothing
-/// goes out where that has not changed.
+/// Updates this member with the last announcement of the target beside the daemon. Nothing is sent
+/// if it has not changed.
 pub(crate) fn target_changed(node: &Rc<Node>) {
     let announced = node.executor.announced(node.clock.now());
     input(node, Input::TargetAnnounced(announced));
 }
 
-/// Tells the peers of the own zone at once what this daemon holds. The regular exchanges
-/// would take seconds to reach all of them.
-pub(crate) fn tell_zone(node: &Rc<Node>) {
-    tell(node, own_zone(node), &holds(node));
+/// Announces the held configuration to the peers of the own zone at once. Regular exchanges would
+/// take seconds to reach all of them.
+pub(crate) fn notify_zone(node: &Rc<Node>) {
+    notify(node, own_zone(node), &held_configuration(node));
 }
 
-/// The daemons of the own zone.
-pub(crate) fn own_zone(node: &Node) -> Vec<Addressed> {
+/// The daemons of the own zone, this one included.
+pub(crate) fn own_zone(node: &Node) -> Vec<PeerAddress> {
     let membership = node.fleet.membership.borrow();
     let zone = membership.table().in_zone(&node.cfg.zone);
     zone.map(|(key, it)| (key, it.member.peer)).collect()
 }
 
-/// Tells the daemons of other zones that follow the host for them. The host may turn away
-/// all that follow it for a zone: callers there would meet an old version until the regular
-/// exchanges bring the new one, which is too late. Telling everyone there would cost a
+/// Announces the held configuration to the followers in other zones. The store may reject all
+/// followers of a zone; callers there would then be served by an old version until regular
+/// exchanges bring the new one, which is too late. Announcing it to every daemon there would cost a
 /// message to each daemon of the fleet for every version.
-pub(crate) fn tell_other_zones(node: &Rc<Node>) {
-    tell(node, followers_elsewhere(node), &holds(node));
+pub(crate) fn notify_other_zones(node: &Rc<Node>) {
+    notify(
+        node,
+        followers_in_other_zones(node),
+        &held_configuration(node),
+    );
 }
 
-/// The daemons of other zones that follow the host for them.
-pub(crate) fn followers_elsewhere(node: &Node) -> Vec<Addressed> {
+/// The followers in the other zones.
+pub(crate) fn followers_in_other_zones(node: &Node) -> Vec<PeerAddress> {
     let membership = node.fleet.membership.borrow();
-    let mut zones: BTreeMap<&str, Vec<Addressed>> = BTreeMap::new();
+    let mut zones: BTreeMap<&str, Vec<PeerAddress>> = BTreeMap::new();
     for (key, entry) in membership.table().present() {
         let zone = zones.entry(&entry.member.zone).or_default();
         zone.push((key, entry.member.peer));
@@ -87,91 +91,91 @@
     zones.into_values().flat_map(followers_of).collect()
 }
 
-/// Those of one zone's daemons that follow the host for it.
-pub(crate) fn followers_of(zone: Vec<Addressed>) -> impl Iterator<Item = Addressed> {
+/// The members of one zone that follow the store for it.
+pub(crate) fn followers_of(zone: Vec<PeerAddress>) -> impl Iterator<Item = PeerAddress> {
     let keys: Vec<_> = zone.iter().map(|(key, _)| *key).collect();
-    let follows = move |(key, _): &Addressed| PollRole::polls(*key, &keys);
+    let follows = move |(key, _): &PeerAddress| PollRole::polls(*key, &keys);
     zone.into_iter().filter(follows)
 }
 
-/// What this daemon holds, for others.
-fn holds(node: &Node) -> Ask {
+/// The message that announces the configuration which this daemon holds.
+fn held_configuration(node: &Node) -> Ask {
     let membership = node.fleet.membership.borrow();
     Ask::Holds(membership.me(), membership.mark())
 }
 
-/// Sends these daemons a word that needs no answer.
-pub(crate) fn tell(node: &Rc<Node>, peers: Vec<Addressed>, word: &Ask) {
+/// Sends a message without waiting for the answer.
+pub(crate) fn notify(node: &Rc<Node>, peers: Vec<PeerAddress>, message: &Ask) {
     let me = node.fleet.membership.borrow().me();
     for (_, addr) in peers.into_iter().filter(|(key, _)| *key != me) {
-        let (node, word) = (Rc::clone(node), word.clone());
+        let (node, message) = (Rc::clone(node), message.clone());
         ntex::rt::spawn(async move {
-            // Whoever misses it hears of it in the regular exchanges.
-            let _ = node.links.ask_within(addr, word, PROBE_BOUND).await;
+            // A peer that misses the message receives its content in the regular exchanges.
+            let _ = node.links.ask_within(addr, message, PROBE_TIMEOUT).await;
         });
     }
 }
 
-/// Tells every daemon in reach: those of the own zone, and for each other zone those that
-/// follow the host for it, which [pass it on](relay).
-pub(crate) fn tell_fleet(node: &Rc<Node>, word: &Ask) {
-    tell(node, own_zone(node), word);
-    tell(node, followers_elsewhere(node), word);
+/// Sends a message to the daemons of the own zone and to the followers of each other zone, which
+/// [forward it](relay).
+pub(crate) fn notify_fleet(node: &Rc<Node>, message: &Ask) {
+    notify(node, own_zone(node), message);
+    notify(node, followers_in_other_zones(node), message);
 }
 
-/// Passes on to the own zone what came from another one, where this daemon is one of those
-/// that are told for it.
-pub(crate) fn relay(node: &Rc<Node>, word: &Ask) {
-    if role::hears_for_zone(node) {
-        tell(node, own_zone(node), word);
+/// Forwards a message from another zone to the own zone, if this daemon is one of those that
+/// receive messages for it.
+pub(crate) fn relay(node: &Rc<Node>, message: &Ask) {
+    if role::receives_for_zone(node) {
+        notify(node, own_zone(node), message);
     }
 }
 
-/// What goes along with an exchange.
-pub(crate) fn news(node: &Node) -> News {
+/// State that is sent along with an exchange.
+pub(crate) fn piggyback(node: &Node) -> Piggyback {
     let now = node.clock.now();
-    News {
-        rollouts: node.rollouts.news(now),
-        findings: node.requests.news(now),
+    Piggyback {
+        rollouts: node.rollouts.updates(now),
+        findings: node.quarantine.updates(now),
     }
 }
 
-/// Takes in what came along with an exchange.
-pub(crate) fn hear_news(node: &Rc<Node>, news: News) {
-    hear_rollouts(node, news.rollouts);
-    quarantine::hear(node, &news.findings, quarantine::Way::Exchange);
+/// Applies the state that came along with an exchange.
+pub(crate) fn apply_piggyback(node: &Rc<Node>, piggyback: Piggyback) {
+    apply_rollouts(node, piggyback.rollouts);
+    quarantine::apply_findings(node, &piggyback.findings, quarantine::Delivery::Exchange);
 }
 
-/// Takes in what a peer says of roll-outs.
-pub(crate) fn hear_rollouts(node: &Rc<Node>, rollouts: Vec<Progress>) {
+/// Applies the roll-out progress that a peer reports.
+pub(crate) fn apply_rollouts(node: &Rc<Node>, rollouts: Vec<Progress>) {
     for progress in rollouts {
-        rollout::hear(node, &progress, Source::Peer);
+        rollout::apply_progress(node, &progress, Source::Peer);
     }
 }
 
-/// A peer said what it holds, unasked.
-pub(crate) fn told(node: &Rc<Node>, peer: MemberKey, mark: Mark) {
+/// Handles a peer's unsolicited announcement of the configuration that it holds.
+pub(crate) fn peer_announced(node: &Rc<Node>, peer: MemberKey, mark: Mark) {
     let addr = {
         let membership = node.fleet.membership.borrow();
         membership.table().get(peer).map(|it| it.member.peer)
     };
-    // One that is not known yet is asked in the exchange that makes it known.
+    // A peer that is not yet known is asked in the exchange that makes it known.
     if let Some(addr) = addr {
-        versions::peer_holds(node, peer, addr, mark);
+        versions::pull_if_newer(node, peer, addr, mark);
     }
 }
 
-/// Answers one message of another daemon.
+/// Answers a membership message of another daemon.
 pub(crate) async fn answer(node: &Rc<Node>, message: GossipRequest) -> GossipReply {
     match message {
         GossipRequest::Exchange(exchange) => {
             let now = node.clock.now();
             let answered = node.fleet.membership.borrow_mut().answer(now, exchange);
             let (reply, actions) = answered;
-            act(node, actions);
+            perform(node, actions);
             GossipReply::Exchange(reply)
         }
-        GossipRequest::Probe(target) => GossipReply::Probe(reaches(node, target).await),
+        GossipRequest::Probe(target) => GossipReply::Probe(probe(node, target).await),
         GossipRequest::Table(zones) => {
             let membership = node.fleet.membership.borrow();
             GossipReply::Table(membership.rows_for(&zones))
@@ -179,7 +183,7 @@
     }
 }
 
-fn act(node: &Rc<Node>, actions: Vec<Action>) {
+fn perform(node: &Rc<Node>, actions: Vec<Action>) {
     let mut is_changed = false;
     for action in actions {
         match action {
@@ -191,26 +195,26 @@
                 ntex::rt::spawn(exchange(Rc::clone(node), peer, addr, message));
             }
             Action::AskHelper { addr, target } => {
-                ntex::rt::spawn(ask_helper(Rc::clone(node), addr, target));
+                ntex::rt::spawn(probe_indirectly(Rc::clone(node), addr, target));
             }
             Action::PullTable { addr, zones } => {
                 ntex::rt::spawn(pull_table(Rc::clone(node), addr, zones));
             }
             Action::PeerHolds {
                 peer, addr, mark, ..
-            } => versions::peer_holds(node, peer, addr, mark),
+            } => versions::pull_if_newer(node, peer, addr, mark),
             Action::Changed(key) => {
                 is_changed = true;
-                note_member(node, key);
+                log_member(node, key);
             }
             Action::Forgotten { instance, .. } => {
-                node.fleet.forgotten.borrow_mut().push(instance);
+                node.fleet.removed_members.borrow_mut().push(instance);
             }
             Action::ZoneReachable { zone, reachable } => {
                 slog::warn!(node.log, "way to a zone changed";
                     fields::ZONE => %zone, fields::REACHABLE => reachable);
             }
-            Action::Woke { gap } => woke(node, gap),
+            Action::Woke { gap } => resume(node, gap),
             Action::TargetDrained(upstream) => executor::mark_leaving(node, &upstream),
             Action::Superseded { birth } => {
                 slog::error!(node.log, "a newer process runs under this id"; fields::BIRTH => birth);
@@ -219,12 +223,12 @@
         }
     }
     if is_changed {
-        refresh_soon(node);
+        schedule_refresh(node);
     }
 }
 
-/// One line for each change of what is believed about a member.
-fn note_member(node: &Node, key: MemberKey) {
+/// Logs a change in the believed state of a member.
+fn log_member(node: &Node, key: MemberKey) {
     let Some(left_out) = node.journal.admits("member", node.clock.now()) else {
         return;
     };
@@ -242,25 +246,25 @@
         fields::DRAINING => announced.is_some_and(|it| it.draining), fields::LEFT_OUT => left_out);
 }
 
-/// The instance was suspended. Everything that waits here is old.
-fn woke(node: &Rc<Node>, gap: Duration) {
+/// Handles the end of a suspension of the instance: connections and pending requests are stale.
+fn resume(node: &Rc<Node>, gap: Duration) {
     slog::warn!(node.log, "woke from a suspension"; fields::GAP_MS => gap.as_millis());
     executor::resumed(node);
     node.links.close_all();
-    node.fleet.woke.notify_waiters();
+    node.fleet.resumed.notify_waiters();
 }
 
 async fn exchange(node: Rc<Node>, peer: MemberKey, addr: SocketAddr, message: Exchange) {
-    let reply = say(&node, addr, message).await;
-    let heard = match reply {
+    let reply = send_exchange(&node, addr, message).await;
+    let received = match reply {
         Some(reply) => Input::Replied { peer, reply },
         None => Input::Unreached { peer },
     };
-    input(&node, heard);
+    input(&node, received);
 }
 
-async fn say(node: &Rc<Node>, addr: SocketAddr, message: Exchange) -> Option<Exchange> {
-    match ask(node, addr, GossipRequest::Exchange(message), PROBE_BOUND).await? {
+async fn send_exchange(node: &Rc<Node>, addr: SocketAddr, message: Exchange) -> Option<Exchange> {
+    match ask(node, addr, GossipRequest::Exchange(message), PROBE_TIMEOUT).await? {
         GossipReply::Exchange(reply) => Some(reply),
         GossipReply::Probe(_) | GossipReply::Table(_) => None,
     }
@@ -272,24 +276,30 @@
     message: GossipRequest,
     bound: Duration,
 ) -> Option<GossipReply> {
-    let ask = Ask::Gossip(message, news(node));
+    let ask = Ask::Gossip(message, piggyback(node));
     match node.links.ask_within(addr, ask, bound).await {
-        Ok(Reply::Gossip(reply, news)) => {
-            hear_news(node, news);
+        Ok(Reply::Gossip(reply, piggyback)) => {
+            apply_piggyback(node, piggyback);
             Some(reply)
         }
         Ok(_) | Err(_) => None,
     }
 }
 
-async fn ask_helper(node: Rc<Node>, addr: SocketAddr, target: MemberKey) {
-    let answer = ask(&node, addr, GossipRequest::Probe(target), HELPER_BOUND).await;
+async fn probe_indirectly(node: Rc<Node>, addr: SocketAddr, target: MemberKey) {
+    let answer = ask(
+        &node,
+        addr,
+        GossipRequest::Probe(target),
+        INDIRECT_PROBE_TIMEOUT,
+    )
+    .await;
     let reached = matches!(answer, Some(GossipReply::Probe(true)));
     input(&node, Input::Helped { target, reached });
 }
 
-/// Probes a member for a peer that can't reach it.
-async fn reaches(node: &Rc<Node>, target: MemberKey) -> bool {
+/// Probes a member on behalf of a peer that cannot reach it.
+async fn probe(node: &Rc<Node>, target: MemberKey) -> bool {
     let (addr, message) = {
         let membership = node.fleet.membership.borrow();
         let Some(entry) = membership.table().get(target) else {
@@ -298,12 +308,12 @@
         let message = membership.probe_message(node.clock.now(), target);
         (entry.member.peer, message)
     };
-    let answer = say(node, addr, message).await;
+    let answer = send_exchange(node, addr, message).await;
     answer.is_some_and(|reply| reply.from == target)
 }
 
 async fn pull_table(node: Rc<Node>, addr: SocketAddr, zones: Vec<ZoneDigest>) {
-    let answer = ask(&node, addr, GossipRequest::Table(zones), TABLE_BOUND).await;
+    let answer = ask(&node, addr, GossipRequest::Table(zones), TABLE_TIMEOUT).await;
     if let Some(GossipReply::Table(rows)) = answer {
         input(&node, Input::TablePulled { rows });
     }
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -1,11 +1,11 @@
-//! What the daemon knows of its fleet: members with the targets that they
-//! announced, and the configuration in force.
+//! Fleet state of this daemon: the members with the targets that they announced, and the
+//! configuration in force.
 
+mod compression;
 pub(crate) mod configuration;
 pub(crate) mod confirmation;
 pub(crate) mod contact;
 pub(crate) mod gossip;
-mod packed;
 pub(crate) mod role;
 pub(crate) mod roster;
 pub(crate) mod versions;
@@ -27,105 +27,108 @@
 
 use crate::clock::unix_time;
 use crate::config::MeshConfig;
-use crate::host::Era;
+use crate::fleet_store::Era;
 use crate::in_force::InForce;
 use crate::node::Node;
 use crate::quota;
-use crate::rollout::{self, Newcomers};
-use confirmation::Confirmed;
-use packed::Packed;
+use crate::rollout::{self, NewVersions};
+use compression::CompressedUpdate;
+use confirmation::ConfirmationState;
 
-/// Where attempts for a target go.
+/// Where to send attempts for a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Place {
-    /// It is the target beside this daemon.
+pub(crate) enum TargetLocation {
+    /// The target runs beside this daemon.
     Local,
-    /// Its daemon listens here.
+    /// The target's daemon listens at this address.
     Remote(SocketAddr),
 }
 
 pub(crate) struct Fleet {
     membership: RefCell<Membership>,
     in_force: RefCell<Option<Rc<InForce>>>,
-    /// States that were in force before, the newest last.
-    former: RefCell<VecDeque<(Mark, Arc<State>)>>,
-    /// What was last sent to a peer, for the others that hold the same.
-    packed: RefCell<Option<Packed>>,
-    places: RefCell<HashMap<UpstreamName, Place>>,
-    /// Changes of membership wait to be made visible to calls.
-    is_refresh_due: Cell<bool>,
-    /// When they last were.
-    refreshed: Cell<Option<Time>>,
-    /// Versions of targets, by when they came up.
-    newcomers: RefCell<Newcomers>,
-    /// Targets that are left alone will be looked at again.
-    looks_again: Cell<bool>,
-    /// A pull of the configuration from a peer goes on.
+    /// Earlier configurations, the newest last, from which differences for peers are computed.
+    earlier_states: RefCell<VecDeque<(Mark, Arc<State>)>>,
+    /// Compressed configuration that was last sent to a peer, reused for peers that hold the same
+    /// version.
+    compressed_update: RefCell<Option<CompressedUpdate>>,
+    target_locations: RefCell<HashMap<UpstreamName, TargetLocation>>,
+    /// Whether a rebuild of the candidates is scheduled.
+    is_refresh_scheduled: Cell<bool>,
+    /// When the candidates were last rebuilt.
+    refreshed_at: Cell<Option<Time>>,
+    /// Software versions of the targets, with the time when each first appeared.
+    new_versions: RefCell<NewVersions>,
+    /// Whether another rebuild is scheduled for targets that are held back for now.
+    is_hold_expiry_scheduled: Cell<bool>,
+    /// Whether a pull of the configuration from a peer is in progress.
     is_pulling: Cell<bool>,
-    /// Whether the host answered the last question; nothing before the first one.
-    reaches_host: Cell<Option<bool>>,
-    /// How this daemon learns of versions; none before its first look.
+    /// Whether the last request to the store was answered; `None` before the first one.
+    reaches_store: Cell<Option<bool>>,
+    /// How this daemon learns of new versions; `None` before it has first decided.
     role: Cell<Option<PollRole>>,
-    /// Who of the own zone can't tell of versions.
+    /// Members of the own zone that currently cannot announce new versions.
     contact: RefCell<Contact>,
-    /// Era of the host's last answer.
+    /// Era of the store's last answer.
     era: Cell<Option<Era>>,
-    confirmed: RefCell<Confirmed>,
-    /// The host came back from an older copy, and what this daemon wrote may be gone.
-    has_returned: Cell<bool>,
-    /// The instance was suspended: what waits for the host should ask anew.
-    woke: Notify,
-    /// Somebody has lost the host, and this daemon may have lost it too, or what tells it.
-    host_doubted: Notify,
-    /// When the host's list of instances was last looked at.
-    looked_at: Cell<Option<Time>>,
-    /// This instance is on it.
-    is_listed: Cell<bool>,
-    /// Members that are gone for good, whose roster rows are to be deleted.
-    forgotten: RefCell<Vec<InstanceId>>,
+    confirmation_state: RefCell<ConfirmationState>,
+    /// The store was restored from an older copy, so rows that this daemon wrote may be lost.
+    was_restored: Cell<bool>,
+    /// Notified when the instance resumes from a suspension: pending requests to the store are to
+    /// be sent again.
+    resumed: Notify,
+    /// Notified when a member has lost the store. This daemon may have lost it too, or the member
+    /// that announces versions to it.
+    store_doubted: Notify,
+    /// When the roster was last read.
+    roster_read_at: Cell<Option<Time>>,
+    /// Whether this instance is on the roster.
+    is_on_roster: Cell<bool>,
+    /// Members that membership has removed for good, whose rows on the roster are to be deleted.
+    removed_members: RefCell<Vec<InstanceId>>,
 }
 
 impl Fleet {
     pub(crate) fn new(cfg: &MeshConfig) -> Self {
-        let me = myself(cfg);
+        let me = own_member(cfg);
         let seed = me.key() ^ me.birth;
         Self {
             membership: RefCell::new(Membership::new(me, Config::default(), seed)),
             in_force: RefCell::default(),
-            former: RefCell::default(),
-            packed: RefCell::default(),
-            places: RefCell::default(),
-            is_refresh_due: Cell::new(false),
-            refreshed: Cell::new(None),
-            newcomers: RefCell::default(),
-            looks_again: Cell::new(false),
+            earlier_states: RefCell::default(),
+            compressed_update: RefCell::default(),
+            target_locations: RefCell::default(),
+            is_refresh_scheduled: Cell::new(false),
+            refreshed_at: Cell::new(None),
+            new_versions: RefCell::default(),
+            is_hold_expiry_scheduled: Cell::new(false),
             is_pulling: Cell::new(false),
-            reaches_host: Cell::new(None),
+            reaches_store: Cell::new(None),
             role: Cell::new(None),
             contact: RefCell::default(),
             era: Cell::new(None),
-            confirmed: RefCell::default(),
-            has_returned: Cell::new(false),
-            woke: Notify::new(),
-            host_doubted: Notify::new(),
-            looked_at: Cell::new(None),
-            is_listed: Cell::new(false),
-            forgotten: RefCell::default(),
+            confirmation_state: RefCell::default(),
+            was_restored: Cell::new(false),
+            resumed: Notify::new(),
+            store_doubted: Notify::new(),
+            roster_read_at: Cell::new(None),
+            is_on_roster: Cell::new(false),
+            removed_members: RefCell::default(),
         }
     }
 
-    /// The version in force; the caller keeps it for as long as it needs one
+    /// The configuration in force. A caller keeps the returned pointer for as long as it needs one
     /// consistent view.
     pub(crate) fn in_force(&self) -> Option<Rc<InForce>> {
         self.in_force.borrow().clone()
     }
 
-    /// Where attempts for a target go.
-    pub(crate) fn place(&self, upstream: &str) -> Option<Place> {
-        self.places.borrow().get(upstream).copied()
+    /// Where to send attempts for a target.
+    pub(crate) fn target_location(&self, upstream: &str) -> Option<TargetLocation> {
+        self.target_locations.borrow().get(upstream).copied()
     }
 
-    /// Whether a member is of this daemon's own zone.
+    /// Whether a member belongs to this daemon's own zone.
     fn is_in_own_zone(&self, key: MemberKey) -> bool {
         let membership = self.membership.borrow();
         let zone = &membership.own().member.zone;
@@ -133,36 +136,36 @@
         entry.is_some_and(|it| it.member.zone == *zone)
     }
 
-    /// What is known of the fleet's members.
+    /// The membership state machine.
     pub(crate) fn membership(&self) -> Ref<'_, Membership> {
         self.membership.borrow()
     }
 
-    /// Shows every member that takes part.
-    pub(crate) fn members(&self, mut see: impl FnMut(MemberKey, &Entry)) {
+    /// Calls `visit` for every present member.
+    pub(crate) fn for_each_member(&self, mut visit: impl FnMut(MemberKey, &Entry)) {
         let membership = self.membership.borrow();
         for (key, entry) in membership.table().present() {
-            see(key, entry);
+            visit(key, entry);
         }
     }
 
-    /// Takes in the era of an answer of the host.
-    fn hear_era(&self, era: Era, now: Time) {
+    /// Records the era of an answer of the store.
+    fn record_era(&self, era: Era, now: Time) {
         let before = self.era.replace(Some(era));
         if before.is_some_and(|it| it < era) {
-            self.has_returned.set(true);
-            self.confirmed.borrow_mut().host_returned(now);
+            self.was_restored.set(true);
+            self.confirmation_state.borrow_mut().store_restored(now);
         }
     }
 
-    /// Daemons that take part, this one included.
+    /// Number of present members, this daemon included.
     pub(crate) fn size(&self) -> usize {
         self.membership.borrow().table().present().count()
     }
 }
 
-/// Brings the gauges up to date, for whoever reads the metrics.
-pub(crate) fn gauges(node: &Node) {
+/// Updates the gauges, before the metrics are read.
+pub(crate) fn update_gauges(node: &Node) {
     let version = node.fleet.in_force().map_or(0, |it| it.version());
     node.journal.gauge("configuration.version", version);
     let members = u64::try_from(node.fleet.size()).unwrap_or(u64::MAX);
@@ -175,13 +178,13 @@
     node.journal.gauge("queue.waiting", occupancy.queued.into());
     let takes_calls = node.executor.accepts_calls(node.clock.now());
     node.journal.gauge("target.takes_calls", takes_calls.into());
-    let follows_host = role::follows_host(node);
-    node.journal.gauge("host.followed", follows_host.into());
-    let reaches_host = node.fleet.reaches_host.get() == Some(true);
-    node.journal.gauge("host.reached", reaches_host.into());
+    let follows_store = role::follows_store(node);
+    node.journal.gauge("host.followed", follows_store.into());
+    let reaches_store = node.fleet.reaches_store.get() == Some(true);
+    node.journal.gauge("host.reached", reaches_store.into());
 }
 
-fn myself(cfg: &MeshConfig) -> Member {
+fn own_member(cfg: &MeshConfig) -> Member {
     let birth = starting_incarnation(unix_time(), None);
     Member {
         instance: cfg.instance.clone(),
@@ -198,59 +201,65 @@
     }
 }
 
-/// Shortest time between two rebuilds of the candidates. A rebuild walks all members, and
-/// a start of all, a roll or a cut bring changes by the hundred. The first change of a series is seen at once, and the others as
-/// soon as calls could notice: a call to a target that left is refused by its daemon.
-const REFRESH_GAP: Duration = Duration::from_millis(100);
+/// Shortest time between two rebuilds of the candidates. A rebuild walks all members, and a start
+/// of the whole fleet, a rolling restart or a network partition brings changes by the hundred. The
+/// first change of a series takes effect at once, and the others soon enough for calls: a call to a
+/// target that left is refused by its daemon.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Makes membership's changes visible to calls, those of a moment together.
-fn refresh_soon(node: &Rc<Node>) {
-    if node.fleet.is_refresh_due.replace(true) {
+/// Makes changes of membership visible to calls. Changes in quick succession share one rebuild.
+fn schedule_refresh(node: &Rc<Node>) {
+    if node.fleet.is_refresh_scheduled.replace(true) {
         return;
     }
     let now = node.clock.now();
-    let next = node.fleet.refreshed.get().map(|at| at + REFRESH_GAP);
+    let next = node
+        .fleet
+        .refreshed_at
+        .get()
+        .map(|at| at + MIN_REFRESH_INTERVAL);
     let wait = next.map_or(Duration::ZERO, |next| next.saturating_sub(now));
     if wait.is_zero() {
-        refresh(node);
+        rebuild_candidates(node);
         return;
     }
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
         tokio::time::sleep(wait).await;
-        refresh(&node);
+        rebuild_candidates(&node);
     });
 }
 
-fn refresh(node: &Rc<Node>) {
-    node.fleet.is_refresh_due.set(false);
-    node.fleet.refreshed.set(Some(node.clock.now()));
+fn rebuild_candidates(node: &Rc<Node>) {
+    node.fleet.is_refresh_scheduled.set(false);
+    node.fleet.refreshed_at.set(Some(node.clock.now()));
     node.journal.count("candidates.rebuilt");
     let now = node.clock.now();
     let membership = node.fleet.membership.borrow();
-    let mut newcomers = node.fleet.newcomers.borrow_mut();
+    let mut new_versions = node.fleet.new_versions.borrow_mut();
     let mut is_holding = false;
     let mut services: HashMap<ServiceName, Vec<Candidate>> = HashMap::new();
-    let mut places = HashMap::new();
+    let mut target_locations = HashMap::new();
     for (key, entry) in membership.table().present() {
         let Some(announced) = &entry.member.announced else {
             continue;
         };
-        let place = if key == membership.me() {
-            Place::Local
+        let location = if key == membership.me() {
+            TargetLocation::Local
         } else {
-            Place::Remote(entry.member.peer)
+            TargetLocation::Remote(entry.member.peer)
         };
-        places.insert(announced.upstream.clone(), place);
+        target_locations.insert(announced.upstream.clone(), location);
         let (service, software) = (&announced.service, &announced.software);
-        let is_held = newcomers.hold(service, software, now) && !node.rollouts.is_ordered(service);
+        let is_held =
+            new_versions.should_hold(service, software, now) && !node.rollouts.has_order(service);
         is_holding |= is_held;
         let candidates = services.entry(service.clone()).or_default();
         candidates.push(Candidate {
             upstream: announced.upstream.clone(),
             zone: entry.member.zone.clone(),
             incarnation: entry.member.birth,
-            state: match state_of(entry, announced.draining) {
+            state: match candidate_state(entry, announced.draining) {
                 CandidateState::Ready if is_held => CandidateState::Unhealthy,
                 state => state,
             },
@@ -258,34 +267,34 @@
             software: announced.software.clone(),
         });
     }
-    newcomers.retain(|service, software| {
+    new_versions.retain(|service, software| {
         let known = services.get(service).into_iter().flatten();
         known.into_iter().any(|it| it.software == *software)
     });
-    drop((membership, newcomers));
+    drop((membership, new_versions));
     rollout::rebuild(node);
     quota::members_changed(node);
-    *node.fleet.places.borrow_mut() = places;
+    *node.fleet.target_locations.borrow_mut() = target_locations;
     node.entry.set_candidates(&services, now);
     if is_holding {
-        look_again(node);
+        refresh_after_hold(node);
     }
 }
 
-/// Looks again at targets that are left alone for now.
-fn look_again(node: &Rc<Node>) {
-    if node.fleet.looks_again.replace(true) {
+/// Schedules a rebuild for the time when targets that are held back may be used.
+fn refresh_after_hold(node: &Rc<Node>) {
+    if node.fleet.is_hold_expiry_scheduled.replace(true) {
         return;
     }
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
-        tokio::time::sleep(Newcomers::HOLD).await;
-        node.fleet.looks_again.set(false);
-        refresh_soon(&node);
+        tokio::time::sleep(NewVersions::HOLD_TIME).await;
+        node.fleet.is_hold_expiry_scheduled.set(false);
+        schedule_refresh(&node);
     });
 }
 
-fn state_of(entry: &Entry, is_draining: bool) -> CandidateState {
+fn candidate_state(entry: &Entry, is_draining: bool) -> CandidateState {
     match entry.member.state {
         MemberState::Leaving | MemberState::Dead => CandidateState::Leaving,
         _ if is_draining => CandidateState::Leaving,
--- a/crates/mesh/src/fleet/role.rs
+++ b/crates/mesh/src/fleet/role.rs
@@ -1,5 +1,5 @@
-//! How a daemon learns of versions: whether it follows the host for its zone, is told by those
-//! that do, or asks the host for itself.
+//! Role of a daemon in learning of new versions. It follows the store for its zone, that is, polls
+//! it and notifies the others; or it is notified by the followers; or it polls on its own behalf.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,23 +11,22 @@
 use super::{contact, gossip};
 use crate::node::Node;
 
-/// Time without word of the host's newest version from which a daemon asks for
-/// itself. Two failed waits of the daemons that ask for the zone; word of them
-/// takes some exchanges to come round.
-const SILENCE: Duration = Duration::from_secs(8);
+/// Age of the last confirmed newest version from which a daemon polls on its own behalf. It covers
+/// two failed waits of the zone's followers, and some exchanges until all daemons know of them.
+const MAX_HEAD_AGE: Duration = Duration::from_secs(8);
 
-/// Age of the process from which it waits for changes on behalf of its zone although it
-/// may not have met its zone. Until it has, it takes itself for one of the two that do,
-/// and in a start of all every daemon would open a wait that lasts for seconds, for
-/// nothing. What is written meanwhile is seen when the wait begins, since
-/// it goes on from the first read.
-const MEETS_ZONE_WITHIN: Duration = Duration::from_secs(2);
+/// Age of the process from which it waits for changes on behalf of its zone even if it may not have
+/// met its zone. Until it has, it takes itself for one of the two followers, and in a start of the
+/// whole fleet every daemon would open a needless wait of several seconds. Changes written
+/// meanwhile are not missed, since the wait continues from the first read.
+const ZONE_DISCOVERY: Duration = Duration::from_secs(2);
 
-/// The same in a first start, where daemons meet only after they have looked at the list.
-const MEETS_ZONE_AT_FIRST: Duration = Duration::from_secs(4);
+/// Value of `ZONE_DISCOVERY` for a first start, in which daemons meet only after they have read the
+/// roster.
+const FIRST_START_ZONE_DISCOVERY: Duration = Duration::from_secs(4);
 
-/// Notes the role, with one line where this daemon begins to learn of versions in another way.
-pub(super) fn take(node: &Node, role: PollRole) {
+/// Records the role, and logs it if it has changed.
+pub(super) fn set(node: &Node, role: PollRole) {
     if node.fleet.role.replace(Some(role)) == Some(role) {
         return;
     }
@@ -40,38 +39,38 @@
         fields::AGE_MS => age.map(|it| it.as_millis()), fields::LEFT_OUT => left_out);
 }
 
-/// Age of the process from which it has met its zone, whoever is missing.
-pub(super) fn meets_zone_until(node: &Node) -> Time {
+/// Age of the process from which it counts as having met its zone, even if members are missing.
+pub(super) fn zone_discovery_end(node: &Node) -> Time {
     if node.cfg.is_first_start {
-        MEETS_ZONE_AT_FIRST
+        FIRST_START_ZONE_DISCOVERY
     } else {
-        MEETS_ZONE_WITHIN
+        ZONE_DISCOVERY
     }
 }
 
-/// Whether this daemon most likely knows but a part of its zone.
-pub(crate) fn is_meeting_zone(node: &Node) -> bool {
+/// Whether this daemon probably knows only a part of its zone.
+pub(crate) fn is_discovering_zone(node: &Node) -> bool {
     let membership = node.fleet.membership.borrow();
-    let has_strangers = node.cfg.is_first_start || membership.is_meeting_zone();
-    has_strangers && node.clock.now() < meets_zone_until(node)
+    let may_miss_members = node.cfg.is_first_start || membership.is_meeting_zone();
+    may_miss_members && node.clock.now() < zone_discovery_end(node)
 }
 
-/// Whether this daemon waits for changes of the host on behalf of its zone: one that has
-/// just started does not yet.
-pub(super) fn waits_for_zone(node: &Node) -> bool {
-    node.fleet.role.get() == Some(PollRole::Poller) && !is_meeting_zone(node)
+/// Whether this daemon waits for changes of the store on behalf of its zone; false for one that has
+/// just started.
+pub(super) fn polls_for_zone(node: &Node) -> bool {
+    node.fleet.role.get() == Some(PollRole::Poller) && !is_discovering_zone(node)
 }
 
-/// Whether it is on this daemon to follow the host on behalf of its zone.
-pub(crate) fn follows_host(node: &Node) -> bool {
-    chosen(node) == PollRole::Poller
+/// Whether this daemon is chosen to follow the store for its zone.
+pub(crate) fn follows_store(node: &Node) -> bool {
+    assigned(node) == PollRole::Poller
 }
 
-/// Whether other daemons are out of reach, and it is on this one to ask the host for what
-/// they found: it follows the host for a zone that is apart from another one, or in
-/// place of one that is silent, or is alone.
-pub(super) fn catches_up_by_host(node: &Node) -> bool {
-    if node.fleet.reaches_host.get() != Some(true) {
+/// Whether this daemon has to read from the store what daemons out of its reach found. That is so
+/// for a follower of a zone that is partitioned from another one, for one that replaces a silent
+/// follower, and for a daemon that is alone.
+pub(super) fn reads_findings_from_store(node: &Node) -> bool {
+    if node.fleet.reaches_store.get() != Some(true) {
         return false;
     }
     match node.fleet.role.get() {
@@ -84,36 +83,36 @@
     }
 }
 
-fn chosen(node: &Node) -> PollRole {
+fn assigned(node: &Node) -> PollRole {
     let zone = contact::eligible(node);
     let membership = node.fleet.membership.borrow();
     let head_age = membership.head_age(node.clock.now());
-    let role = PollRole::of(membership.me(), &zone, head_age, SILENCE);
-    // It has lost the host, and others of the zone have not.
-    let is_passed_over = !zone.contains(&membership.me());
+    let role = PollRole::of(membership.me(), &zone, head_age, MAX_HEAD_AGE);
+    // It has lost the store, and other daemons of the zone have not.
+    let is_replaced = !zone.contains(&membership.me());
     match role {
-        PollRole::Poller if is_passed_over => PollRole::Idle,
+        PollRole::Poller if is_replaced => PollRole::Idle,
         role => role,
     }
 }
 
-/// Whether others tell this daemon what its zone has to know: it is one of those that follow
-/// the host for it, whether that answers them or not.
-pub(crate) fn hears_for_zone(node: &Node) -> bool {
+/// Whether other daemons send this one the messages for its zone: it is among the zone's followers,
+/// even if the store does not answer it.
+pub(crate) fn receives_for_zone(node: &Node) -> bool {
     let zone = gossip::own_zone(node).into_iter();
     let zone: Vec<_> = zone.map(|(key, _)| key).collect();
     let me = node.fleet.membership.borrow().me();
-    PollRole::polls(me, &zone) || follows_host(node)
+    PollRole::polls(me, &zone) || follows_store(node)
 }
 
-/// The role that this daemon acts in: one that others should tell asks for itself where
-/// none of them answers, or where it has nothing yet.
-pub(super) async fn present(node: &Rc<Node>) -> PollRole {
-    let role = chosen(node);
-    // In a first start the configuration may not be written yet, and those that follow
-    // the host tell of it. Later, callers wait for whoever has none.
+/// The role in which this daemon acts. A daemon that relies on followers polls on its own behalf if
+/// none of them answers, or if it has no configuration yet.
+pub(super) async fn current(node: &Rc<Node>) -> PollRole {
+    let role = assigned(node);
+    // In a first start the configuration may not have been written yet, and the followers announce
+    // it. Later, callers wait for a daemon that has none.
     let can_wait = node.fleet.in_force().is_some() || node.cfg.is_first_start;
-    if role != PollRole::Idle || (can_wait && contact::leaves_host_to_others(node).await) {
+    if role != PollRole::Idle || (can_wait && contact::can_rely_on_followers(node).await) {
         return role;
     }
     PollRole::OnOwnBehalf
--- a/crates/mesh/src/fleet/roster.rs
+++ b/crates/mesh/src/fleet/roster.rs
@@ -1,4 +1,4 @@
-//! The host's list of instances, by which daemons find their first peers.
+//! The roster, the store's list of instances, in which daemons find their first peers.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -10,223 +10,229 @@
 use tokio::time::timeout;
 
 use super::{gossip, role};
-use crate::host::{Host, HostError, Listed};
+use crate::fleet_store::{FleetStore, FleetStoreError, RosterContents};
 use crate::node::Node;
-use crate::quarantine::{self, Way};
+use crate::quarantine::{self, Delivery};
 
-/// Time for an answer of the host.
-const ANSWER_BOUND: Duration = Duration::from_secs(2);
+/// Timeout of a request to the store.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How often it is looked whether something is due.
-const STEP: Duration = Duration::from_millis(250);
+/// Interval of the checks for due work.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Pause before another try where the host did not answer.
-const RETRY: Duration = Duration::from_millis(750);
+/// Delay before a retry after a request that failed.
+const RETRY_DELAY: Duration = Duration::from_millis(750);
 
-/// Second look of a daemon that met nobody at the first one.
-const SECOND_LOOK: Duration = Duration::from_millis(1500);
+/// Delay before the second read of a daemon that met nobody after the first one.
+const SECOND_READ_DELAY: Duration = Duration::from_millis(1500);
 
-/// Longest pause between two looks of a daemon that knows nobody.
-const LONGEST_ALONE: Duration = Duration::from_secs(30);
+/// Longest delay between two reads of a daemon that knows no peer.
+const MAX_READ_DELAY: Duration = Duration::from_secs(30);
 
-/// How often a daemon that is not on the list looks whether it has to be.
-const KEPT_UP_EVERY: Duration = Duration::from_secs(5);
+/// How often a daemon that is not on the roster checks whether it has to be.
+const ANNOUNCE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Doublings of the pause, at most; by then it is the longest one.
+/// Limit on the doublings of the delay, which by then has reached `MAX_READ_DELAY`.
 const MAX_DOUBLINGS: u32 = 8;
 
-/// How often the list is read while others are out of reach.
-const CATCH_UP_EVERY: Duration = Duration::from_millis(1500);
+/// How often the roster is read while other daemons are out of reach.
+const CATCH_UP_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Rows of a zone that are enough for whoever starts to meet it: the death of some of them
-/// at once goes unnoticed. All others stay off the list, so that a start of all writes as
-/// little in a large fleet as in a small one.
-const LISTED_PER_ZONE: usize = 3;
+/// Rows per zone that suffice for a starting daemon to meet its zone, even if some of those
+/// instances die at once. All others stay off the roster, so that a start of the whole fleet writes
+/// as little for a large fleet as for a small one.
+const ROWS_PER_ZONE: usize = 3;
 
-/// Time over which the first looks of a fleet that starts for the first time are spread.
-/// Nobody calls yet, and those that look first put themselves on the list.
-const FIRST_START_SPREAD: Duration = Duration::from_secs(2);
+/// Time over which the first reads are spread in the first start of a fleet. There are no callers
+/// yet, and the daemons that read first announce themselves.
+const FIRST_READ_SPREAD: Duration = Duration::from_secs(2);
 
-/// Looks at the list while no peer is known, and keeps enough instances on it.
-pub(crate) async fn run<H: Host>(node: Rc<Node>, host: Rc<H>) {
-    // To the millisecond: those that look in one step would all find the list empty.
-    tokio::time::sleep(first_look(&node)).await;
-    let mut roster = Roster {
+/// Reads the roster while no peer is known, and keeps enough instances on it.
+pub(crate) async fn run<S: FleetStore>(node: Rc<Node>, store: Rc<S>) {
+    // With millisecond resolution: all daemons that read in the same step would find the roster
+    // empty.
+    tokio::time::sleep(first_read_delay(&node)).await;
+    let mut task = RosterTask {
         node: Rc::clone(&node),
-        host,
+        store,
         is_announced: false,
-        looks: 0,
+        reads: 0,
         due: node.clock.now(),
-        caught_up: Duration::ZERO,
-        keeps_from: Cell::default(),
+        caught_up_at: Duration::ZERO,
+        store_after: Cell::default(),
     };
     while !node.is_leaving() {
-        if node.fleet.has_returned.take() {
-            roster.write_again();
+        if node.fleet.was_restored.take() {
+            task.rewrite_rows();
         }
-        if node.clock.now() >= roster.due {
-            let pause = roster.step().await;
+        if node.clock.now() >= task.due {
+            let pause = task.step().await;
             let share = rand::rng().random_range(0.75..1.25);
-            roster.due = node.clock.now() + pause.mul_f64(share);
+            task.due = node.clock.now() + pause.mul_f64(share);
         }
-        roster.delete_forgotten().await;
-        roster.keep_requests().await;
-        roster.catch_up().await;
-        tokio::time::sleep(STEP).await;
+        task.delete_removed().await;
+        task.store_requests().await;
+        task.catch_up().await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
-    if roster.is_announced {
+    if task.is_announced {
         let own = node.cfg.instance.clone();
-        roster.say("withdrawn", roster.host.withdraw(&own)).await;
+        task.send("withdrawn", task.store.withdraw(&own)).await;
     }
 }
 
-/// Time until the list is first looked at.
-fn first_look(node: &Node) -> Duration {
+/// Delay of the first read.
+fn first_read_delay(node: &Node) -> Duration {
     if node.cfg.is_first_start {
-        FIRST_START_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0))
+        FIRST_READ_SPREAD.mul_f64(rand::rng().random_range(0.0..1.0))
     } else {
         Duration::ZERO
     }
 }
 
-struct Roster<H> {
+struct RosterTask<S> {
     node: Rc<Node>,
-    host: Rc<H>,
+    store: Rc<S>,
     is_announced: bool,
-    /// Looks at the list that were answered.
-    looks: u32,
+    /// Number of answered reads.
+    reads: u32,
     due: Duration,
-    /// When what is kept of requests was last read because others were out of reach.
-    caught_up: Duration,
-    /// Requests are not kept before that, since the host did not take the last one.
-    keeps_from: Cell<Duration>,
+    /// When the stored requests were last read because other daemons were out of reach.
+    caught_up_at: Duration,
+    /// Requests are not stored before this time, since storing the last one failed.
+    store_after: Cell<Duration>,
 }
 
-impl<H: Host> Roster<H> {
-    /// Has this daemon's own row written anew, and what is kept of requests: the host has
-    /// come back from an older copy. Those that follow the host notice, and they are the
-    /// ones that have to be on the list.
-    fn write_again(&mut self) {
+impl<S: FleetStore> RosterTask<S> {
+    /// Schedules this daemon's own row and the quarantined requests to be written again, after the
+    /// store was restored from an older copy. Followers notice that, and they are the daemons that
+    /// have to be on the roster.
+    fn rewrite_rows(&mut self) {
         self.is_announced = false;
         self.due = self.node.clock.now();
-        self.node.requests.keep_all(self.due);
+        self.node.quarantine.schedule_store_all(self.due);
     }
 
-    /// Does what is due and returns the time until the next step.
+    /// Does what is due and returns the delay until the next step.
     async fn step(&mut self) -> Duration {
         let is_alone = self.node.fleet.size() == 1;
-        if is_alone || self.looks == 0 {
-            let Some(listed) = self.look().await else {
-                return RETRY;
+        if is_alone || self.reads == 0 {
+            let Some(listed) = self.read_members().await else {
+                return RETRY_DELAY;
             };
             if self.is_needed(listed) && !self.announce().await {
-                return RETRY;
+                return RETRY_DELAY;
             }
-            let doublings = self.looks.min(MAX_DOUBLINGS) - 1;
-            return (SECOND_LOOK * (1 << doublings)).min(LONGEST_ALONE);
+            let doublings = self.reads.min(MAX_DOUBLINGS) - 1;
+            return (SECOND_READ_DELAY * (1 << doublings)).min(MAX_READ_DELAY);
         }
-        // Those that follow the host are there for as long as their zone is, and who they
-        // are changes with its members.
-        let is_missing = !self.is_announced && role::follows_host(&self.node);
+        // A zone has followers for as long as it has members, and they change only with its
+        // members.
+        let is_missing = !self.is_announced && role::follows_store(&self.node);
         if is_missing && !self.announce().await {
-            return RETRY;
+            return RETRY_DELAY;
         }
-        KEPT_UP_EVERY
+        ANNOUNCE_CHECK_INTERVAL
     }
 
-    /// Whether this instance has to be on the list, of which `listed` rows are of its zone.
-    /// Nobody was met after a look where those rows are of instances that are gone.
+    /// Whether this instance has to be on the roster, which has `listed` rows of its zone. If
+    /// nobody was met after the first read, those rows belong to instances that are gone.
     fn is_needed(&self, listed: usize) -> bool {
-        !self.is_announced && (listed < LISTED_PER_ZONE || self.looks > 1)
+        !self.is_announced && (listed < ROWS_PER_ZONE || self.reads > 1)
     }
 
-    /// Looks at the list, and returns how many instances of the own zone are on it; nothing
-    /// where there was no answer.
+    /// Reads the roster and returns the number of its rows that belong to the own zone; `None`
+    /// without an answer.
     ///
-    /// A row that a former process of this instance left says where to knock as well as a
-    /// new one would, so it stays as it is: where 295 instances lose power at once, that
-    /// saves a write of each. Two that look before either is on the list miss each other,
-    /// but are then alone, and look again.
-    async fn look(&mut self) -> Option<usize> {
-        let listed = self.read(Way::Exchange).await?;
+    /// A row that an earlier process of this instance left has the same address as a new one would,
+    /// so it is kept: when 295 instances lose power at once, that saves a write for each. Two
+    /// daemons that both read before either is on the roster miss each other, but are then alone
+    /// and read again.
+    async fn read_members(&mut self) -> Option<usize> {
+        let listed = self.read(Delivery::Exchange).await?;
         let rows: Vec<_> = listed.members.into_iter().map(|it| it.row).collect();
         let cfg = &self.node.cfg;
         let is_own = |it: &Row| it.instance == cfg.instance && it.peer == cfg.addresses.peers;
         self.is_announced |= rows.iter().any(is_own);
         let of_zone = rows.iter().filter(|it| it.zone == cfg.zone).count();
         gossip::input(&self.node, Input::Announced { rows });
-        self.looks += 1;
-        self.node.fleet.looked_at.set(Some(self.node.clock.now()));
+        self.reads += 1;
+        self.node
+            .fleet
+            .roster_read_at
+            .set(Some(self.node.clock.now()));
         Some(of_zone)
     }
 
-    /// Reads what is kept of requests while other daemons are out of reach: what they find
-    /// is told to those that they reach, and nobody else would hear of it here.
+    /// Reads the stored requests while other daemons are out of reach. Findings of those are sent
+    /// only to the daemons that they can reach, so the store is the only way for them to arrive
+    /// here.
     async fn catch_up(&mut self) {
         let now = self.node.clock.now();
-        let is_due = now >= self.caught_up + CATCH_UP_EVERY;
-        if !is_due || !role::catches_up_by_host(&self.node) {
+        let is_due = now >= self.caught_up_at + CATCH_UP_INTERVAL;
+        if !is_due || !role::reads_findings_from_store(&self.node) {
             return;
         }
-        self.caught_up = now;
-        self.read(Way::Direct).await;
+        self.caught_up_at = now;
+        self.read(Delivery::Direct).await;
     }
 
-    /// Reads the list and takes in its requests, as if they had come in this way from a peer.
-    async fn read(&self, way: Way) -> Option<Listed> {
-        let listed = self.say("read", self.host.roster()).await?;
-        quarantine::hear_kept(&self.node, &listed.requests, way);
+    /// Reads the roster and applies its requests as if they had come from a peer by `delivery`.
+    async fn read(&self, delivery: Delivery) -> Option<RosterContents> {
+        let listed = self.send("read", self.store.roster()).await?;
+        quarantine::apply_stored(&self.node, &listed.requests, delivery);
         Some(listed)
     }
 
     async fn announce(&mut self) -> bool {
         let announcement = self.node.fleet.membership.borrow().announcement();
-        let written = self.say("announced", self.host.announce(&announcement));
+        let written = self.send("announced", self.store.announce(&announcement));
         self.is_announced = written.await.is_some();
-        self.node.fleet.is_listed.set(self.is_announced);
+        self.node.fleet.is_on_roster.set(self.is_announced);
         self.is_announced
     }
 
-    async fn delete_forgotten(&self) {
-        let forgotten = std::mem::take(&mut *self.node.fleet.forgotten.borrow_mut());
-        // Every daemon of the zone forgets it, and one deletion is enough.
-        if !role::follows_host(&self.node) {
+    async fn delete_removed(&self) {
+        let removed_members = std::mem::take(&mut *self.node.fleet.removed_members.borrow_mut());
+        // All daemons of the zone remove the member, and one deletion is enough.
+        if !role::follows_store(&self.node) {
             return;
         }
-        for instance in forgotten {
-            self.say("cleaned up", self.host.withdraw(&instance)).await;
+        for instance in removed_members {
+            self.send("cleaned up", self.store.withdraw(&instance))
+                .await;
         }
     }
 
-    /// Writes and deletes what has to be kept of requests that are refused. What the host
-    /// does not take is tried again; until then every daemon knows it.
-    async fn keep_requests(&self) {
-        if self.node.clock.now() < self.keeps_from.get() {
+    /// Writes and deletes stored requests as the quarantine demands. What fails is retried; until
+    /// then every daemon still knows it.
+    async fn store_requests(&self) {
+        if self.node.clock.now() < self.store_after.get() {
             return;
         }
-        while let Some(next) = self.node.requests.next_to_keep() {
-            let kept = quarantine::kept(&self.node, next);
-            let done = match &kept {
-                Some(request) => self.say("kept", self.host.keep(request)).await,
-                None => self.say("kept", self.host.drop_kept(next)).await,
+        while let Some(next) = self.node.quarantine.next_to_store() {
+            let stored = quarantine::stored(&self.node, next);
+            let done = match &stored {
+                Some(request) => self.send("kept", self.store.store_request(request)).await,
+                None => self.send("kept", self.store.delete_request(next)).await,
             };
             if done.is_none() {
-                self.node.requests.keep(next);
-                self.keeps_from.set(self.node.clock.now() + RETRY);
+                self.node.quarantine.schedule_store(next);
+                self.store_after.set(self.node.clock.now() + RETRY_DELAY);
                 return;
             }
         }
     }
 
-    /// The answer, or a log line that says what was not done.
-    async fn say<T>(
+    /// Returns the answer, or logs which operation failed.
+    async fn send<T>(
         &self,
         what: &'static str,
-        asked: impl Future<Output = Result<T, HostError>>,
+        asked: impl Future<Output = Result<T, FleetStoreError>>,
     ) -> Option<T> {
-        let answer = timeout(ANSWER_BOUND, asked).await;
-        let answer =
-            answer.unwrap_or_else(|_| Err(HostError::Unavailable("no answer in time".into())));
+        let answer = timeout(ANSWER_TIMEOUT, asked).await;
+        let answer = answer
+            .unwrap_or_else(|_| Err(FleetStoreError::Unavailable("no answer in time".into())));
         match answer {
             Ok(answer) => Some(answer),
             Err(err) => {
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration: the one in force, and how peers get it from each other.
+//! Versions of the configuration: puts them in force and exchanges them with peers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 use stoatstep_resource::State;
 use stoatstep_telemetry::fields;
 
-use super::packed::{self, Packed};
+use super::compression::{self, CompressedUpdate};
 use super::{gossip, role};
 use crate::executor;
 use crate::in_force::InForce;
@@ -19,27 +19,27 @@
 use crate::node::Node;
 use crate::wire::{Ask, Newer, Reply};
 
-/// Head start of the host's own answer, and of peers in the own zone, over a pull
-/// from a peer in another zone: bytes between zones are dear.
-const PULL_AFTER: Duration = Duration::from_millis(800);
+/// Delay before a pull from a peer in another zone, which lets the store's answer or a peer of the
+/// own zone come first: traffic between zones is expensive.
+const REMOTE_PULL_DELAY: Duration = Duration::from_millis(800);
 
-/// Former states kept for peers that are a little behind. More than the versions
-/// that come in quick succession between two looks of a peer.
-const FORMER: usize = 8;
+/// Earlier configurations kept for peers that are slightly behind. It exceeds the number of
+/// versions that can appear between two pulls of a peer.
+const MAX_EARLIER_STATES: usize = 8;
 
-/// Time for a state from a peer.
-const PULL_BOUND: Duration = Duration::from_secs(2);
+/// Timeout of a pull from a peer.
+const PULL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Who a configuration came from.
+/// Where a configuration came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
     Host,
     Peer,
 }
 
-/// Puts a state in force if it is newer than the one that is, and whole. Going
-/// back would show callers a route that was removed. Returns whether it did.
-pub(super) fn offer(node: &Rc<Node>, state: State, source: Source) -> bool {
+/// Puts a state in force if it is newer than the current one and its references are valid, and
+/// returns whether it did. Older states are rejected: callers would see a route that was removed.
+pub(super) fn apply_if_newer(node: &Rc<Node>, state: State, source: Source) -> bool {
     let held = held(node).version;
     let version = state.version();
     if version <= held {
@@ -50,31 +50,31 @@
             fields::VERSION => version, fields::HELD => held, fields::SOURCE => ?source, fields::ERROR => %err);
         return false;
     }
-    let mark = replace(node, state);
+    let mark = activate(node, state);
     slog::info!(node.log, "configuration in force";
         fields::VERSION => version, fields::BEFORE => held, fields::SOURCE => ?source);
     gossip::input(node, Input::Holds(mark));
-    tell(node, source);
-    // The first configuration names the path at which targets are asked.
+    announce(node, source);
+    // The first configuration contains the path at which the target is probed.
     executor::confirm_target(node);
     true
 }
 
-/// Passes word of a new version on. One that follows the host for its zone does so too
-/// where it had the version from a peer: the host may have turned it away.
-fn tell(node: &Rc<Node>, source: Source) {
+/// Announces a new version. A follower also announces one that it received from a peer, since the
+/// store may have rejected the follower itself.
+fn announce(node: &Rc<Node>, source: Source) {
     match source {
         Source::Host => {
-            gossip::tell_zone(node);
-            gossip::tell_other_zones(node);
+            gossip::notify_zone(node);
+            gossip::notify_other_zones(node);
         }
-        Source::Peer if role::hears_for_zone(node) => gossip::tell_zone(node),
+        Source::Peer if role::receives_for_zone(node) => gossip::notify_zone(node),
         Source::Peer => {}
     }
 }
 
-/// Puts a state in force and keeps the one before for peers that still hold it.
-fn replace(node: &Node, state: State) -> Mark {
+/// Puts a state in force and keeps the previous one for peers that still hold it.
+fn activate(node: &Node, state: State) -> Mark {
     let before = node.fleet.in_force();
     let state = match &before {
         Some(before) => state.sharing(&before.state),
@@ -84,16 +84,16 @@
     let mark = in_force.mark;
     *node.fleet.in_force.borrow_mut() = Some(Rc::new(in_force));
     if let Some(before) = before {
-        let mut former = node.fleet.former.borrow_mut();
-        former.push_back((before.mark, Arc::clone(&before.state)));
-        if former.len() > FORMER {
-            former.pop_front();
+        let mut earlier_states = node.fleet.earlier_states.borrow_mut();
+        earlier_states.push_back((before.mark, Arc::clone(&before.state)));
+        if earlier_states.len() > MAX_EARLIER_STATES {
+            earlier_states.pop_front();
         }
     }
     mark
 }
 
-/// The configuration for a peer that holds an older one.
+/// The update for a peer that holds an older configuration.
 pub(crate) fn newer_than(node: &Node, theirs: Mark) -> Newer {
     let Some(held) = node.fleet.in_force() else {
         return Newer::Nothing;
@@ -101,40 +101,41 @@
     if held.version() <= theirs.version {
         return Newer::Nothing;
     }
-    if let Some(bytes) = kept(node, theirs, held.mark) {
+    if let Some(bytes) = cached_update(node, theirs, held.mark) {
         return Newer::Packed(bytes);
     }
-    let newer = packed::pack(leading_to(node, theirs, &held));
+    let newer = compression::compress(update_from(node, theirs, &held));
     if let Newer::Packed(bytes) = &newer {
-        let packed = Packed {
+        let update = CompressedUpdate {
             from: theirs,
             to: held.mark,
             bytes: bytes.clone(),
         };
-        node.fleet.packed.replace(Some(packed));
+        node.fleet.compressed_update.replace(Some(update));
     }
     newer
 }
 
-/// What was packed for another peer that asked for the same.
-fn kept(node: &Node, from: Mark, to: Mark) -> Option<Bytes> {
-    let packed = node.fleet.packed.borrow();
-    let packed = packed.as_ref();
-    let packed = packed.filter(|it| it.from == from && it.to == to);
-    packed.map(|it| it.bytes.clone())
+/// The cached update, if it was compressed for the same pair of configurations.
+fn cached_update(node: &Node, from: Mark, to: Mark) -> Option<Bytes> {
+    let update = node.fleet.compressed_update.borrow();
+    let update = update.as_ref();
+    let update = update.filter(|it| it.from == from && it.to == to);
+    update.map(|it| it.bytes.clone())
 }
 
-fn leading_to(node: &Node, theirs: Mark, held: &InForce) -> Newer {
-    let former = node.fleet.former.borrow();
-    match former.iter().find(|(mark, _)| *mark == theirs) {
+fn update_from(node: &Node, theirs: Mark, held: &InForce) -> Newer {
+    let earlier_states = node.fleet.earlier_states.borrow();
+    match earlier_states.iter().find(|(mark, _)| *mark == theirs) {
         Some((_, state)) => Newer::Difference((&state.difference(&held.state)).into()),
         None => Newer::Whole((&*held.state).into()),
     }
 }
 
-/// A peer said what it holds. Where it is newer, the peer is asked: at once if it
-/// is of the own zone, and otherwise only if nobody nearer has told in a while.
-pub(crate) fn peer_holds(node: &Rc<Node>, peer: MemberKey, addr: SocketAddr, theirs: Mark) {
+/// Handles a peer's announcement of the configuration that it holds. If it is newer, it is pulled
+/// from the peer: at once within the own zone, and otherwise only if no other source delivers it
+/// within `REMOTE_PULL_DELAY`.
+pub(crate) fn pull_if_newer(node: &Rc<Node>, peer: MemberKey, addr: SocketAddr, theirs: Mark) {
     if theirs.version <= held(node).version || node.fleet.is_pulling.get() {
         return;
     }
@@ -142,7 +143,7 @@
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
         if !is_near && node.fleet.in_force().is_some() {
-            tokio::time::sleep(PULL_AFTER).await;
+            tokio::time::sleep(REMOTE_PULL_DELAY).await;
         }
         if theirs.version > held(&node).version && !node.fleet.is_pulling.replace(true) {
             pull(&node, addr).await;
@@ -158,23 +159,23 @@
 async fn pull(node: &Rc<Node>, addr: SocketAddr) {
     let asked_with = held(node);
     let ask = Ask::Newer(asked_with);
-    let reply = node.links.ask_within(addr, ask, PULL_BOUND).await;
+    let reply = node.links.ask_within(addr, ask, PULL_TIMEOUT).await;
     let (newer, rollouts) = match reply {
         Ok(Reply::Newer(newer, rollouts)) => (newer, rollouts),
         other => {
-            note_failed_pull(node, addr, other.err());
+            log_failed_pull(node, addr, other.err());
             return;
         }
     };
-    gossip::hear_rollouts(node, rollouts);
-    // The host or another peer was faster. A difference from what was held before
-    // says nothing now, and the next exchange tells whether the peer has still more.
+    gossip::apply_rollouts(node, rollouts);
+    // The store or another peer was faster. A difference from the earlier state no longer applies,
+    // and the next exchange tells whether the peer has a still newer one.
     if held(node) != asked_with {
         return;
     }
     match decode(node, newer) {
         Ok(Some(state)) => {
-            offer(node, state, Source::Peer);
+            apply_if_newer(node, state, Source::Peer);
         }
         Ok(None) => {}
         Err(err) => {
@@ -183,7 +184,7 @@
     }
 }
 
-fn note_failed_pull(node: &Node, addr: SocketAddr, err: Option<LinkError>) {
+fn log_failed_pull(node: &Node, addr: SocketAddr, err: Option<LinkError>) {
     node.journal.count("configuration.pulls_failed");
     if let Some(left_out) = node.journal.admits("pull", node.clock.now()) {
         slog::warn!(node.log, "configuration not pulled"; fields::PEER => %addr,
@@ -194,12 +195,12 @@
 
 fn decode(node: &Node, newer: Newer) -> Result<Option<State>, String> {
     let newer = match newer {
-        Newer::Packed(bytes) => packed::unpack(&bytes).map_err(|err| err.to_string())?,
+        Newer::Packed(bytes) => compression::decompress(&bytes).map_err(|err| err.to_string())?,
         plain => plain,
     };
     let state = match newer {
         Newer::Nothing => return Ok(None),
-        Newer::Packed(_) => return Err("packed twice".into()),
+        Newer::Packed(_) => return Err("configuration is compressed twice".into()),
         Newer::Whole(snapshot) => State::try_from(snapshot).map_err(|err| err.to_string())?,
         Newer::Difference(difference) => {
             let Some(held) = node.fleet.in_force() else {
--- a/crates/mesh/src/link/server.rs
+++ b/crates/mesh/src/link/server.rs
@@ -105,9 +105,9 @@
             Reply::Settled(executor::settle(&node, attempt, ticket).await)
         }),
         Ask::Gossip(message, news) => reply_later(connection, id, async move {
-            fleet::gossip::hear_news(&node, news);
+            fleet::gossip::apply_piggyback(&node, news);
             let reply = fleet::gossip::answer(&node, message).await;
-            Reply::Gossip(reply, fleet::gossip::news(&node))
+            Reply::Gossip(reply, fleet::gossip::piggyback(&node))
         }),
         Ask::Newer(held) => {
             let newer = fleet::versions::newer_than(&node, held);
@@ -120,11 +120,11 @@
             connection.reply(id, Reply::Newer(newer, rollouts));
         }
         Ask::Rollout(progress) => {
-            rollout::hear(&node, &progress, Source::Peer);
+            rollout::apply_progress(&node, &progress, Source::Peer);
             connection.reply(id, Reply::Pong);
         }
         Ask::Findings(findings) => {
-            quarantine::hear(&node, &findings, quarantine::Way::Direct);
+            quarantine::apply_findings(&node, &findings, quarantine::Delivery::Direct);
             connection.reply(id, Reply::Pong);
         }
         Ask::Evidence(service, order) => {
@@ -132,7 +132,7 @@
             connection.reply(id, Reply::Evidence(evidence));
         }
         Ask::Holds(peer, mark) => {
-            fleet::gossip::told(&node, peer, mark);
+            fleet::gossip::peer_announced(&node, peer, mark);
             connection.reply(id, Reply::Pong);
         }
         Ask::Occupancy => {
@@ -140,8 +140,8 @@
             connection.reply(id, Reply::Occupancy(occupancy));
         }
         Ask::Following => connection.reply(id, fleet::contact::answer(&node)),
-        Ask::LostHost(peer) => {
-            fleet::contact::peer_lost_host(&node, peer);
+        Ask::LostStore(peer) => {
+            fleet::contact::peer_lost_store(&node, peer);
             connection.reply(id, Reply::Pong);
         }
         Ask::Confirmed => {
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of one daemon share.
+//! State shared by all parts of one daemon.
 
 use std::cell::Cell;
 use std::io;
@@ -15,11 +15,11 @@
 use crate::entry::{self, Entry};
 use crate::executor::{self, Executor};
 use crate::fleet::{self, Fleet};
-use crate::host::Host;
+use crate::fleet_store::FleetStore;
 use crate::journal::Journal;
 use crate::link::{self, Links, SharedUplink};
 use crate::mechanism::Mechanism;
-use crate::quarantine::Requests;
+use crate::quarantine::QuarantineState;
 use crate::quota::{self, Quotas};
 use crate::rollout::{self, Rollouts};
 use crate::{drain, fleet::gossip};
@@ -28,49 +28,49 @@
 use stoatstep_membership::{Birth, Heard, Heartbeat};
 use stoatstep_telemetry::fields;
 
-/// Interval of the periodic work. Membership counts its time in it.
+/// Interval of the periodic work, including the membership protocol.
 const TICK: Duration = Duration::from_millis(250);
 
-/// One daemon. Everything runs on one thread, so its cells are never contended;
-/// their borrows never last over an `await`.
+/// State of one daemon. Everything runs on one thread, so its cells are never contended; borrows of
+/// them never last over an `await`.
 pub(crate) struct Node {
     pub(crate) cfg: MeshConfig,
     pub(crate) log: Logger,
     pub(crate) clock: Clock,
     pub(crate) journal: Journal,
-    /// What this instance's link carries.
+    /// Pacing of what is sent over this instance's link.
     pub(crate) uplink: Rc<SharedUplink>,
     pub(crate) links: Links,
     pub(crate) entry: Entry,
     pub(crate) executor: Executor,
     pub(crate) fleet: Fleet,
     pub(crate) rollouts: Rollouts,
-    pub(crate) requests: Requests,
+    pub(crate) quarantine: QuarantineState,
     pub(crate) quotas: Quotas,
     pub(crate) in_flight: Cell<u32>,
-    /// Answers to callers that have not been written to their ends.
+    /// Answers to callers that are not yet fully written.
     pub(crate) unwritten: Unwritten,
     pub(crate) departure: Cell<Departure>,
 }
 
 impl Node {
-    /// Whether this daemon was told to stop.
+    /// Whether this daemon was asked to stop.
     pub(crate) fn is_leaving(&self) -> bool {
         self.departure.get().has_begun()
     }
 }
 
-/// A running daemon, as the adapter of its host sees it.
+/// Handle of a running daemon, for the adapter between it and its environment.
 #[derive(Clone)]
 pub struct Mesh(Rc<Node>);
 
 impl Mesh {
-    /// Starts the daemon on the present thread.
+    /// Starts the daemon on the current thread.
     ///
     /// # Errors
     ///
-    /// Where one of its addresses cannot be bound.
-    pub async fn start<H: Host>(cfg: MeshConfig, host: H, log: Logger) -> io::Result<Self> {
+    /// If one of its addresses cannot be bound.
+    pub async fn start<S: FleetStore>(cfg: MeshConfig, store: S, log: Logger) -> io::Result<Self> {
         let peers = TcpListener::bind(cfg.addresses.peers).await?;
         let callers = Server::bind(cfg.addresses.callers).await?;
         let metrics = match cfg.metrics {
@@ -80,7 +80,7 @@
         let clock = Clock::start();
         let uplink = Rc::new(SharedUplink::new(
             cfg.link_bytes_per_s
-                .filter(|_| cfg.has(Mechanism::LinkPace)),
+                .filter(|_| cfg.is_enabled(Mechanism::LinkPace)),
             clock,
         ));
         let node = Rc::new(Node {
@@ -91,7 +91,7 @@
             executor: Executor::new(&cfg, clock, log.clone()),
             fleet: Fleet::new(&cfg),
             rollouts: Rollouts::default(),
-            requests: Requests::default(),
+            quarantine: QuarantineState::default(),
             quotas: Quotas::default(),
             in_flight: Cell::new(0),
             unwritten: callers.unwritten(),
@@ -102,13 +102,13 @@
         });
         ntex::rt::spawn(link::serve(Rc::clone(&node), peers));
         ntex::rt::spawn(serve_callers(Rc::clone(&node), callers));
-        let host = Rc::new(host);
+        let store = Rc::new(store);
         ntex::rt::spawn(fleet::configuration::run(
             Rc::clone(&node),
-            Rc::clone(&host),
+            Rc::clone(&store),
         ));
-        ntex::rt::spawn(rollout::run(Rc::clone(&node), Rc::clone(&host)));
-        ntex::rt::spawn(fleet::roster::run(Rc::clone(&node), host));
+        ntex::rt::spawn(rollout::run(Rc::clone(&node), Rc::clone(&store)));
+        ntex::rt::spawn(fleet::roster::run(Rc::clone(&node), store));
         ntex::rt::spawn(fleet::confirmation::run(Rc::clone(&node)));
         ntex::rt::spawn(tick(Rc::clone(&node)));
         if let Some(metrics) = metrics {
@@ -117,23 +117,23 @@
         Ok(Self(node))
     }
 
-    /// Takes in a heartbeat of the target beside the daemon. Once this returns,
-    /// no further call goes to a target that drains.
+    /// Handles a heartbeat of the target beside the daemon. Once this returns, no further call goes
+    /// to a target that drains.
     #[must_use = "a stale heartbeat is acked like any other, but may be worth a log line"]
-    pub fn hear(&self, beat: Heartbeat) -> Heard {
+    pub fn handle_heartbeat(&self, beat: Heartbeat) -> Heard {
         let heard = executor::handle_heartbeat(&self.0, beat);
         gossip::target_changed(&self.0);
         heard
     }
 
-    /// The target with this id said good-bye, for the life that began at `born` where
-    /// it tells. Once this returns, no further call goes to that life.
+    /// Handles the departure of the target with this id, for the generation that started at `born`
+    /// if it reports one. Once this returns, no further call goes to that generation.
     pub fn target_left(&self, id: &str, born: Option<Birth>) {
         executor::deregister_target(&self.0, id, born);
         gossip::target_changed(&self.0);
     }
 
-    /// Whether callers should come here: a configuration is in force and, where there are
+    /// Whether callers should use this daemon: a configuration is in force and, if there are
     /// customers, known to be recent enough, and the daemon is not about to stop.
     #[must_use]
     pub fn is_ready(&self) -> bool {
@@ -141,7 +141,7 @@
         is_configured && !self.0.is_leaving() && fleet::confirmation::is_recent(&self.0)
     }
 
-    /// Stops gracefully; the process may end when this does.
+    /// Stops gracefully. The process may end once this returns.
     pub async fn drain(&self) {
         drain::begin(&self.0);
         drain::finished(&self.0).await;
@@ -165,7 +165,7 @@
     let log = node.log.clone();
     let ended = server
         .serve(move |_| {
-            fleet::gauges(&node);
+            fleet::update_gauges(&node);
             let text = node.journal.metrics_text();
             async move { Response::Ok().content_type("text/plain").body(text) }
         })
@@ -183,7 +183,7 @@
         gossip::tick(&node);
         gossip::target_changed(&node);
         executor::tick(&node);
-        node.requests.tick(node.clock.now());
+        node.quarantine.tick(node.clock.now());
         quota::tick(&node);
     }
 }
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -1,11 +1,10 @@
-//! Roll-outs, as one daemon takes part in them. What is decided is in
-//! `stoatstep-rollout`.
+//! A daemon's part in roll-outs. The decisions are made by `stoatstep-rollout`.
 
+mod evaluation;
 mod evidence;
-mod judge;
-mod newcomers;
-mod settle;
-mod spread;
+mod new_versions;
+mod propagation;
+mod transition;
 mod view;
 
 use std::cell::{Cell, RefCell};
@@ -19,46 +18,46 @@
 use stoatstep_telemetry::fields;
 
 use crate::clock::unix_time;
-use crate::host::{RolloutNews, RolloutStatus};
+use crate::fleet_store::{OrderChange, RolloutStatus};
 use crate::node::Node;
 use crate::wire::CallParts;
 
+pub(crate) use evaluation::run;
 pub(crate) use evidence::of_target as evidence;
-pub(crate) use judge::run;
-pub(crate) use newcomers::Newcomers;
+pub(crate) use new_versions::NewVersions;
 use view::View;
 
-/// Time without word of the other targets from which the daemon beside one that is tried
-/// holds it back. A daemon that is cut off does not hear that the version is bad, and its
-/// entries neither.
-const LONELY_AFTER: Duration = Duration::from_secs(2);
+/// Time without contact to other targets after which the daemon beside a target on trial holds it
+/// back. A daemon that is cut off does not learn that the version is bad, and neither do its
+/// entries.
+const ISOLATED_AFTER: Duration = Duration::from_secs(2);
 
-/// What a daemon knows of roll-outs, and what follows for calls.
+/// Roll-out state of a daemon, and the resulting division of calls.
 #[derive(Default)]
 pub(crate) struct Rollouts {
     book: RefCell<Book>,
     lanes: RefCell<HashMap<ServiceName, Lane>>,
-    /// Calls by route of the services that are under a roll-out.
+    /// Calls by route of the services that have a roll-out on trial.
     mixes: RefCell<HashMap<ServiceName, Mix>>,
-    /// When a judge last had word of other targets of its service.
-    in_touch: Cell<Option<Time>>,
-    /// A question to the host goes on.
-    is_settling: Cell<bool>,
+    /// When an evaluation last reached other targets of the service.
+    last_contact: Cell<Option<Time>>,
+    /// Whether a status write at the store is in progress.
+    is_writing_status: Cell<bool>,
 }
 
 impl Rollouts {
-    /// What peers are told in the regular exchanges.
-    pub(crate) fn news(&self, now: Time) -> Vec<Progress> {
+    /// Progress to send in the regular exchanges.
+    pub(crate) fn updates(&self, now: Time) -> Vec<Progress> {
         self.book.borrow().news(now)
     }
 
-    /// What a peer is told that has just started.
+    /// Progress to send to a peer that has just started.
     pub(crate) fn all(&self) -> Vec<Progress> {
         self.book.borrow().all()
     }
 
-    /// The side of a call, where its service is under a roll-out, with how the service's
-    /// calls are divided.
+    /// The side that a call goes to if its service has a roll-out, together with the division of
+    /// the service's calls.
     pub(crate) fn divide(&self, call: &CallParts, draw: u32) -> Option<(Lane, Side)> {
         let lane = self.lanes.borrow().get(&call.service)?.clone();
         let weight = match lane.step {
@@ -81,51 +80,51 @@
             return true;
         };
         let is_on_trial = software == lane.target && matches!(lane.step, Step::Trial | Step::Load);
-        let is_lonely = self
-            .in_touch
+        let is_isolated = self
+            .last_contact
             .get()
-            .is_some_and(|at| now.saturating_sub(at) > LONELY_AFTER);
-        lane.admits(software, upstream) && !(is_on_trial && is_lonely)
+            .is_some_and(|at| now.saturating_sub(at) > ISOLATED_AFTER);
+        lane.admits(software, upstream) && !(is_on_trial && is_isolated)
     }
 
     /// Whether an order for the service is known.
-    pub(crate) fn is_ordered(&self, service: &str) -> bool {
+    pub(crate) fn has_order(&self, service: &str) -> bool {
         self.book.borrow().get(service).is_some()
     }
 
-    /// Whether a roll-out of the service goes on, so that answers of its targets count.
-    pub(crate) fn is_judged(&self, service: &str) -> bool {
+    /// Whether the service has an active roll-out, so that answers of its targets are counted.
+    pub(crate) fn is_active(&self, service: &str) -> bool {
         let lanes = self.lanes.borrow();
         let lane = lanes.get(service);
         lane.is_some_and(|it| matches!(it.step, Step::Trial | Step::Load | Step::All))
     }
 }
 
-/// Who said how far a roll-out has come.
+/// Where a report of roll-out progress came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The host, or its answer to this daemon.
+    /// The store.
     Host,
-    /// This daemon itself.
+    /// A decision of this daemon.
     Own,
     /// A peer.
     Peer,
 }
 
-/// Takes in what the host says of orders. `age` is the longest time for which an order
-/// that came without a status may have been waiting.
-pub(crate) fn hear_host(node: &Rc<Node>, news: Vec<RolloutNews>, age: Duration) {
-    for news in news {
-        match news {
-            RolloutNews::Ordered { order, status } => {
-                hear(node, &progress_of(order, status, age), Source::Host);
+/// Applies order changes of the store. `age` is the longest time for which an order without a
+/// status may have been waiting.
+pub(crate) fn apply_orders(node: &Rc<Node>, changes: Vec<OrderChange>, age: Duration) {
+    for change in changes {
+        match change {
+            OrderChange::Ordered { order, status } => {
+                apply_progress(node, &progress_of(order, status, age), Source::Host);
             }
-            RolloutNews::Withdrawn(service) => withdrawn(node, &service),
+            OrderChange::Withdrawn(service) => apply_withdrawal(node, &service),
         }
     }
 }
 
-/// A status that is of an earlier order says nothing of this one.
+/// Combines an order with its status. A status of an earlier order is ignored.
 fn progress_of(order: Order, status: Option<RolloutStatus>, age: Duration) -> Progress {
     match status.filter(|it| it.order == order.id) {
         Some(status) => Progress {
@@ -137,17 +136,17 @@
     }
 }
 
-fn withdrawn(node: &Rc<Node>, service: &str) {
+fn apply_withdrawal(node: &Rc<Node>, service: &str) {
     let known = node.rollouts.book.borrow().get(service).cloned();
     if let Some(known) = known.filter(|it| !it.step.is_final()) {
         slog::info!(node.log, "roll-out withdrawn"; fields::SERVICE => service,
             fields::ORDER => known.order.id, fields::STEP => known.step.as_str());
-        hear(node, &known.at(Step::Halted), Source::Own);
+        apply_progress(node, &known.at(Step::Halted), Source::Own);
     }
 }
 
-/// Takes in how far a roll-out has come, and passes on what is news.
-pub(crate) fn hear(node: &Rc<Node>, progress: &Progress, source: Source) {
+/// Applies a progress report, and forwards it if it is new.
+pub(crate) fn apply_progress(node: &Rc<Node>, progress: &Progress, source: Source) {
     let now = node.clock.now();
     let change = node.rollouts.book.borrow_mut().hear(progress.clone(), now);
     let Change::Moved { from } = change else {
@@ -163,10 +162,10 @@
         .count(&format!("rollouts.{}", progress.step.as_str()));
     node.executor.begin_tally(&order.service, order.id);
     rebuild(node);
-    spread::pass_on(node, progress, source);
+    propagation::propagate(node, progress, source);
 }
 
-/// Brings the lanes up to date with the book and with membership.
+/// Recomputes the division of calls from the known orders and the membership.
 pub(crate) fn rebuild(node: &Node) {
     let now = node.clock.now();
     let book = node.rollouts.book.borrow();
