--- a/crates/calls/src/ledger/mod.rs
+++ b/crates/calls/src/ledger/mod.rs
@@ -1,11 +1,12 @@
-//! The executor's memory of attempts: what turns "no answer came" into an
-//! answer, a true "not run", or an honest "unknown".
+//! The executor's record of attempts. An entry that received no answer asks it
+//! whether the attempt ran: the ledger replies with the answer, with "not run" if
+//! that is certain, or else with "unknown".
 //!
 //! Every attempt carries a [`Ticket`] that the executor itself issued earlier.
 //! Its stamp is a reading of the executor's own steady clock, so the age of an
-//! attempt is told without comparing clocks of two machines, and its
-//! incarnation names the process whose memory the attempt relies on. The proof
-//! that forgetting is sound is in `docs/design/at-most-once.md`.
+//! attempt is computed without comparing the clocks of two machines. Its
+//! incarnation identifies the process whose records the attempt relies on. The
+//! proof that records can be dropped safely is in `docs/design/at-most-once.md`.
 
 mod types;
 
@@ -19,8 +20,8 @@
 
 pub use types::{Arrival, LedgerConfig, Settled, Ticket};
 
-/// Pause asked for while the ledger is full.
-const FULL_RETRY: Duration = Duration::from_secs(1);
+/// Time after which a caller may retry when the ledger is full.
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record {
@@ -28,34 +29,36 @@
     keep_until: Time,
 }
 
-/// Table of attempts by id, bounded by count, bytes and time.
+/// Attempts by id, bounded in number, total answer size and age.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Ledger {
     cfg: LedgerConfig,
     incarnation: Incarnation,
-    floor: Time,
+    /// Tickets with an earlier stamp are refused.
+    min_stamp: Time,
     records: BTreeMap<AttemptId, Record>,
     expiry: VecDeque<(Time, AttemptId)>,
-    answers: VecDeque<AttemptId>,
-    bytes: usize,
+    /// Attempts whose answers are kept, oldest first.
+    answer_order: VecDeque<AttemptId>,
+    answer_bytes: usize,
 }
 
 impl Ledger {
-    /// An empty ledger of the process `incarnation`.
+    /// Creates an empty ledger for the process `incarnation`.
     #[must_use]
     pub fn new(incarnation: Incarnation, cfg: LedgerConfig) -> Self {
         Self {
             cfg,
             incarnation,
-            floor: Time::ZERO,
+            min_stamp: Time::ZERO,
             records: BTreeMap::new(),
             expiry: VecDeque::new(),
-            answers: VecDeque::new(),
-            bytes: 0,
+            answer_order: VecDeque::new(),
+            answer_bytes: 0,
         }
     }
 
-    /// A fresh ticket, to be handed out with every answer.
+    /// Issues a new ticket, which is sent along with every answer.
     #[must_use]
     pub fn ticket(&self, now: Time) -> Ticket {
         Ticket {
@@ -64,19 +67,19 @@
         }
     }
 
-    /// Number of records held.
+    /// Returns the number of records.
     #[must_use]
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no record is held.
+    /// Returns whether the ledger has no records.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Takes in an attempt.
+    /// Decides whether an attempt that arrived may run, and records it if so.
     pub fn arrive(&mut self, attempt: AttemptId, ticket: Ticket, now: Time) -> Arrival {
         if let Some(record) = self.records.get(&attempt) {
             return match &record.state {
@@ -84,76 +87,78 @@
                 state => Arrival::Seen(state.clone()),
             };
         }
-        if !self.is_current(ticket, now) || ticket.stamp < self.floor {
+        if !self.is_current(ticket, now) || ticket.stamp < self.min_stamp {
             let stale = Refusal::retry(Reason::StaleTicket, Duration::ZERO);
             return Arrival::Refused(stale);
         }
         if self.is_full() {
-            // There is no room to remember this refusal by. A second copy that
-            // comes once there is room would run what was called "not run".
-            self.refuse_issued_tickets(now);
-            return Arrival::Refused(Refusal::retry(Reason::MemoryFull, FULL_RETRY));
+            // There is no room to record this refusal. A second copy of the request
+            // that arrives once there is room would run although the entry was told
+            // "not run".
+            self.invalidate_issued_tickets(now);
+            return Arrival::Refused(Refusal::retry(Reason::MemoryFull, FULL_RETRY_AFTER));
         }
         self.insert(attempt, Settled::Queued, now);
         Arrival::New
     }
 
-    /// The attempt gets its slot. `false` where it was revoked meanwhile, and
-    /// then it must not run: its entry was told so.
+    /// Marks a queued attempt as running. Returns `false` if it was revoked while
+    /// it waited. It must not run then, because its entry was told "not run".
     #[must_use]
     pub fn start(&mut self, attempt: AttemptId) -> bool {
-        self.step(attempt, Settled::Running, |state| {
+        self.transition(attempt, Settled::Running, |state| {
             matches!(state, Settled::Queued)
         })
     }
 
-    /// The attempt was refused before it ran, by the queue or by the target.
+    /// Records that the queue or the target refused the attempt before it ran.
     pub fn refused(&mut self, attempt: AttemptId) {
-        self.step(attempt, Settled::NotRun, |state| {
+        self.transition(attempt, Settled::NotRun, |state| {
             matches!(state, Settled::Queued | Settled::Running)
         });
     }
 
-    /// The attempt ran, and this is its whole answer.
+    /// Records that the attempt ran, with its complete answer.
     pub fn done(&mut self, attempt: AttemptId, answer: Arc<Answer>) {
         let weight = answer.weight();
-        if !self.step(attempt, Settled::Done(answer), is_running) {
+        if !self.transition(attempt, Settled::Done(answer), is_running) {
             return;
         }
-        self.bytes += weight;
-        self.answers.push_back(attempt);
-        self.shed_answers();
+        self.answer_bytes += weight;
+        self.answer_order.push_back(attempt);
+        self.evict_answers();
     }
 
-    /// The attempt ran, and its answer was too large to keep.
+    /// Records that the attempt ran and that its answer was too large to keep.
     pub fn done_without_answer(&mut self, attempt: AttemptId) {
-        self.step(attempt, Settled::DoneWithoutAnswer, is_running);
+        self.transition(attempt, Settled::DoneWithoutAnswer, is_running);
     }
 
-    /// The target's connection broke while it ran.
+    /// Records that the connection to the target broke while the attempt ran.
     pub fn lost(&mut self, attempt: AttemptId) {
-        self.step(attempt, Settled::Unknown, is_running);
+        self.transition(attempt, Settled::Unknown, is_running);
     }
 
-    /// What is known about the attempt; changes nothing.
+    /// Returns what is known about the attempt without changing anything.
     #[must_use]
     pub fn peek(&self, attempt: AttemptId, ticket: Ticket, now: Time) -> Settled {
         if let Some(record) = self.records.get(&attempt) {
             return record.state.clone();
         }
         if !self.is_current(ticket, now) {
-            // It may have run: under an earlier process, or so long ago that its
-            // record was dropped by age.
+            // It may have run under an earlier process, or so long ago that its
+            // record has expired.
             return Settled::Unknown;
         }
-        if ticket.stamp < self.floor {
+        if ticket.stamp < self.min_stamp {
             return Settled::NotRun;
         }
         Settled::NeverSeen
     }
 
-    /// Settles the attempt. What has not started is fenced: "not run" is true
-    /// from here on, even if the original request comes in later. The answer is
+    /// Prevents the attempt from running if it has not started, and returns its
+    /// status. An attempt that has not started is fenced: it does not run even if
+    /// the original request arrives later, so "not run" stays true. The result is
     /// never [`Settled::NeverSeen`] or [`Settled::Queued`].
     pub fn revoke(&mut self, attempt: AttemptId, ticket: Ticket, now: Time) -> Settled {
         match self.peek(attempt, ticket, now) {
@@ -169,7 +174,7 @@
         }
     }
 
-    /// Drops what has outlived every ticket that could refer to it.
+    /// Drops records that no valid ticket can refer to any more.
     pub fn tick(&mut self, now: Time) {
         while let Some(&(keep_until, attempt)) = self.expiry.front() {
             if keep_until > now {
@@ -190,51 +195,55 @@
             return;
         }
         if let Settled::Done(answer) = &record.state {
-            self.bytes -= answer.weight();
+            self.answer_bytes -= answer.weight();
         }
         self.records.remove(&attempt);
-        self.forget_dropped_answers();
+        self.prune_answer_order();
     }
 
-    /// Keeps the order of answers from growing with records that are gone.
-    fn forget_dropped_answers(&mut self) {
+    /// Removes attempts without a kept answer from the front of the eviction order,
+    /// which would otherwise keep growing.
+    fn prune_answer_order(&mut self) {
         let records = &self.records;
-        let held = |attempt: &AttemptId| {
+        let has_answer = |attempt: &AttemptId| {
             let done = |it: &Record| matches!(it.state, Settled::Done(_));
             records.get(attempt).is_some_and(done)
         };
-        while self.answers.front().is_some_and(|it| !held(it)) {
-            self.answers.pop_front();
+        while self.answer_order.front().is_some_and(|it| !has_answer(it)) {
+            self.answer_order.pop_front();
         }
     }
 
     fn is_current(&self, ticket: Ticket, now: Time) -> bool {
-        // A restarted process has no memory of what its predecessor ran, so it
-        // must not vouch for, nor run, what was meant for the predecessor.
-        let ours = ticket.incarnation == self.incarnation;
+        // A restarted process does not know what its predecessor ran. It must neither
+        // run attempts that were meant for the predecessor nor say whether they ran.
+        let issued_here = ticket.incarnation == self.incarnation;
         let age = now.checked_sub(ticket.stamp);
-        ours && age.is_some_and(|age| age < self.cfg.ticket_life)
+        issued_here && age.is_some_and(|age| age < self.cfg.ticket_life)
     }
 
     fn is_full(&self) -> bool {
         self.records.len() >= self.cfg.records
     }
 
-    /// Without a fence, a request that was stuck on the way runs after its entry
-    /// had called it not run, and a retry elsewhere makes it run twice. When
-    /// there is no room for one more fence, all tickets issued so far are
-    /// refused instead: the attempt's own ticket is one of them, and the others
-    /// cost their entries one more round trip.
+    /// Makes sure that an attempt that has not arrived does not run if it arrives
+    /// later.
+    ///
+    /// Without the fence, a delayed request could run after its entry had reported
+    /// "not run", and a retry elsewhere would make it run twice. If there is no room
+    /// for another record, all tickets issued so far are refused instead. The
+    /// attempt's own ticket is one of them; entries that hold the others need one
+    /// more round trip.
     fn fence(&mut self, attempt: AttemptId, now: Time) {
         if self.is_full() {
-            self.refuse_issued_tickets(now);
+            self.invalidate_issued_tickets(now);
             return;
         }
         self.insert(attempt, Settled::NotRun, now);
     }
 
-    fn refuse_issued_tickets(&mut self, now: Time) {
-        self.floor = now + Duration::from_nanos(1);
+    fn invalidate_issued_tickets(&mut self, now: Time) {
+        self.min_stamp = now + Duration::from_nanos(1);
     }
 
     fn insert(&mut self, attempt: AttemptId, state: Settled, now: Time) {
@@ -243,32 +252,34 @@
         self.expiry.push_back((keep_until, attempt));
     }
 
-    fn step(
+    /// Moves the attempt to the state `to` if `is_allowed_from` accepts its current
+    /// state. Returns whether it did.
+    fn transition(
         &mut self,
         attempt: AttemptId,
         to: Settled,
-        may: impl FnOnce(&Settled) -> bool,
+        is_allowed_from: impl FnOnce(&Settled) -> bool,
     ) -> bool {
         let Some(record) = self.records.get_mut(&attempt) else {
             return false;
         };
-        let allowed = may(&record.state);
+        let allowed = is_allowed_from(&record.state);
         if allowed {
             record.state = to;
         }
         allowed
     }
 
-    fn shed_answers(&mut self) {
-        while self.bytes > self.cfg.answer_bytes {
-            let Some(oldest) = self.answers.pop_front() else {
+    fn evict_answers(&mut self) {
+        while self.answer_bytes > self.cfg.answer_bytes {
+            let Some(oldest) = self.answer_order.pop_front() else {
                 return;
             };
             let Some(record) = self.records.get_mut(&oldest) else {
                 continue;
             };
             if let Settled::Done(answer) = &record.state {
-                self.bytes -= answer.weight();
+                self.answer_bytes -= answer.weight();
                 record.state = Settled::DoneWithoutAnswer;
             }
         }
--- a/crates/calls/src/ledger/types.rs
+++ b/crates/calls/src/ledger/types.rs
@@ -1,4 +1,4 @@
-//! What goes into a [`Ledger`](super::Ledger) and what comes out.
+//! Input and output types of a [`Ledger`](super::Ledger).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 use crate::ids::{Incarnation, Time};
 use crate::refusal::Refusal;
 
-/// Leave to send attempts to one process for a while.
+/// Permission to send attempts to one executor process for a limited time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The process that issued it.
+    /// The process that issued the ticket.
     pub incarnation: Incarnation,
-    /// When, on that process's own clock.
+    /// Time of issue on that process's own clock.
     pub stamp: Time,
 }
 
 /// Bounds of a [`Ledger`](super::Ledger).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LedgerConfig {
-    /// How long a ticket is good for, and how long a record is kept; a run that
-    /// outlives it keeps its record. The bound on records over this time is the
-    /// rate of attempts that the ledger carries.
+    /// Validity of a ticket, and minimum retention of a record. The record of a
+    /// run that takes longer is kept until the run ends. `records` divided by this
+    /// time is the highest sustained rate of attempts.
     pub ticket_life: Duration,
-    /// Records kept at a time.
+    /// Maximum number of records.
     pub records: usize,
-    /// Bytes of answers kept at a time.
+    /// Maximum total size of the kept answers, in bytes.
     pub answer_bytes: usize,
 }
 
@@ -41,32 +41,32 @@
     }
 }
 
-/// What the ledger makes of an attempt that came in.
+/// The ledger's decision about an attempt that arrived.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Arrival {
-    /// First time seen: recorded as queued.
+    /// The attempt is new and is now recorded as queued.
     New,
-    /// It did not run and will not.
+    /// The attempt did not run and never will.
     Refused(Refusal),
-    /// Seen before; this copy must not run.
+    /// The attempt arrived before. This copy must not run.
     Seen(Settled),
 }
 
-/// What is known about an attempt.
+/// What the ledger knows about an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Settled {
-    /// It has not come in. It still may; only a revoke fences it.
+    /// The attempt has not arrived. It may still arrive and run unless it is revoked.
     NeverSeen,
-    /// It waits for a slot.
+    /// The attempt waits for a slot.
     Queued,
-    /// The target has it.
+    /// The attempt was sent to the target.
     Running,
-    /// It did not run and never will.
+    /// The attempt did not run and never will.
     NotRun,
-    /// It ran; this is the whole answer.
+    /// The attempt ran, and this is its complete answer.
     Done(Arc<Answer>),
-    /// It ran; the answer was too large to keep or has made room for others.
+    /// The attempt ran. Its answer was too large to keep or was evicted.
     DoneWithoutAnswer,
-    /// It may have run; nothing more can be learnt here.
+    /// The attempt may have run. This executor cannot find out more.
     Unknown,
 }
