--- a/crates/calls/src/intent/config.rs
+++ b/crates/calls/src/intent/config.rs
@@ -1,8 +1,8 @@
-//! Bounds of the memory of keys.
+//! Limits of the idempotency table.
 
 use std::time::Duration;
 
-/// Bounds and assumptions of an [`IntentTable`](super::IntentTable).
+/// Limits of an [`IntentTable`](super::IntentTable) and its assumption about clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct IntentConfig {
     pub(crate) skew: Duration,
@@ -23,32 +23,33 @@
 }
 
 impl IntentConfig {
-    /// Most that two calendar clocks differ; 2 s unless set. A larger bound
-    /// leaves more keys unsettled after a restart.
+    /// Sets the maximum difference between two calendar clocks, 2 s by default. With
+    /// a larger value, more keys are refused as unsettled after a restart.
     #[must_use]
     pub fn skew(mut self, skew: Duration) -> Self {
         self.skew = skew;
         self
     }
 
-    /// How long a key is remembered after it was made; 10 min unless set. Older
-    /// keys are refused as expired.
+    /// Sets how long a key is kept after it was made, 10 min by default. Older keys
+    /// are refused as expired.
     #[must_use]
     pub fn retention(mut self, retention: Duration) -> Self {
         self.retention = retention;
         self
     }
 
-    /// Keys remembered at a time; 150,000 unless set. At the bound new keys are
-    /// refused as not run; none is dropped before its time.
+    /// Sets the maximum number of keys, 150,000 by default. When the table is full,
+    /// requests with new keys are refused as not run; no key is dropped early.
     #[must_use]
     pub fn keys(mut self, keys: usize) -> Self {
         self.keys = keys;
         self
     }
 
-    /// Bytes of answers kept at a time; 16 MiB unless set. Beyond it the oldest
-    /// answers go, and their keys answer "ran, answer not kept".
+    /// Sets the maximum total size of the kept answers in bytes, 16 MiB by default.
+    /// Beyond it the oldest answers are dropped, and a retry with their keys is told
+    /// that the request ran and its answer was not kept.
     #[must_use]
     pub fn answer_bytes(mut self, answer_bytes: usize) -> Self {
         self.answer_bytes = answer_bytes;
--- a/crates/calls/src/intent/home.rs
+++ b/crates/calls/src/intent/home.rs
@@ -1,4 +1,5 @@
-//! Which executor runs a key, and what a change of that costs.
+//! Which executor is the home of a key, and which previous homes it has to ask after
+//! the set of upstreams changed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,17 +10,18 @@
 use super::key::IntentKey;
 use crate::ids::{SetId, Wall};
 
-/// Earlier sets kept apart for one service. Older ones are merged into one
-/// whose every member counts as a previous home: more refusals, never fewer.
-const SETS_KEPT: usize = 16;
+/// Maximum number of earlier sets kept for one service. Older ones are merged into
+/// one set in which every member counts as a previous home. This can only add
+/// refusals, never allow a second run.
+const MAX_EARLIER_SETS: usize = 16;
 
-/// The upstreams that were members of each service's set, as far as a process
-/// knows.
+/// For each service, the upstreams that a process knows to be or to have been
+/// members of its set.
 pub type KnownMembers = BTreeMap<ServiceName, BTreeSet<UpstreamName>>;
 
-/// The home of a key: rendezvous hash over *configured* names. Liveness plays
-/// no part, since two entries rarely agree on it, and a key with two homes may
-/// run twice.
+/// Returns the home of a key by rendezvous hashing over the *configured* names.
+/// Liveness is ignored: two entries may disagree about it, and a request whose key
+/// has two homes could run twice.
 #[must_use]
 pub fn home_of<'a>(names: &'a BTreeSet<UpstreamName>, key: &IntentKey) -> Option<&'a UpstreamName> {
     let name = key.name();
@@ -29,7 +31,8 @@
     })
 }
 
-/// Names a set of upstreams. Two daemons with the same id agree on every home.
+/// Computes the id of a set of upstreams. Two daemons whose sets have the same id
+/// agree on the home of every key.
 #[must_use]
 pub fn set_id(names: &BTreeSet<UpstreamName>) -> SetId {
     let mut hasher = Xxh3::new();
@@ -40,39 +43,44 @@
     hasher.digest()
 }
 
-/// Whether this executor may run a key.
+/// Whether this executor may run the request of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Home {
-    /// It is the home, and no other executor can have run or still run the key.
+    /// This executor is the home, and no other executor can have run the key or can
+    /// still run it.
     Mine,
-    /// It is the home, once these previous homes have answered for this key.
+    /// This executor is the home, but has to ask these previous homes about the key
+    /// first.
     Ask(Vec<Handover>),
-    /// It is the home, but a previous home is gone with its memory, and the key
-    /// was made while it may still have run there.
+    /// This executor is the home, but a previous home is gone together with its
+    /// table, and the key was made at a time when it may still have run there.
     Unsettled,
-    /// The entry holds another set of upstreams.
+    /// The entry uses another set of upstreams.
     StaleConfig,
     /// Another executor is the home.
     NotMine,
 }
 
-/// A question to a previous home.
+/// A question to a previous home about a key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Handover {
     /// The previous home.
     pub upstream: UpstreamName,
-    /// It must have applied at least this version, so that it takes no more
-    /// attempts under the earlier set.
+    /// The version that the previous home must have applied before its reply counts.
+    /// From then on it accepts no attempts under the earlier set.
     pub version: Version,
 }
 
-/// An earlier set, up to the version that ended it.
+/// An earlier set of upstreams of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Earlier {
     names: BTreeSet<UpstreamName>,
-    /// Every member may have been the home: versions in between were skipped.
-    every: bool,
+    /// Whether any member may have been the home of a key, because this process does
+    /// not know all sets before `ended`.
+    any_may_be_home: bool,
+    /// The version that replaced this set.
     ended: Version,
+    /// When that version was applied here.
     ended_at: Wall,
 }
 
@@ -82,15 +90,18 @@
     earlier: Vec<Earlier>,
 }
 
+/// The latest version that another executor is known to have applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Confirmed {
     version: Version,
     at: Wall,
-    memory: bool,
+    /// Whether that executor still has its table of keys. False for one that was
+    /// deleted.
+    has_table: bool,
 }
 
-/// The sets of upstreams that this executor has seen for each service, and how
-/// far each other executor is known to have come.
+/// The current and earlier sets of upstreams of each service, and the version that
+/// each other executor is known to have applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct HomeSets {
     me: UpstreamName,
@@ -98,13 +109,14 @@
     retention: Duration,
     services: BTreeMap<ServiceName, Sets>,
     confirmed: BTreeMap<UpstreamName, Confirmed>,
-    /// Members that the process before this one knew.
+    /// Members that the previous process knew.
     inherited: KnownMembers,
 }
 
 impl HomeSets {
-    /// No sets yet, for the executor of upstream `me`. `skew` bounds how far two
-    /// calendar clocks differ; `retention` is how long keys are remembered.
+    /// Creates an empty history for the executor of upstream `me`. `skew` is the
+    /// maximum difference between two calendar clocks, `retention` is how long keys
+    /// are kept.
     #[must_use]
     pub fn new(me: UpstreamName, skew: Duration, retention: Duration) -> Self {
         Self {
@@ -117,8 +129,7 @@
         }
     }
 
-    /// What the process that follows this one has to know besides the memory of
-    /// keys.
+    /// Returns what the next process has to restore besides the table of keys.
     #[must_use]
     pub fn known(&self) -> KnownMembers {
         let mut known = self.inherited.clone();
@@ -130,25 +141,26 @@
         known
     }
 
-    /// Takes over what the process just before this one knew, together with its
-    /// memory of keys and before the first key.
+    /// Restores the members that the previous process knew. Must be called together
+    /// with restoring its table of keys, before the first key is checked.
     ///
-    /// That memory gives this process authority over keys made before its start.
-    /// One of them may have run at a home in between whose upstream is gone by
-    /// now: without its name nobody would be asked, and the key would run again.
+    /// The restored table lets this process decide about keys made before its start.
+    /// Such a key may have run at an intermediate home whose upstream has been deleted
+    /// since. Without its name that home would not be asked, and the key would run
+    /// again.
     pub fn resume(&mut self, known: KnownMembers) {
         for (service, names) in &known {
             let sets = self.services.get_mut(service);
             let earlier = sets.into_iter().flat_map(|sets| &mut sets.earlier);
-            for it in earlier.filter(|it| it.every) {
+            for it in earlier.filter(|it| it.any_may_be_home) {
                 it.names.extend(names.iter().cloned());
             }
         }
         self.inherited = known;
     }
 
-    /// Takes in the set that `version` has for a service. `follows` says that no
-    /// version between this and the last noted one was skipped.
+    /// Applies the set that `version` has for a service. `follows` is true if no
+    /// version since the last applied one was skipped.
     pub fn note(
         &mut self,
         service: &ServiceName,
@@ -162,55 +174,54 @@
         if !first && follows && sets.current == names {
             return;
         }
-        // After a start or a skip nobody here knows which sets came before:
-        // whoever is a member now may have been the home of any key.
-        let every = first || !follows;
+        // After a start or a skipped version the previous sets are unknown. Any current
+        // member may have been the home of any key.
+        let any_may_be_home = first || !follows;
         let mut before = std::mem::replace(&mut sets.current, names);
-        if every {
+        if any_may_be_home {
             before.extend(sets.current.iter().cloned());
             before.extend(self.inherited.remove(service).into_iter().flatten());
         }
         sets.earlier.push(Earlier {
             names: before,
-            every,
+            any_may_be_home,
             ended: version,
             ended_at: now,
         });
-        if sets.earlier.len() > SETS_KEPT {
+        if sets.earlier.len() > MAX_EARLIER_SETS {
             merge_oldest(&mut sets.earlier);
         }
     }
 
-    /// Whether the current set of a service has this upstream.
+    /// Returns whether the current set of a service contains this upstream.
     #[must_use]
     pub fn is_member(&self, service: &ServiceName, upstream: &UpstreamName) -> bool {
         let sets = self.services.get(service);
         sets.is_some_and(|sets| sets.current.contains(upstream))
     }
 
-    /// Whether this executor, by its own current sets, takes `asker` for the home
-    /// of the key. To be looked at before it tells a new home that the key never
-    /// ran here.
+    /// Returns whether `asker` is the home of the key by the current sets of this
+    /// executor. This must be checked before telling `asker` that the key never ran
+    /// here.
     ///
-    /// An executor that lags may ask although the home has moved on. If the home
-    /// that followed has lost count of earlier sets, by a restart or by skipping
-    /// versions, it does not know of the one that lags; each would then hear
-    /// "never" or nothing, and the key would run at both. "Never" is a promise to
-    /// the one home that this executor knows.
+    /// An executor that lags behind may ask although the home has moved on. The next
+    /// home may not know of the lagging one, because it restarted or skipped versions.
+    /// If both were told "never", or one of them had nobody to ask, the key would run
+    /// at both. Therefore only the home that this executor knows is told "never".
     #[must_use]
     pub fn is_home(&self, key: &IntentKey, asker: &UpstreamName) -> bool {
         let sets = self.services.get(&key.service);
         sets.is_some_and(|sets| home_of(&sets.current, key) == Some(asker))
     }
 
-    /// Id of the current set of a service.
+    /// Returns the id of the current set of a service.
     #[must_use]
     pub fn current_id(&self, service: &ServiceName) -> Option<SetId> {
         self.services.get(service).map(|sets| set_id(&sets.current))
     }
 
-    /// When the change of sets that `version` made was noted; zero where none is
-    /// known.
+    /// Returns when `version` was applied here, or zero if it is not known to have
+    /// changed any set.
     #[must_use]
     pub fn noted_at(&self, version: Version) -> Wall {
         let earlier = self.services.values().flat_map(|sets| &sets.earlier);
@@ -218,9 +229,9 @@
         of_version.map(|it| it.ended_at).max().unwrap_or_default()
     }
 
-    /// Whether this executor may run `key`, which an entry sent under the set
-    /// `id`. A key that states no time is fenced by its claim row, whoever its
-    /// earlier homes were.
+    /// Returns whether this executor may run `key`, which an entry sent using the set
+    /// `id`. Previous homes are not checked for a key without a creation time: its
+    /// claim row prevents a second run.
     #[must_use]
     pub fn check(&self, key: &IntentKey, id: SetId) -> Home {
         let Some(sets) = self.services.get(&key.service) else {
@@ -245,10 +256,10 @@
                 let confirmed = self.confirmed.get(upstream);
                 let confirmed = confirmed.filter(|it| it.version >= earlier.ended);
                 match confirmed {
-                    // Made after the previous home had stopped taking keys of
-                    // the earlier set: it cannot have run there.
+                    // The key was made after the previous home had stopped accepting
+                    // keys of the earlier set, so it cannot have run there.
                     Some(it) if created > it.at + self.skew => {}
-                    Some(it) if !it.memory => return Home::Unsettled,
+                    Some(it) if !it.has_table => return Home::Unsettled,
                     _ => {
                         let version: &mut Version = ask.entry(upstream.clone()).or_default();
                         *version = earlier.ended.max(*version);
@@ -268,44 +279,50 @@
         earlier: &'a Earlier,
         key: &IntentKey,
     ) -> impl Iterator<Item = &'a UpstreamName> {
-        let one = home_of(&earlier.names, key);
-        let every = earlier.every;
+        let home = home_of(&earlier.names, key);
+        let any_may_be_home = earlier.any_may_be_home;
         let me = self.me.clone();
         let names = earlier.names.iter();
-        names.filter(move |&name| *name != me && (every || one == Some(name)))
+        names.filter(move |&name| *name != me && (any_may_be_home || home == Some(name)))
     }
 
-    /// A previous home said that it has applied `version`.
+    /// Records that a previous home has confirmed that it applied `version`.
     pub fn confirm(&mut self, upstream: &UpstreamName, version: Version, now: Wall) {
-        self.settle(upstream, version, now, true);
+        self.record_confirmed(upstream, version, now, true);
     }
 
-    /// The upstream was deleted, and nobody knows an instance of it any more:
-    /// the operator's deletion is the word that it runs nothing. Keys made up to
-    /// now may have run there.
+    /// Records that the upstream was deleted and that no instance of it is known any
+    /// more. The operator's deletion is taken as proof that it runs nothing. Keys made
+    /// up to now may have run there.
     pub fn gone(&mut self, upstream: &UpstreamName, version: Version, now: Wall) {
-        self.settle(upstream, version, now, false);
+        self.record_confirmed(upstream, version, now, false);
     }
 
-    fn settle(&mut self, upstream: &UpstreamName, version: Version, at: Wall, memory: bool) {
-        let newer = |it: &Confirmed| it.version >= version;
-        if self.confirmed.get(upstream).is_some_and(newer) {
+    fn record_confirmed(
+        &mut self,
+        upstream: &UpstreamName,
+        version: Version,
+        at: Wall,
+        has_table: bool,
+    ) {
+        let is_known = |it: &Confirmed| it.version >= version;
+        if self.confirmed.get(upstream).is_some_and(is_known) {
             return;
         }
         let confirmed = Confirmed {
             version,
             at,
-            memory,
+            has_table,
         };
         self.confirmed.insert(upstream.clone(), confirmed);
     }
 
-    /// Drops earlier sets that no living key can refer to any more.
+    /// Drops earlier sets under which no key that is still accepted can have run.
     pub fn tick(&mut self, now: Wall) {
         let keep_for = self.retention + self.skew * 2;
         let confirmed = &self.confirmed;
         let me = &self.me;
-        let settled_long_ago = |earlier: &Earlier, name: &UpstreamName| {
+        let confirmed_long_ago = |earlier: &Earlier, name: &UpstreamName| {
             let it = confirmed.get(name);
             let it = it.filter(|it| it.version >= earlier.ended);
             name == me || it.is_some_and(|it| it.at + keep_for < now)
@@ -313,8 +330,11 @@
         for sets in self.services.values_mut() {
             sets.earlier.retain(|earlier| {
                 let old = earlier.ended_at + keep_for < now;
-                let settled = earlier.names.iter().all(|it| settled_long_ago(earlier, it));
-                !(old && settled)
+                let confirmed = earlier
+                    .names
+                    .iter()
+                    .all(|it| confirmed_long_ago(earlier, it));
+                !(old && confirmed)
             });
         }
     }
@@ -326,5 +346,5 @@
         return;
     };
     next.names.extend(oldest.names);
-    next.every = true;
+    next.any_may_be_home = true;
 }
--- a/crates/calls/src/intent/key.rs
+++ b/crates/calls/src/intent/key.rs
@@ -11,28 +11,28 @@
 
 use crate::ids::Wall;
 
-/// Longest text of a key.
-const LONGEST: usize = 64;
+/// Maximum length of a key.
+const MAX_LEN: usize = 64;
 
-/// Version number of UUIDs that state their creation time.
-const TIMED_UUID: usize = 7;
+/// Version number of UUIDs that contain their creation time.
+const TIMED_UUID_VERSION: usize = 7;
 
-/// An idempotency key as the caller wrote it.
+/// The text of an idempotency key, as sent by the caller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum KeyText {
     /// A UUID of version 7, in lower case with hyphens.
     Timed {
         /// The UUID.
         text: SmolStr,
-        /// When its maker's clock says it was made.
+        /// Creation time by the clock of whoever made the key.
         created: Wall,
     },
-    /// Any other text: nothing says when it was made.
+    /// Any other text. Its creation time is unknown.
     Plain(SmolStr),
 }
 
 impl KeyText {
-    /// The text that names the key.
+    /// Returns the text of the key.
     #[must_use]
     pub fn text(&self) -> &SmolStr {
         match self {
@@ -40,14 +40,14 @@
         }
     }
 
-    /// A number drawn for the key, the same wherever and whenever it is drawn.
+    /// Returns a pseudo-random number that depends only on the text of the key.
     #[must_use]
     pub fn draw(&self) -> u32 {
         let hash = xxh3_64(self.text().as_bytes());
         u32::try_from(hash >> 32).unwrap_or_default()
     }
 
-    /// When the key was made, if it says so.
+    /// Returns when the key was made, if it states that.
     #[must_use]
     pub fn created(&self) -> Option<Wall> {
         match self {
@@ -64,7 +64,7 @@
         if text.is_empty() {
             return Err(KeyError::Empty);
         }
-        if text.len() > LONGEST {
+        if text.len() > MAX_LEN {
             return Err(KeyError::TooLong(text.len()));
         }
         if !text.bytes().all(|byte| byte.is_ascii_graphic()) {
@@ -76,7 +76,7 @@
 
 fn timed(text: &str) -> Option<KeyText> {
     let uuid = Uuid::try_parse(text).ok()?;
-    if uuid.get_version_num() != TIMED_UUID {
+    if uuid.get_version_num() != TIMED_UUID_VERSION {
         return None;
     }
     let (secs, nanos) = uuid.get_timestamp()?.to_unix();
@@ -86,14 +86,14 @@
     })
 }
 
-/// Why a key is not one.
+/// Why a text is not a valid idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyError {
-    /// The header is there and empty.
+    /// The header is present but empty.
     Empty,
-    /// It has this many characters.
+    /// The text is too long. Holds its length in characters.
     TooLong(usize),
-    /// It has spaces, control characters or bytes beyond ASCII.
+    /// The text contains spaces, control characters or non-ASCII bytes.
     NotGraphic,
 }
 
@@ -102,7 +102,7 @@
         match self {
             Self::Empty => f.write_str("idempotency-key is empty"),
             Self::TooLong(len) => {
-                write!(f, "idempotency-key has {len} characters, at most {LONGEST}")
+                write!(f, "idempotency-key has {len} characters, at most {MAX_LEN}")
             }
             Self::NotGraphic => {
                 f.write_str("idempotency-key must be printable ASCII without spaces")
@@ -113,19 +113,21 @@
 
 impl std::error::Error for KeyError {}
 
-/// A key in its scope: two tenants or two services never share one.
+/// An idempotency key within its scope: keys of two tenants or two services are
+/// different keys even if their texts are equal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct IntentKey {
     /// The service that the call is for.
     pub service: ServiceName,
-    /// The tenant that sends it.
+    /// The tenant that sends the call.
     pub tenant: CustomerName,
-    /// The key.
+    /// The text of the key.
     pub key: KeyText,
 }
 
 impl IntentKey {
-    /// Name of the key within its service, for hashing and for the claim row.
+    /// Returns the name of the key within its service, used for hashing and for the
+    /// claim row.
     #[must_use]
     pub fn name(&self) -> SmolStr {
         smol_str::format_smolstr!("{}/{}", self.tenant, self.key.text())
--- a/crates/calls/src/intent/memory.rs
+++ b/crates/calls/src/intent/memory.rs
@@ -1,4 +1,5 @@
-//! What a home that leaves hands to the process that follows it.
+//! The contents of an idempotency table that a process stores when it shuts down and
+//! that its successor restores.
 
 use std::sync::Arc;
 
@@ -9,40 +10,40 @@
 use crate::fingerprint::Fingerprint;
 use crate::ids::Wall;
 
-/// The whole memory of an [`IntentTable`] whose process runs nothing any more.
+/// All entries of an [`IntentTable`] whose process has stopped running requests.
 ///
-/// It is worth something only to the very next process of the same upstream:
-/// one in between may have run keys that are not in it.
+/// Only the next process of the same upstream may restore it. A process in between
+/// may have run keys that it does not contain.
 ///
 /// [`IntentTable`]: super::IntentTable
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IntentMemory {
-    /// Keys made since then that are not in the memory never ran.
+    /// A key that was made after this time and is not in `intents` never ran.
     pub since: Wall,
     /// The keys that ran or may have run.
     pub intents: Vec<Remembered>,
 }
 
-/// One key that ran or may have run.
+/// A key that ran or may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Remembered {
     /// The key.
     pub key: IntentKey,
-    /// What it was used for.
+    /// Fingerprint of the request that was sent with the key.
     pub fingerprint: Fingerprint,
-    /// When it may be forgotten.
+    /// When the key may be dropped.
     pub expires: Wall,
-    /// How its run ended.
+    /// How the run of the request ended.
     pub run: RememberedRun,
 }
 
-/// How a remembered run ended.
+/// How the run of a request with a key ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RememberedRun {
-    /// It ran, and this is its whole answer.
+    /// The request ran, and this is its complete answer.
     Done(Arc<Answer>),
-    /// It ran, and its answer was not kept.
+    /// The request ran, and its answer was not kept.
     DoneWithoutAnswer,
-    /// It may have run.
+    /// The request may have run.
     Unknown,
 }
--- a/crates/calls/src/intent/mod.rs
+++ b/crates/calls/src/intent/mod.rs
@@ -1,11 +1,11 @@
-//! At most once over all of a caller's retries, by idempotency key.
+//! At-most-once execution across all retries of a caller, by idempotency key.
 //!
-//! A key has one home: the executor that rendezvous hashing gives it among the
-//! service's configured upstreams ([`home_of`]). Only the home runs it, from
-//! its memory of keys ([`IntentTable`]), and only while that memory can be
-//! trusted: since its own start for keys that state their time, and after the
-//! previous home has confirmed a change of homes ([`HomeSets`]). See
-//! `docs/design/at-most-once.md`.
+//! Each key has one home: the executor that rendezvous hashing selects among the
+//! configured upstreams of the service ([`home_of`]). Only the home runs a request
+//! with this key, after looking the key up in its table ([`IntentTable`]). The table
+//! decides about keys that state their creation time only if they were made after
+//! its process started. After a change of the set of upstreams, the previous home
+//! has to confirm first ([`HomeSets`]). See `docs/design/at-most-once.md`.
 
 mod config;
 mod home;
--- a/crates/calls/src/intent/table/handover.rs
+++ b/crates/calls/src/intent/table/handover.rs
@@ -1,21 +1,21 @@
-//! The table's way into and out of an [`IntentMemory`].
+//! Conversion of the table to and from an [`IntentMemory`].
 
 use std::sync::Arc;
 
-use super::{Intent, IntentTable, Run};
+use super::{Entry, IntentTable, Run};
 use crate::intent::memory::{IntentMemory, Remembered, RememberedRun};
 
 impl IntentTable {
-    /// All that a following process has to know; `None` while something runs,
-    /// since how that ends would be missing from it.
+    /// Returns the entries that the next process has to restore, or `None` while a
+    /// request is running, because its outcome would be missing.
     #[must_use]
     pub fn memory(&self) -> Option<IntentMemory> {
-        let intents = self.intents.iter().map(|(key, intent)| {
+        let intents = self.entries.iter().map(|(key, entry)| {
             Some(Remembered {
                 key: key.clone(),
-                fingerprint: intent.fingerprint,
-                expires: intent.expires,
-                run: intent.run.remembered()?,
+                fingerprint: entry.fingerprint,
+                expires: entry.expires,
+                run: entry.run.remembered()?,
             })
         });
         let intents = intents.collect::<Option<Vec<_>>>()?;
@@ -25,40 +25,40 @@
         })
     }
 
-    /// Takes over the memory of the process just before this one, which ran
-    /// nothing after it was written. Without it each key that was made before
-    /// this process started is unsettled, so that a planned restart would tell
-    /// callers "unknown" about claims that never ran.
+    /// Restores the entries of the previous process, which must not have run anything
+    /// after it stored them. Without them, every key made before this process started
+    /// is unsettled: after a planned restart, callers would be told "unknown" about
+    /// requests that never ran.
     pub fn resume(&mut self, memory: IntentMemory) {
         self.since = self.since.min(memory.since);
         for remembered in memory.intents {
-            self.remember(remembered);
+            self.restore_key(remembered);
         }
-        self.shed_answers();
+        self.evict_answers();
     }
 
-    fn remember(&mut self, remembered: Remembered) {
+    fn restore_key(&mut self, remembered: Remembered) {
         let Remembered {
             key,
             fingerprint,
             expires,
             run,
         } = remembered;
-        if self.intents.contains_key(&key) {
+        if self.entries.contains_key(&key) {
             return;
         }
         self.expiry.entry(expires).or_default().push(key.clone());
         let run = Run::from(run);
         if let Run::Done(answer) = &run {
-            self.bytes += answer.weight();
-            self.answers.push_back(key.clone());
+            self.answer_bytes += answer.weight();
+            self.answer_order.push_back(key.clone());
         }
-        let intent = Intent {
+        let entry = Entry {
             fingerprint,
             expires,
             run,
         };
-        self.intents.insert(key, intent);
+        self.entries.insert(key, entry);
     }
 }
 
--- a/crates/calls/src/intent/table/mod.rs
+++ b/crates/calls/src/intent/table/mod.rs
@@ -1,4 +1,4 @@
-//! The home's memory of keys.
+//! The home's table of idempotency keys.
 
 mod handover;
 
@@ -13,32 +13,32 @@
 use crate::ids::{AttemptId, Wall};
 use crate::refusal::{Reason, Refusal};
 
-/// Pause asked for while no more keys can be remembered.
-const FULL_RETRY: Duration = Duration::from_secs(1);
+/// Time after which a caller may retry when the table is full.
+const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the home does with a key.
+/// What the home does with a request that has an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Begin {
-    /// Run it: the table now has it as running under this attempt.
+    /// Run the request. The table has recorded the key as running under this attempt.
     Run,
-    /// The same key runs under this attempt: wait for its end.
+    /// A request with the same key is running under this attempt. Wait until it ends.
     Wait(AttemptId),
-    /// It ran: this is its whole answer.
+    /// The request ran, and this is its complete answer.
     Replay(Arc<Answer>),
-    /// Neither runs it nor has its answer.
+    /// The request is not run, and there is no answer to replay.
     Refused(Refusal),
 }
 
-/// What a previous home says about a key.
+/// What a previous home replies about a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum HomeAnswer {
-    /// It never ran there and never will.
+    /// The key never ran there and never will.
     Never,
-    /// It is in a queue or with the target there.
+    /// The request of the key is queued or running there.
     Running,
-    /// It ran there.
+    /// The request of the key ran there, with this answer.
     Done(Arc<Answer>),
-    /// It may have run there.
+    /// The request of the key may have run there.
     Unknown,
 }
 
@@ -51,69 +51,71 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Intent {
+struct Entry {
     fingerprint: Fingerprint,
     expires: Wall,
     run: Run,
 }
 
-/// Table of keys by scope and text.
+/// The keys that ran, may have run or are running at this executor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IntentTable {
     cfg: IntentConfig,
+    /// The table decides only about keys that were made after this time.
     since: Wall,
-    intents: BTreeMap<IntentKey, Intent>,
+    entries: BTreeMap<IntentKey, Entry>,
     expiry: BTreeMap<Wall, Vec<IntentKey>>,
-    answers: VecDeque<IntentKey>,
-    bytes: usize,
+    /// Keys whose answers are kept, oldest first.
+    answer_order: VecDeque<IntentKey>,
+    answer_bytes: usize,
 }
 
 impl IntentTable {
-    /// An empty table of a process that started at `started`.
+    /// Creates an empty table for a process that started at `started`.
     ///
-    /// It has authority over keys made one skew bound after the start: made by a
-    /// clock at most that far off, they were made while this process lived, so
-    /// no earlier process can have run them.
+    /// The table is authoritative for keys made more than the maximum clock skew after
+    /// the start. They were made while this process was running, so no earlier process
+    /// can have run them.
     #[must_use]
     pub fn new(started: Wall, cfg: IntentConfig) -> Self {
         Self {
             cfg,
             since: started + cfg.skew,
-            intents: BTreeMap::new(),
+            entries: BTreeMap::new(),
             expiry: BTreeMap::new(),
-            answers: VecDeque::new(),
-            bytes: 0,
+            answer_order: VecDeque::new(),
+            answer_bytes: 0,
         }
     }
 
-    /// Number of keys remembered.
+    /// Returns the number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.intents.len()
+        self.entries.len()
     }
 
-    /// Whether no key is remembered.
+    /// Returns whether the table has no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.intents.is_empty()
+        self.entries.is_empty()
     }
 
-    /// What this memory already says about a key; `None` where it knows nothing,
-    /// never [`Begin::Run`].
+    /// Returns what the table already knows about a key, or `None` if it knows
+    /// nothing. Never returns [`Begin::Run`].
     ///
-    /// To be looked at before any previous home is asked. A key that ran here is
-    /// settled here, and a previous home that can't be reached would otherwise
-    /// turn its caller's retry into "not run" for a claim that did run.
+    /// Must be called before any previous home is asked. For a key that ran here, the
+    /// table alone decides; otherwise an unreachable previous home would cause a retry
+    /// to be told "not run" about a request that did run.
     #[must_use]
     pub fn recall(&self, key: &IntentKey, fingerprint: Fingerprint) -> Option<Begin> {
-        let intent = self.intents.get(key)?;
-        Some(intent.meet(fingerprint))
+        let entry = self.entries.get(key)?;
+        Some(entry.decide(fingerprint))
     }
 
-    /// Decides about a key that this executor is the home of.
+    /// Decides about a request whose key has this executor as its home.
     ///
-    /// For a key that states no time, `Run` holds only once its claim row was
-    /// written by this attempt.
+    /// If the key states no creation time and the result is [`Begin::Run`], the request
+    /// may run only after this attempt has written the claim row of the key.
     pub fn begin(
         &mut self,
         key: &IntentKey,
@@ -127,8 +129,8 @@
         if let Err(refusal) = self.check_age(key, now) {
             return Begin::Refused(refusal);
         }
-        if self.intents.len() >= self.cfg.keys {
-            return Begin::Refused(Refusal::retry(Reason::MemoryFull, FULL_RETRY));
+        if self.entries.len() >= self.cfg.keys {
+            return Begin::Refused(Refusal::retry(Reason::MemoryFull, FULL_RETRY_AFTER));
         }
         self.insert(key, fingerprint, attempt, now);
         Begin::Run
@@ -139,81 +141,83 @@
             return Ok(());
         };
         if created > now + self.cfg.skew {
-            // It would outlive its record: the record goes by our clock.
+            // It would still be accepted after its entry has expired by our clock.
             return Err(Refusal::permanent(Reason::KeyFromFuture));
         }
-        // At equality a previous home whose clock is ahead by the whole bound has
-        // just dropped its record.
+        // At equality, a previous home whose clock is ahead by the maximum skew has
+        // just dropped its entry.
         if created + self.cfg.retention <= now {
             return Err(Refusal::permanent(Reason::KeyExpired));
         }
-        if !self.has_authority_over(created) {
+        if !self.is_authoritative_for(created) {
             return Err(Refusal::permanent(Reason::KeyUnsettled));
         }
         Ok(())
     }
 
-    /// At equality a maker whose clock is ahead by the whole bound made the key in
-    /// the moment of this start, and an earlier process may have run it.
-    fn has_authority_over(&self, created: Wall) -> bool {
+    /// Returns whether no earlier process can have run a key made at `created`.
+    ///
+    /// At equality, the key may have been made at the moment of this start, by a clock
+    /// that is ahead by the maximum skew, and an earlier process may have run it.
+    fn is_authoritative_for(&self, created: Wall) -> bool {
         created > self.since
     }
 
-    /// The attempt that held the key did not run: the key is free again.
+    /// Removes the key, because the attempt that held it did not run.
     pub fn release(&mut self, key: &IntentKey, attempt: AttemptId) {
         if self.runs_under(key, attempt) {
-            self.intents.remove(key);
+            self.entries.remove(key);
         }
     }
 
-    /// The attempt ran, and this is its whole answer.
+    /// Records that the attempt ran, with its complete answer.
     pub fn done(&mut self, key: &IntentKey, attempt: AttemptId, answer: Arc<Answer>) {
         if !self.runs_under(key, attempt) {
             return;
         }
-        self.bytes += answer.weight();
-        self.set(key, Run::Done(answer));
-        self.answers.push_back(key.clone());
-        self.shed_answers();
+        self.answer_bytes += answer.weight();
+        self.set_run(key, Run::Done(answer));
+        self.answer_order.push_back(key.clone());
+        self.evict_answers();
     }
 
-    /// The attempt ran, and its answer was too large to keep.
+    /// Records that the attempt ran and that its answer was too large to keep.
     pub fn done_without_answer(&mut self, key: &IntentKey, attempt: AttemptId) {
         if self.runs_under(key, attempt) {
-            self.set(key, Run::DoneWithoutAnswer);
+            self.set_run(key, Run::DoneWithoutAnswer);
         }
     }
 
-    /// The target's connection broke while it ran. The key stays taken: another
-    /// run could be the second one.
+    /// Records that the connection to the target broke while the attempt ran. The key
+    /// is not released, because another run could be the second one.
     pub fn lost(&mut self, key: &IntentKey, attempt: AttemptId) {
         if self.runs_under(key, attempt) {
-            self.set(key, Run::Unknown);
+            self.set_run(key, Run::Unknown);
         }
     }
 
-    /// What this executor knows of a key whose home has moved away from it. Only
-    /// for use after the version that moved it was applied here.
+    /// Returns what this executor knows about a key whose home has moved to another
+    /// executor. Must be called only after the version that moved it was applied here.
     #[must_use]
     pub fn hand_over(&self, key: &IntentKey) -> HomeAnswer {
-        let Some(intent) = self.intents.get(key) else {
+        let Some(entry) = self.entries.get(key) else {
             let created = key.key.created();
-            // A key without a time is fenced by its claim row instead.
-            let settled = created.is_none_or(|created| self.has_authority_over(created));
-            return if settled {
+            // A second run of a key without a creation time is prevented by its claim row.
+            let never_ran = created.is_none_or(|created| self.is_authoritative_for(created));
+            return if never_ran {
                 HomeAnswer::Never
             } else {
                 HomeAnswer::Unknown
             };
         };
-        match &intent.run {
+        match &entry.run {
             Run::Running(_) => HomeAnswer::Running,
             Run::Done(answer) => HomeAnswer::Done(Arc::clone(answer)),
             Run::DoneWithoutAnswer | Run::Unknown => HomeAnswer::Unknown,
         }
     }
 
-    /// Drops keys that are too old to be accepted again.
+    /// Drops keys that are so old that they are not accepted any more.
     pub fn tick(&mut self, now: Wall) {
         while let Some(entry) = self.expiry.first_entry() {
             if *entry.key() > now {
@@ -226,35 +230,40 @@
     }
 
     fn expire(&mut self, key: IntentKey, now: Wall) {
-        let Some(intent) = self.intents.get_mut(&key) else {
+        let Some(entry) = self.entries.get_mut(&key) else {
             return;
         };
-        if intent.expires > now {
-            // A released key was taken again: a later entry stands for it.
+        if entry.expires > now {
+            // The key was released and used again. It has a later expiry of its own.
             return;
         }
-        match &intent.run {
+        match &entry.run {
             Run::Running(_) => {
-                intent.expires = now + self.cfg.retention;
-                self.expiry.entry(intent.expires).or_default().push(key);
+                entry.expires = now + self.cfg.retention;
+                self.expiry.entry(entry.expires).or_default().push(key);
                 return;
             }
-            Run::Done(answer) => self.bytes -= answer.weight(),
+            Run::Done(answer) => self.answer_bytes -= answer.weight(),
             Run::DoneWithoutAnswer | Run::Unknown => {}
         }
-        self.intents.remove(&key);
-        self.forget_dropped_answers();
+        self.entries.remove(&key);
+        self.prune_answer_order();
     }
 
-    /// Keeps the order of answers from growing with keys that are gone.
-    fn forget_dropped_answers(&mut self) {
-        let intents = &self.intents;
-        let held = |key: &IntentKey| {
-            let done = |it: &Intent| matches!(it.run, Run::Done(_));
-            intents.get(key).is_some_and(done)
+    /// Removes keys without a kept answer from the front of the eviction order, which
+    /// would otherwise keep growing.
+    fn prune_answer_order(&mut self) {
+        let entries = &self.entries;
+        let has_answer = |key: &IntentKey| {
+            let done = |it: &Entry| matches!(it.run, Run::Done(_));
+            entries.get(key).is_some_and(done)
         };
-        while self.answers.front().is_some_and(|key| !held(key)) {
-            self.answers.pop_front();
+        while self
+            .answer_order
+            .front()
+            .is_some_and(|key| !has_answer(key))
+        {
+            self.answer_order.pop_front();
         }
     }
 
@@ -262,44 +271,44 @@
         let created = key.key.created().unwrap_or(now);
         let expires = created + self.cfg.retention + self.cfg.skew;
         let run = Run::Running(attempt);
-        let intent = Intent {
+        let entry = Entry {
             fingerprint,
             expires,
             run,
         };
         self.expiry.entry(expires).or_default().push(key.clone());
-        self.intents.insert(key.clone(), intent);
+        self.entries.insert(key.clone(), entry);
     }
 
     fn runs_under(&self, key: &IntentKey, attempt: AttemptId) -> bool {
-        let running = |intent: &Intent| intent.run == Run::Running(attempt);
-        self.intents.get(key).is_some_and(running)
+        let running = |entry: &Entry| entry.run == Run::Running(attempt);
+        self.entries.get(key).is_some_and(running)
     }
 
-    fn set(&mut self, key: &IntentKey, run: Run) {
-        if let Some(intent) = self.intents.get_mut(key) {
-            intent.run = run;
+    fn set_run(&mut self, key: &IntentKey, run: Run) {
+        if let Some(entry) = self.entries.get_mut(key) {
+            entry.run = run;
         }
     }
 
-    fn shed_answers(&mut self) {
-        while self.bytes > self.cfg.answer_bytes {
-            let Some(oldest) = self.answers.pop_front() else {
+    fn evict_answers(&mut self) {
+        while self.answer_bytes > self.cfg.answer_bytes {
+            let Some(oldest) = self.answer_order.pop_front() else {
                 return;
             };
-            let Some(intent) = self.intents.get_mut(&oldest) else {
+            let Some(entry) = self.entries.get_mut(&oldest) else {
                 continue;
             };
-            if let Run::Done(answer) = &intent.run {
-                self.bytes -= answer.weight();
-                intent.run = Run::DoneWithoutAnswer;
+            if let Run::Done(answer) = &entry.run {
+                self.answer_bytes -= answer.weight();
+                entry.run = Run::DoneWithoutAnswer;
             }
         }
     }
 }
 
-impl Intent {
-    fn meet(&self, fingerprint: Fingerprint) -> Begin {
+impl Entry {
+    fn decide(&self, fingerprint: Fingerprint) -> Begin {
         if self.fingerprint != fingerprint {
             return Begin::Refused(Refusal::permanent(Reason::KeyReused));
         }
