--- a/crates/calls/src/quarantine.rs
+++ b/crates/calls/src/quarantine.rs
@@ -1,13 +1,14 @@
-//! Requests under which targets end, and which are not run any more.
+//! Quarantine of requests that crash their targets.
 //!
-//! Some request may end each target's process that begins to run it. Its callers send it
-//! again under other ids, at any entry, and each repeat takes a target with all that the
-//! target runs. Attempts and retry budgets can't stop that: to them each repeat is another
-//! call. So what counts is what a request asks for, its [`Fingerprint`]: daemons tell each
-//! other what a target ran when its process ended, and a request that [`LIVES`] targets
-//! ran when they ended, and that none has answered, is refused as not run.
+//! A request may crash every target process that runs it. Its callers send it again with
+//! other ids and through other entries, and each repeat crashes another target together
+//! with everything that the target is running. Limits on attempts and retry budgets cannot
+//! stop that, because they count each repeat as a new call. Requests are therefore
+//! identified by their content, the [`Fingerprint`]. Daemons tell each other what a target
+//! was running when its process ended. A request that [`LIVES`] targets were running when
+//! they ended, and that no target has answered, is refused as not run.
 //!
-//! How the ways were weighed is in `docs/design/quarantine.md`.
+//! The alternatives are compared in `docs/design/quarantine.md`.
 
 mod finding;
 mod kept;
@@ -27,55 +28,59 @@
 pub use kept::KeptRequest;
 pub use recent::RecentAnswers;
 
-/// Names a life of a target that ended.
+/// Identifies one generation of a target, that is, one run of its process from start to
+/// end, in the findings that daemons exchange.
 pub type LifeMark = u64;
 
-/// Names a life of a target in what daemons tell each other.
+/// Computes the [`LifeMark`] of the target generation with the id `upstream`.
 #[must_use]
 pub fn life_mark(upstream: &str) -> LifeMark {
     xxh3_64(upstream.as_bytes())
 }
 
-/// Lives that ended while they ran a request before it is refused. With two, a request
-/// that happens to run at two targets of a rack as both end would be refused; with four,
-/// each request that does end targets takes one more.
+/// Number of target generations that have to crash while they run a request before it is
+/// refused. With two, a harmless request that runs at two targets of a rack when the rack
+/// fails would be refused. With four, each request that does crash targets takes one more.
 pub const LIVES: usize = 3;
 
-/// Lives remembered for one request.
-const MAX_LIVES: usize = 8;
+/// Maximum number of crashed generations recorded for one request.
+const MAX_CRASHES: usize = 8;
 
-/// Time for which a request is refused, from the end of the last target. Somebody has to
-/// mend the targets meanwhile; it doubles with each life that ends under a later trial.
-const HOLD: Duration = Duration::from_mins(10);
+/// Time for which a request is refused after the latest crash. The targets have to be
+/// repaired in this time. It doubles with each further crash after the request may run
+/// again.
+const BASE_QUARANTINE: Duration = Duration::from_mins(10);
 
-/// Doublings of that time at most.
+/// Maximum number of times that [`BASE_QUARANTINE`] is doubled.
 const MAX_DOUBLINGS: usize = 4;
 
-/// Time for which a request stays suspected that has not ended enough targets. One that
-/// comes less often takes a target now and then, as any other cause does.
-const SUSPECTED_FOR: Duration = Duration::from_mins(10);
+/// Time for which a request stays suspected without enough crashes for a quarantine. A
+/// request that crashes targets less often does no more harm than any other cause of
+/// crashes.
+const SUSPICION_TTL: Duration = Duration::from_mins(10);
 
-/// Time for which an answer speaks for a request. A request that many callers send runs at
-/// most targets of a rack that ends at once; each of its answers says that it did no harm.
-/// Much longer, and one that becomes lethal by a change of data would go on for as long.
+/// Time for which an answer clears a request of suspicion. A request that many callers send
+/// runs at most targets of a rack when the rack fails, and its recent answers show that it
+/// did not cause the failure. If this were much longer, a request that starts to crash
+/// targets after a change of data would be cleared for as long.
 pub const ANSWERED_FOR: Duration = Duration::from_secs(10);
 
-/// Time for which peers are told of what is new. Every daemon exchanges words with some
-/// peer each second, so by then all have heard of it that take part.
-const TOLD_FOR: Duration = Duration::from_secs(15);
+/// Time for which a change is included in gossip. Every daemon exchanges gossip with a peer
+/// each second, so after this time all members have received it.
+const GOSSIP_TTL: Duration = Duration::from_secs(15);
 
-/// Requests remembered. A target names as many as it has slots when it ends, so these are
-/// the ends of some dozens.
+/// Maximum number of requests that are recorded. A target that crashes adds one for each of
+/// its occupied slots, so this is enough for some dozens of crashes.
 const MAX_REQUESTS: usize = 1024;
 
-/// Requests of which a peer is told at a time.
-const MAX_TOLD: usize = 64;
+/// Maximum number of findings in one gossip exchange.
+const MAX_GOSSIPED: usize = 64;
 
-/// What one daemon knows of requests under which targets ended.
+/// What one daemon knows about requests that may have crashed targets.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
-    /// Lives that have to end before a request is refused.
-    needed: usize,
+    /// Number of crashes after which a request is refused.
+    threshold: usize,
     records: HashMap<Fingerprint, Record>,
 }
 
@@ -86,104 +91,111 @@
 }
 
 impl Quarantine {
-    /// Refuses a request after so many lives ended under it; [`LIVES`] unless said.
+    /// Creates a quarantine that refuses a request after `threshold` crashes. The default
+    /// is [`LIVES`].
     #[must_use]
-    pub fn refusing_after(needed: usize) -> Self {
+    pub fn refusing_after(threshold: usize) -> Self {
         Self {
-            needed,
+            threshold,
             records: HashMap::new(),
         }
     }
 
-    /// Whether nothing is suspected, so that no fingerprint has to be computed.
+    /// Returns whether nothing is recorded. No fingerprint has to be computed then.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Time for which a request is still refused; `None` where it may run.
+    /// Returns how long a request is still refused, or `None` if it may run.
     #[must_use]
     pub fn holds(&self, request: Fingerprint, now: Time) -> Option<Duration> {
         match self.records.get(&request)? {
-            Record::Suspected(it) => it.left(self.needed, now),
+            Record::Suspected(it) => it.left(self.threshold, now),
             Record::Answered(_) => None,
         }
     }
 
-    /// Every request that is refused.
+    /// Returns all requests that are refused.
     pub fn held(&self, now: Time) -> impl Iterator<Item = Fingerprint> {
         let requests = self.records.keys().copied();
         requests.filter(move |it| self.holds(*it, now).is_some())
     }
 
-    /// Lives of targets that are known to have ended under a request.
+    /// Returns how many target generations are known to have crashed while they ran a
+    /// request.
     #[must_use]
     pub fn lives(&self, request: Fingerprint) -> usize {
         match self.records.get(&request) {
-            Some(Record::Suspected(it)) => it.lives.len(),
+            Some(Record::Suspected(it)) => it.crashed.len(),
             Some(Record::Answered(_)) | None => 0,
         }
     }
 
-    /// Whether a request is refused, or would be after one more end.
+    /// Returns whether a request is refused, or would be after one more crash.
     #[must_use]
     pub fn is_near(&self, request: Fingerprint) -> bool {
-        self.lives(request) + 1 >= self.needed
+        self.lives(request) + 1 >= self.threshold
     }
 
-    /// Takes in a finding, one's own or a peer's.
+    /// Applies a finding of this daemon or of a peer, and returns what it changed.
     pub fn hear(&mut self, finding: &Finding, now: Time) -> Learned {
         match finding {
             Finding::Ended {
                 request,
                 lives,
                 ago,
-            } => self.ended(*request, lives, *ago, now),
-            Finding::Answered { request, ago } => self.answered(*request, *ago, now),
+            } => self.record_crashes(*request, lives, *ago, now),
+            Finding::Answered { request, ago } => self.record_answer(*request, *ago, now),
         }
     }
 
-    /// What is known of a request, for others.
+    /// Returns what is known about a request, in the form in which peers are told.
     #[must_use]
     pub fn finding(&self, request: Fingerprint, now: Time) -> Option<Finding> {
         let record = self.records.get(&request)?;
         Some(record.finding(request, now))
     }
 
-    /// What peers are told in the regular exchanges: what changed lately, and whatever is
-    /// refused, for those that have just started.
+    /// Returns the findings for a gossip exchange: those that changed recently, and all
+    /// requests that are refused, for daemons that have just started.
     #[must_use]
     pub fn news(&self, now: Time) -> Vec<Finding> {
-        let is_told = |it: &Record| match it {
+        let is_gossiped = |it: &Record| match it {
             Record::Suspected(it) => {
-                it.left(self.needed, now).is_some() || now.saturating_sub(it.changed) < TOLD_FOR
+                it.left(self.threshold, now).is_some()
+                    || now.saturating_sub(it.changed) < GOSSIP_TTL
             }
-            Record::Answered(_) => !it.is_over(self.needed, now),
+            Record::Answered(_) => !it.is_expired(self.threshold, now),
         };
-        let mut told: Vec<_> = self.records.iter().filter(|(_, it)| is_told(it)).collect();
-        told.sort_by_key(|(_, it)| std::cmp::Reverse(it.weight()));
-        told.truncate(MAX_TOLD);
-        let findings = told.into_iter();
+        let mut gossiped: Vec<_> = self
+            .records
+            .iter()
+            .filter(|(_, it)| is_gossiped(it))
+            .collect();
+        gossiped.sort_by_key(|(_, it)| std::cmp::Reverse(it.priority()));
+        gossiped.truncate(MAX_GOSSIPED);
+        let findings = gossiped.into_iter();
         findings.map(|(key, it)| it.finding(*key, now)).collect()
     }
 
-    /// Forgets what is over.
+    /// Drops expired records.
     pub fn tick(&mut self, now: Time) {
-        let needed = self.needed;
-        self.records.retain(|_, it| !it.is_over(needed, now));
+        let threshold = self.threshold;
+        self.records.retain(|_, it| !it.is_expired(threshold, now));
     }
 
-    fn ended(
+    fn record_crashes(
         &mut self,
         request: Fingerprint,
-        lives: &[LifeMark],
+        crashed: &[LifeMark],
         ago: Duration,
         now: Time,
     ) -> Learned {
         let was_held = self.holds(request, now).is_some();
         match self.records.get(&request) {
             Some(Record::Suspected(_)) => {}
-            Some(answered) if !answered.is_over(self.needed, now) => return Learned::Nothing,
+            Some(answered) if !answered.is_expired(self.threshold, now) => return Learned::Nothing,
             _ => {
                 self.make_room();
                 let suspected = Suspected::new(ago, now);
@@ -193,16 +205,16 @@
         let Some(Record::Suspected(suspected)) = self.records.get_mut(&request) else {
             return Learned::Nothing;
         };
-        if !suspected.add(lives, ago, now) {
+        if !suspected.add(crashed, ago, now) {
             return Learned::Nothing;
         }
-        match suspected.left(self.needed, now) {
+        match suspected.left(self.threshold, now) {
             Some(left) if !was_held => Learned::Held(left),
             _ => Learned::Suspicion,
         }
     }
 
-    fn answered(&mut self, request: Fingerprint, ago: Duration, now: Time) -> Learned {
+    fn record_answer(&mut self, request: Fingerprint, ago: Duration, now: Time) -> Learned {
         let at = now.saturating_sub(ago);
         let was_held = self.holds(request, now).is_some();
         match self.records.get_mut(&request) {
@@ -214,7 +226,7 @@
                 *record = Record::Answered(at);
                 Learned::Cleared { was_held }
             }
-            // Word of what it speaks against may be on its way.
+            // The crash reports that this answer refutes may arrive after it.
             None => {
                 self.make_room();
                 self.records.insert(request, Record::Answered(at));
@@ -227,16 +239,17 @@
         if self.records.len() < MAX_REQUESTS {
             return;
         }
-        let least = self.records.iter().min_by_key(|(_, it)| it.weight());
+        let least = self.records.iter().min_by_key(|(_, it)| it.priority());
         if let Some(request) = least.map(|(key, _)| *key) {
             self.records.remove(&request);
         }
     }
 }
 
-/// For how long a request is refused from the end of the last of so many lives on.
-fn hold(lives: usize, needed: usize) -> Option<Duration> {
-    let later = lives.checked_sub(needed)?;
+/// Returns for how long a request is refused after the last of `crashes` crashes, or `None`
+/// if there are fewer than `threshold`.
+fn quarantine_time(crashes: usize, threshold: usize) -> Option<Duration> {
+    let later = crashes.checked_sub(threshold)?;
     let doublings = u32::try_from(later.min(MAX_DOUBLINGS)).unwrap_or_default();
-    Some(HOLD * 2_u32.pow(doublings))
+    Some(BASE_QUARANTINE * 2_u32.pow(doublings))
 }
--- a/crates/calls/src/quarantine/finding.rs
+++ b/crates/calls/src/quarantine/finding.rs
@@ -1,4 +1,4 @@
-//! What daemons tell each other about requests under which targets end.
+//! The findings about requests that daemons exchange.
 
 use std::time::Duration;
 
@@ -7,32 +7,32 @@
 use super::LifeMark;
 use crate::fingerprint::Fingerprint;
 
-/// What daemons tell each other about a request. Times are given as ages, as clocks of two
-/// instances differ.
+/// A fact about a request that one daemon tells another. Times are sent as ages because the
+/// clocks of two instances differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Finding {
-    /// Targets ended while they ran it.
+    /// Target processes ended while they ran the request.
     #[serde(rename = "e")]
     Ended {
         /// The request.
         request: Fingerprint,
-        /// Every life of a target that is known to have ended so.
+        /// All target generations that are known to have ended while they ran it.
         lives: Vec<LifeMark>,
-        /// Time since the last of them did.
+        /// Time since the last of them ended.
         ago: Duration,
     },
-    /// A target answered it.
+    /// A target answered the request.
     #[serde(rename = "a")]
     Answered {
         /// The request.
         request: Fingerprint,
-        /// Time since then.
+        /// Time since the answer.
         ago: Duration,
     },
 }
 
 impl Finding {
-    /// The request that it is about.
+    /// Returns the request that the finding is about.
     #[must_use]
     pub fn request(&self) -> Fingerprint {
         match self {
@@ -41,18 +41,18 @@
     }
 }
 
-/// What a finding changed.
+/// What a finding changed in a [`Quarantine`](super::Quarantine).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Learned {
-    /// Nothing.
+    /// The finding changed nothing.
     Nothing,
-    /// A request is suspected for one more reason.
+    /// Another crash was recorded for a suspected request.
     Suspicion,
-    /// A request is refused from now on, for this long.
+    /// The request is refused from now on, for this long.
     Held(Duration),
-    /// A request is no longer suspected; it was refused until now if that is said.
+    /// The request is no longer suspected.
     Cleared {
-        /// It was refused.
+        /// Whether the request was refused until now.
         was_held: bool,
     },
 }
--- a/crates/calls/src/quarantine/kept.rs
+++ b/crates/calls/src/quarantine/kept.rs
@@ -1,29 +1,30 @@
-//! What outlasts the daemons.
+//! Quarantined requests as they are stored outside the daemons.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-use super::{Finding, LifeMark, Quarantine, Record, hold};
+use super::{Finding, LifeMark, Quarantine, Record, quarantine_time};
 use crate::fingerprint::Fingerprint;
 use crate::ids::{Time, Wall};
 
-/// A refused request, as it is kept where it outlasts every daemon.
+/// A refused request as it is stored outside the daemons.
 ///
-/// Daemons teach those that start; where all end at once, nobody is left to do so, and the
-/// request would take as many targets once more.
+/// A daemon that starts learns from its peers which requests are refused. If all daemons
+/// end at once, no peer is left to tell it, and without the stored record the request would
+/// crash as many targets again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KeptRequest {
     /// The request.
     pub request: Fingerprint,
-    /// Lives of targets that ended while they ran it.
+    /// Target generations that ended while they ran it.
     pub lives: Vec<LifeMark>,
-    /// When the last of them did, by the calendar clock of whoever wrote it.
+    /// When the last of them ended, by the calendar clock of the daemon that stored this.
     pub ended: Wall,
 }
 
 impl KeptRequest {
-    /// What it says now.
+    /// Returns the record as a finding at the time `now`.
     #[must_use]
     pub fn finding(&self, now: Wall) -> Finding {
         Finding::Ended {
@@ -33,16 +34,16 @@
         }
     }
 
-    /// Whether nothing follows from it any more, so that it can be deleted.
+    /// Returns whether the record has no effect any more and can be deleted.
     #[must_use]
-    pub fn is_over(&self, now: Wall, needed: usize) -> bool {
-        let held = hold(self.lives.len(), needed).unwrap_or(Duration::ZERO);
-        now > self.ended + held * 2
+    pub fn is_over(&self, now: Wall, threshold: usize) -> bool {
+        let refused_for = quarantine_time(self.lives.len(), threshold).unwrap_or(Duration::ZERO);
+        now > self.ended + refused_for * 2
     }
 }
 
 impl Quarantine {
-    /// What is to be kept of a request, where it is refused.
+    /// Returns the record to store for a request, or `None` if the request is not refused.
     #[must_use]
     pub fn kept(&self, request: Fingerprint, now: Time, wall: Wall) -> Option<KeptRequest> {
         self.holds(request, now)?;
@@ -51,8 +52,8 @@
         };
         Some(KeptRequest {
             request,
-            lives: known.lives.clone(),
-            ended: wall.saturating_sub(known.since(now)),
+            lives: known.crashed.clone(),
+            ended: wall.saturating_sub(known.age(now)),
         })
     }
 }
--- a/crates/calls/src/quarantine/recent.rs
+++ b/crates/calls/src/quarantine/recent.rs
@@ -1,4 +1,4 @@
-//! What a target answered lately.
+//! Requests that a target answered recently.
 
 use std::collections::VecDeque;
 
@@ -6,22 +6,22 @@
 use crate::fingerprint::Fingerprint;
 use crate::ids::Time;
 
-/// Answers remembered: those of [`ANSWERED_FOR`] of a target with 18 slots and runs of
-/// 0.18 s.
+/// Maximum number of recorded answers. A target with 18 slots and runs of 0.18 s gives this
+/// many within [`ANSWERED_FOR`].
 const MAX_ANSWERS: usize = 1024;
 
-/// Requests that the target beside a daemon answered lately.
+/// Requests that the local target of a daemon answered recently.
 ///
-/// Where a rack of targets ends at once, the request that most callers send ran at each of
-/// them. Without this it would be refused for minutes; what a target has just answered is
-/// not what ended it.
+/// If all targets of a rack end at once, a popular request was running at each of them and
+/// would be quarantined for minutes. A request that a target has just answered is not
+/// reported as the cause of its crash.
 #[derive(Clone, Debug, Default)]
 pub struct RecentAnswers {
     answers: VecDeque<(Fingerprint, Time)>,
 }
 
 impl RecentAnswers {
-    /// The target answered a request.
+    /// Records that the target answered a request.
     pub fn note(&mut self, request: Fingerprint, now: Time) {
         if self.answers.len() >= MAX_ANSWERS {
             self.answers.pop_front();
@@ -29,11 +29,11 @@
         self.answers.push_back((request, now));
     }
 
-    /// Whether it answered this one lately.
+    /// Returns whether the target answered this request within [`ANSWERED_FOR`].
     #[must_use]
     pub fn has(&self, request: Fingerprint, now: Time) -> bool {
-        let lately = |at: Time| now.saturating_sub(at) <= ANSWERED_FOR;
+        let is_recent = |at: Time| now.saturating_sub(at) <= ANSWERED_FOR;
         let mut newest_first = self.answers.iter().rev();
-        newest_first.any(|(it, at)| *it == request && lately(*at))
+        newest_first.any(|(it, at)| *it == request && is_recent(*at))
     }
 }
--- a/crates/calls/src/quarantine/record.rs
+++ b/crates/calls/src/quarantine/record.rs
@@ -1,98 +1,101 @@
-//! What is known of one request.
+//! The record of one request in the quarantine.
 
 use std::time::Duration;
 
-use super::{ANSWERED_FOR, Finding, LifeMark, MAX_LIVES, SUSPECTED_FOR, hold};
+use super::{ANSWERED_FOR, Finding, LifeMark, MAX_CRASHES, SUSPICION_TTL, quarantine_time};
 use crate::fingerprint::Fingerprint;
 use crate::ids::Time;
 
 #[derive(Clone, Debug)]
 pub(super) enum Record {
     Suspected(Suspected),
-    /// A target answered it then.
+    /// A target answered the request at this time.
     Answered(Time),
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Suspected {
-    /// Lives of targets that ended while they ran it.
-    pub(super) lives: Vec<LifeMark>,
+    /// Target generations that ended while they ran the request.
+    pub(super) crashed: Vec<LifeMark>,
     /// When this record last changed.
     pub(super) changed: Time,
-    /// Time from the end of the last of the lives until then. It may have ended before this
-    /// process began, so no reading of its clock could say when.
-    ago: Duration,
+    /// Time between the latest crash and `changed`. The crash may have happened before this
+    /// process started, so its time cannot be given as a reading of this process's clock.
+    age_at_change: Duration,
 }
 
 impl Suspected {
     pub(super) fn new(ago: Duration, now: Time) -> Self {
         Self {
-            lives: Vec::new(),
+            crashed: Vec::new(),
             changed: now,
-            ago,
+            age_at_change: ago,
         }
     }
 
-    /// Adds lives, the last of which ended so long ago, and says whether one is news.
-    pub(super) fn add(&mut self, lives: &[LifeMark], ago: Duration, now: Time) -> bool {
-        let before = self.lives.len();
-        for life in lives {
-            if self.lives.len() < MAX_LIVES && !self.lives.contains(life) {
-                self.lives.push(*life);
+    /// Adds generations, the last of which ended `ago` before `now`. Returns whether any of
+    /// them is new.
+    pub(super) fn add(&mut self, crashed: &[LifeMark], ago: Duration, now: Time) -> bool {
+        let before = self.crashed.len();
+        for generation in crashed {
+            if self.crashed.len() < MAX_CRASHES && !self.crashed.contains(generation) {
+                self.crashed.push(*generation);
             }
         }
-        let is_news = self.lives.len() > before;
-        if is_news {
-            // Only then: between two daemons that tell each other, an age that is taken
-            // over each time would creep by the time on the way.
-            self.ago = self.since(now).min(ago);
+        let is_new = self.crashed.len() > before;
+        if is_new {
+            // The age is only updated here. If two daemons took over each other's age in
+            // every exchange, it would drift by the transmission time each time.
+            self.age_at_change = self.age(now).min(ago);
             self.changed = now;
         }
-        is_news
+        is_new
     }
 
-    /// Time since the last of the lives ended.
-    pub(super) fn since(&self, now: Time) -> Duration {
-        self.ago + now.saturating_sub(self.changed)
+    /// Returns the time since the latest crash.
+    pub(super) fn age(&self, now: Time) -> Duration {
+        self.age_at_change + now.saturating_sub(self.changed)
     }
 
-    /// Time for which the request is still refused.
-    pub(super) fn left(&self, needed: usize, now: Time) -> Option<Duration> {
-        let left = hold(self.lives.len(), needed)?.saturating_sub(self.since(now));
+    /// Returns how long the request is still refused.
+    pub(super) fn left(&self, threshold: usize, now: Time) -> Option<Duration> {
+        let left = quarantine_time(self.crashed.len(), threshold)?.saturating_sub(self.age(now));
         (!left.is_zero()).then_some(left)
     }
 
-    /// After a hold the lives are remembered for as long again: if the request ends one
-    /// more target then, that is enough.
-    fn is_over(&self, needed: usize, now: Time) -> bool {
-        let kept = hold(self.lives.len(), needed).map_or(SUSPECTED_FOR, |it| it * 2);
-        self.since(now) > kept
+    /// Returns whether the record can be dropped. After a quarantine it is kept for as long
+    /// again, so that one more crash is enough to refuse the request again.
+    fn is_expired(&self, threshold: usize, now: Time) -> bool {
+        let kept_for =
+            quarantine_time(self.crashed.len(), threshold).map_or(SUSPICION_TTL, |it| it * 2);
+        self.age(now) > kept_for
     }
 }
 
 impl Record {
-    pub(super) fn is_over(&self, needed: usize, now: Time) -> bool {
+    pub(super) fn is_expired(&self, threshold: usize, now: Time) -> bool {
         match self {
-            Self::Suspected(it) => it.is_over(needed, now),
+            Self::Suspected(it) => it.is_expired(threshold, now),
             Self::Answered(at) => now > *at + ANSWERED_FOR,
         }
     }
 
-    /// Where too much is remembered, the least goes first.
-    pub(super) fn weight(&self) -> (usize, Time) {
+    /// Returns the priority for keeping and gossiping this record. The record with the
+    /// lowest priority is dropped first.
+    pub(super) fn priority(&self) -> (usize, Time) {
         match self {
-            Self::Suspected(it) => (it.lives.len(), it.changed),
+            Self::Suspected(it) => (it.crashed.len(), it.changed),
             Self::Answered(at) => (0, *at),
         }
     }
 
-    /// What others are told.
+    /// Returns the record as a finding for peers.
     pub(super) fn finding(&self, request: Fingerprint, now: Time) -> Finding {
         match self {
             Self::Suspected(it) => Finding::Ended {
                 request,
-                lives: it.lives.clone(),
-                ago: it.since(now),
+                lives: it.crashed.clone(),
+                ago: it.age(now),
             },
             Self::Answered(at) => Finding::Answered {
                 request,
