--- a/crates/calls/src/quota.rs
+++ b/crates/calls/src/quota.rs
@@ -1,12 +1,13 @@
-//! Quotas of customers over a whole fleet, without a coordinator.
+//! Fleet-wide quotas of customers, without a coordinator.
 //!
-//! Each availability zone has an equal [`Share`] of a customer's quota, and in each zone
-//! one daemon, the customer's *home*, grants it from a [`Bucket`]. Entries ask the home of
-//! their own zone for tokens and keep what they have not used yet in a [`Purse`]. A zone
-//! that is cut off from the others so needs nobody else, and no two homes ever grant the
-//! same tokens; a home whose own zone has no room [borrows](Bucket::lend) from another.
+//! Each availability zone has an equal [`Share`] of a customer's quota. In each zone one
+//! daemon, the customer's *home*, grants this share from a token [`Bucket`]. Entries request
+//! tokens from the home of their own zone and keep unused ones in a [`Purse`]. A zone that
+//! is partitioned from the others therefore keeps working, and no two homes grant the same
+//! tokens. A home that runs short [borrows](Bucket::lend) from the home of another zone.
 //!
-//! The bound, and what holds in which partition, is derived in `docs/design/demands.md`.
+//! The bound on granted tokens, and the guarantees under each kind of partition, are derived
+//! in `docs/design/demands.md`.
 
 mod bucket;
 mod purse;
--- a/crates/calls/src/quota/bucket.rs
+++ b/crates/calls/src/quota/bucket.rs
@@ -1,4 +1,4 @@
-//! What one home may grant of a customer's quota.
+//! The token bucket of a customer at its home.
 
 use std::time::Duration;
 
@@ -6,132 +6,134 @@
 
 use crate::ids::Time;
 
-/// Longest pause that a refused caller is asked for.
-const MAX_PAUSE: Duration = Duration::from_secs(5);
+/// Maximum retry delay that a refused caller is given.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Time for which borrowed tokens are kept.
-const BORROWED_FOR: Duration = Duration::from_secs(1);
+/// Time for which borrowed tokens may exceed the bucket's capacity.
+const BORROWED_TTL: Duration = Duration::from_secs(1);
 
-/// Part of a full bucket below which its home borrows.
-const LOW: f64 = 0.25;
+/// Fraction of a full bucket below which its home borrows tokens.
+const LOW_FRACTION: f64 = 0.25;
 
-/// Part of a full bucket that stays with its home when others borrow.
-const KEPT_BACK: f64 = 0.5;
+/// Fraction of a full bucket that its home does not lend.
+const RESERVED_FRACTION: f64 = 0.5;
 
-/// A part of a quota.
+/// A fraction of a quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
-    /// Tokens a second.
+    /// Tokens added per second.
     pub per_second: f64,
-    /// Tokens that a bucket holds at most.
+    /// Capacity of the bucket, in tokens.
     pub burst: f64,
 }
 
 impl Share {
-    /// The part `of` 1 of a quota. The bucket holds one token at least, or nothing could
-    /// ever be granted from it.
+    /// Computes the share of a quota that has the given `fraction`. The bucket has room for
+    /// at least one token; otherwise nothing could ever be granted from it.
     #[must_use]
-    pub fn new(quota: Quota, of: f64) -> Self {
+    pub fn new(quota: Quota, fraction: f64) -> Self {
         Self {
-            per_second: quota.per_second() * of,
-            burst: (f64::from(quota.burst) * of).max(1.0),
+            per_second: quota.per_second() * fraction,
+            burst: (f64::from(quota.burst) * fraction).max(1.0),
         }
     }
 
-    /// Whole tokens in `tokens`.
+    /// Rounds `tokens` down to a whole number.
     #[must_use]
     pub fn whole(tokens: f64) -> u32 {
-        // Rounding errors of many small steps must not cost a token.
-        const ROUNDING: f64 = 1e-9;
-        let seconds = Duration::try_from_secs_f64(tokens + ROUNDING).unwrap_or_default();
+        // Accumulated rounding errors must not cost a token.
+        const ROUNDING_ERROR: f64 = 1e-9;
+        let seconds = Duration::try_from_secs_f64(tokens + ROUNDING_ERROR).unwrap_or_default();
         u32::try_from(seconds.as_secs()).unwrap_or(u32::MAX)
     }
 
-    fn after(&self, time: Duration) -> f64 {
+    fn tokens_in(&self, time: Duration) -> f64 {
         self.per_second * time.as_secs_f64()
     }
 }
 
-/// What a home answers to an entry that asks for tokens.
+/// A home's answer to an entry that requested tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Tokens granted.
+    /// Number of tokens granted.
     pub tokens: u32,
-    /// Where that is fewer than were asked for: when it is worth asking again.
+    /// If fewer tokens were granted than requested, the time after which to ask again.
     pub retry_after: Option<Duration>,
 }
 
-/// Tokens of one customer at its home.
+/// The token bucket of one customer at its home.
 ///
-/// A new bucket is empty, since an earlier home may have granted all that there was: in
-/// any span of time, the homes that followed each other grant no more than one would.
+/// A new bucket is empty because an earlier home may have granted all tokens already. Thus
+/// successive homes together grant no more in any period than a single one would.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bucket {
     tokens: f64,
-    at: Time,
-    /// Until when tokens to come have been promised to callers that were refused.
-    promised: Time,
-    /// Until when it may hold more than its share.
+    /// When the bucket was last refilled.
+    refilled_at: Time,
+    /// Refused callers have been told to retry for tokens that arrive until this time.
+    promised_until: Time,
+    /// Until this time the bucket may hold more tokens than its capacity.
     borrowed_until: Time,
 }
 
 impl Bucket {
-    /// An empty bucket that fills from `since` on.
+    /// Creates an empty bucket that is refilled from `since` on.
     #[must_use]
     pub fn empty(since: Time) -> Self {
         Self {
             tokens: 0.0,
-            at: since,
-            promised: since,
+            refilled_at: since,
+            promised_until: since,
             borrowed_until: Time::ZERO,
         }
     }
 
-    /// Grants what is there of the tokens that were asked for.
+    /// Grants up to `wanted` tokens, as far as there are any.
     ///
-    /// Those refused get different times to come back, one for each token to come, so
-    /// that they do not all meet an empty bucket together again.
+    /// Refused callers get different retry times, one for each future token, so that they
+    /// do not all come back at once to an empty bucket.
     pub fn grant(&mut self, wanted: u32, share: Share, now: Time) -> Grant {
-        self.fill(share, now);
+        self.refill(share, now);
         let tokens = self.take(wanted);
         let refused = wanted - tokens;
-        let retry_after = (refused > 0).then(|| self.promise(refused, share, now));
+        let retry_after = (refused > 0).then(|| self.reserve_retry(refused, share, now));
         Grant {
             tokens,
             retry_after,
         }
     }
 
-    /// Whether it is time to borrow: calls would be refused while an answer is under way.
+    /// Returns whether the home should borrow tokens now. If it waited until the bucket is
+    /// empty, calls would be refused until the lender answers.
     #[must_use]
     pub fn is_low(&self, share: Share) -> bool {
-        self.tokens < share.burst * LOW
+        self.tokens < share.burst * LOW_FRACTION
     }
 
-    /// Grants tokens to a home of another zone, and keeps a part for the own one.
+    /// Grants tokens to the home of another zone, and reserves some for this one.
     pub fn lend(&mut self, wanted: u32, share: Share, now: Time) -> u32 {
-        self.fill(share, now);
-        let kept_back = share.burst * KEPT_BACK;
-        let free = Share::whole(self.tokens - kept_back);
+        self.refill(share, now);
+        let reserved = share.burst * RESERVED_FRACTION;
+        let free = Share::whole(self.tokens - reserved);
         self.take(wanted.min(free))
     }
 
-    /// Takes in tokens that another home lent. For a moment they come on top of what the
-    /// bucket holds at most: its own share may be full by the time that they are there.
+    /// Adds tokens that another home lent. They may exceed the capacity for a moment, because
+    /// the bucket may have been refilled before they arrive.
     pub fn borrowed(&mut self, tokens: u32, now: Time) {
         self.tokens += f64::from(tokens);
-        self.borrowed_until = now + BORROWED_FOR;
+        self.borrowed_until = now + BORROWED_TTL;
     }
 
-    fn fill(&mut self, share: Share, now: Time) {
-        let filled = self.tokens + share.after(now.saturating_sub(self.at));
-        let most = if now < self.borrowed_until {
+    fn refill(&mut self, share: Share, now: Time) {
+        let refilled = self.tokens + share.tokens_in(now.saturating_sub(self.refilled_at));
+        let capacity = if now < self.borrowed_until {
             share.burst.max(self.tokens)
         } else {
             share.burst
         };
-        self.tokens = filled.min(most);
-        self.at = self.at.max(now);
+        self.tokens = refilled.min(capacity);
+        self.refilled_at = self.refilled_at.max(now);
     }
 
     fn take(&mut self, wanted: u32) -> u32 {
@@ -140,11 +142,13 @@
         tokens
     }
 
-    fn promise(&mut self, refused: u32, share: Share, now: Time) -> Duration {
+    /// Returns when refused callers may retry, and promises them the tokens that arrive by
+    /// then.
+    fn reserve_retry(&mut self, refused: u32, share: Share, now: Time) -> Duration {
         let seconds = f64::from(refused) / share.per_second;
-        let wait = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_PAUSE);
-        let until = self.promised.max(now) + wait.min(MAX_PAUSE);
-        self.promised = until.min(now + MAX_PAUSE);
-        self.promised.saturating_sub(now)
+        let wait = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_AFTER);
+        let until = self.promised_until.max(now) + wait.min(MAX_RETRY_AFTER);
+        self.promised_until = until.min(now + MAX_RETRY_AFTER);
+        self.promised_until.saturating_sub(now)
     }
 }
--- a/crates/calls/src/quota/purse.rs
+++ b/crates/calls/src/quota/purse.rs
@@ -1,28 +1,29 @@
-//! What one entry holds of a customer's quota.
+//! The tokens of a customer's quota that one entry holds.
 
 use std::time::Duration;
 
 use super::Share;
 use crate::ids::Time;
 
-/// How long a token may be kept. What the home has granted and nobody used is lost to the
-/// customer, and what is used late was granted in an earlier span of time.
+/// Time for which a granted token may be used. A longer lease would lose more unused tokens
+/// to the customer, and would allow more tokens of an earlier period to be used late.
 const LEASE: Duration = Duration::from_millis(200);
 
-/// Time in which the count of earlier calls loses most of its weight.
-const MEMORY: Duration = Duration::from_secs(1);
+/// Time constant of the exponential decay of the call count.
+const DECAY_TIME: Duration = Duration::from_secs(1);
 
-/// Longest time for which an entry refuses without asking the home again.
+/// Maximum time for which an entry refuses calls without asking the home again.
 const MAX_REFUSAL: Duration = Duration::from_millis(250);
 
-/// What becomes of a call that needs a token.
+/// Result of taking a token for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Taken {
-    /// It has one.
+    /// The call has a token.
     Token,
-    /// The home has to be asked.
+    /// The home has to be asked for a token.
     Ask,
-    /// The home had none a moment ago, and there will be none before this time has passed.
+    /// The home had no tokens when last asked, and will have none before this time has
+    /// passed.
     Refused(Duration),
 }
 
@@ -32,36 +33,36 @@
     tokens: u32,
     expires: Time,
     refused_until: Time,
-    /// When the home will have room for what it refused last.
-    room_at: Time,
-    /// Calls lately; older ones weigh less.
+    /// When the home will have tokens again, by its last refusal.
+    available_at: Time,
+    /// Exponentially decayed number of recent calls.
     calls: f64,
-    at: Time,
+    last_call: Time,
 }
 
 impl Purse {
     /// Takes a token for a call.
     pub fn take(&mut self, now: Time) -> Taken {
-        self.note_call(now);
+        self.count_call(now);
         if self.tokens > 0 && now < self.expires {
             self.tokens -= 1;
             return Taken::Token;
         }
         if now < self.refused_until {
-            return Taken::Refused(self.room_at.saturating_sub(now));
+            return Taken::Refused(self.available_at.saturating_sub(now));
         }
         Taken::Ask
     }
 
-    /// Tokens to ask for when this many calls wait for one: those that will most likely be
-    /// used before they expire come along.
+    /// Returns how many tokens to request while `waiting` calls wait for one. The number
+    /// includes tokens that are expected to be used before they expire.
     #[must_use]
     pub fn wanted(&self, waiting: u32) -> u32 {
-        let expected = self.calls * LEASE.as_secs_f64() / MEMORY.as_secs_f64();
+        let expected = self.calls * LEASE.as_secs_f64() / DECAY_TIME.as_secs_f64();
         waiting.saturating_add(Share::whole(expected))
     }
 
-    /// Keeps tokens that no call waits for.
+    /// Adds granted tokens that no call is waiting for.
     pub fn keep(&mut self, tokens: u32, now: Time) {
         if now >= self.expires {
             self.tokens = 0;
@@ -72,22 +73,22 @@
         }
     }
 
-    /// The home had too few.
+    /// Records that the home granted fewer tokens than were requested.
     pub fn refused(&mut self, retry_after: Duration, now: Time) {
         self.refused_until = now + retry_after.min(MAX_REFUSAL);
-        self.room_at = now + retry_after;
+        self.available_at = now + retry_after;
     }
 
-    /// Whether nothing is worth remembering any more.
+    /// Returns whether the last call is so long ago that this can be dropped.
     #[must_use]
     pub fn is_idle(&self, now: Time) -> bool {
-        now.saturating_sub(self.at) > 8 * MEMORY
+        now.saturating_sub(self.last_call) > 8 * DECAY_TIME
     }
 
-    fn note_call(&mut self, now: Time) {
-        let since = now.saturating_sub(self.at);
-        self.calls *= (-since.as_secs_f64() / MEMORY.as_secs_f64()).exp();
+    fn count_call(&mut self, now: Time) {
+        let since = now.saturating_sub(self.last_call);
+        self.calls *= (-since.as_secs_f64() / DECAY_TIME.as_secs_f64()).exp();
         self.calls += 1.0;
-        self.at = now;
+        self.last_call = now;
     }
 }
