--- a/crates/calls/src/answer.rs
+++ b/crates/calls/src/answer.rs
@@ -1,42 +1,42 @@
-//! A target's whole answer, as the executor keeps it.
+//! A target's complete answer, as the executor keeps it.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Status from which an answer is a failure of its target.
-const FAILURE: u16 = 500;
+/// Lowest status that means that the target failed.
+const MIN_FAILURE_STATUS: u16 = 500;
 
 /// One header of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Header {
-    /// Name in lower case.
+    /// Name of the header in lower case.
     pub name: SmolStr,
-    /// Value, any bytes that HTTP allows.
+    /// Value of the header, which may contain any bytes that HTTP allows.
     #[serde(with = "serde_bytes")]
     pub value: Vec<u8>,
 }
 
-/// A whole answer. It is built only after the last byte of the body came in:
-/// nothing in this crate can hold part of an answer.
+/// A complete answer. It is built only after the last byte of the body was received;
+/// no type of this crate holds a partial answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Answer {
     /// HTTP status.
     pub status: u16,
-    /// Headers of the answer, without those of the connection.
+    /// Headers of the answer, without hop-by-hop headers.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// The complete body.
     #[serde(with = "serde_bytes")]
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// Whether the target says that it failed.
+    /// Returns whether the status means that the target failed.
     #[must_use]
     pub fn is_failure(&self) -> bool {
-        self.status >= FAILURE
+        self.status >= MIN_FAILURE_STATUS
     }
 
-    /// Bytes that keeping this answer takes, about.
+    /// Returns approximately how many bytes of memory the answer takes.
     #[must_use]
     pub fn weight(&self) -> usize {
         let header = |it: &Header| it.name.len() + it.value.len() + size_of::<Header>();
@@ -44,8 +44,8 @@
     }
 }
 
-/// Whether a header is about one connection only, and so never passes from one
-/// hop to the next. The length of a body is among them: each hop writes its own.
+/// Returns whether a header, given in lower case, is hop-by-hop and must not be
+/// forwarded. This includes `content-length`, because each hop writes its own.
 #[must_use]
 pub fn is_of_connection(name: &str) -> bool {
     matches!(
--- a/crates/calls/src/answers.rs
+++ b/crates/calls/src/answers.rs
@@ -1,44 +1,43 @@
-//! What the answers of a route are like.
+//! Statistics on the answers of a route.
 //!
-//! Nothing in a request tells how long it will run or how many bytes its answer will
-//! have, and routes to one service differ in both by a factor of ten and more. Answers
-//! of one route are alike, so those before tell it well enough to decide where a call
-//! goes.
+//! A request does not tell how long it will run or how large its answer will be, and the
+//! routes of one service differ in both by a factor of ten and more. Answers of one route
+//! are similar, so earlier answers predict both well enough for placing a call.
 
 use std::time::Duration;
 
 use crate::estimate::Estimate;
 
-/// Weight of a new size in the mean, once there are enough. Sizes of one route vary by
-/// their mean, and the mean itself hardly changes.
+/// Minimum weight of a new size in the mean. Single sizes of one route deviate from their
+/// mean by as much as the mean itself, while the mean hardly changes over time.
 const SIZE_GAIN: f64 = 1.0 / 32.0;
 
-/// Answers of one route, as one entry sees them.
+/// Mean size and run time of the answers of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Answers {
-    bytes: f64,
+    mean_bytes: f64,
     samples: u32,
     run: Estimate,
 }
 
 impl Answers {
-    /// An answer had a body of so many bytes, after a run of `run`.
+    /// Records an answer with a body of `bytes` bytes after a run time of `run`.
     pub fn record(&mut self, bytes: usize, run: Duration) {
         self.samples = self.samples.saturating_add(1);
         let gain = SIZE_GAIN.max(1.0 / f64::from(self.samples));
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
-        self.bytes += (f64::from(bytes) - self.bytes) * gain;
+        self.mean_bytes += (f64::from(bytes) - self.mean_bytes) * gain;
         self.run.record(run);
     }
 
-    /// Mean bytes of a body; zero before the first answer, so that a call whose size is
-    /// not known is placed like a small one.
+    /// Returns the mean size of a body in bytes. It is zero before the first answer, so
+    /// that a call whose answer size is unknown is placed like one with a small answer.
     #[must_use]
     pub fn bytes(&self) -> f64 {
-        self.bytes
+        self.mean_bytes
     }
 
-    /// Mean time of a run, if one was seen.
+    /// Returns the mean run time, or `None` before the first answer.
     #[must_use]
     pub fn run(&self) -> Option<Duration> {
         (self.samples > 0).then(|| self.run.mean())
--- a/crates/calls/src/drain.rs
+++ b/crates/calls/src/drain.rs
@@ -1,24 +1,24 @@
-//! Graceful stop of an instance.
+//! Graceful shutdown of an instance.
 
 use std::time::Duration;
 
 use crate::ids::Time;
 
-/// Time between the announcement and the first check that all is done. Entries
-/// that have not heard yet still send attempts in this time and have to get a
-/// true "not run, draining" instead of a closed port.
-const LINGER: Duration = Duration::from_secs(2);
+/// Time between the announcement and the first check for completion. Entries that
+/// do not know of the drain yet still send attempts during this time. They have to
+/// be told "not run, draining" instead of finding a closed port.
+const NOTICE_TIME: Duration = Duration::from_secs(2);
 
-/// What the daemon does next.
+/// The next step of a drain.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum DrainStep {
-    /// Nothing: it serves, or it still waits.
+    /// Do nothing: no drain has begun, or it is waiting.
     Wait,
     /// Tell the peers and the platform that this instance is leaving.
     Announce,
-    /// Every call was answered: close the ports and end.
+    /// All calls are answered: close the ports and exit.
     Leave,
-    /// The bound passed with calls still in flight: end, and say how many.
+    /// The time limit has passed with this many calls in flight: report them and exit.
     LeaveUnfinished(u32),
 }
 
@@ -29,23 +29,24 @@
     Left,
 }
 
-/// One path for SIGTERM and for an operator's word: announce, refuse new
-/// attempts as not run, finish and answer all that runs, leave.
+/// The drain of an instance, begun by SIGTERM or by an operator's request. The daemon
+/// announces it, refuses new attempts as not run, finishes and answers all running
+/// calls, and exits.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Drain {
     phase: Phase,
-    bound: Duration,
+    time_limit: Duration,
 }
 
 impl Drain {
-    /// A serving instance whose drain takes at most `bound`.
+    /// Creates the state of a serving instance whose drain takes at most `time_limit`.
     #[must_use]
-    pub fn new(bound: Duration) -> Self {
+    pub fn new(time_limit: Duration) -> Self {
         let phase = Phase::Serving;
-        Self { phase, bound }
+        Self { phase, time_limit }
     }
 
-    /// Starts the drain; a second call changes nothing.
+    /// Begins the drain. Further calls change nothing.
     pub fn begin(&mut self, now: Time) {
         if self.phase == Phase::Serving {
             let announced = false;
@@ -56,14 +57,14 @@
         }
     }
 
-    /// Whether new attempts are taken.
+    /// Returns whether new attempts are accepted.
     #[must_use]
     pub fn admits(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Next step, with `in_flight` calls that were taken and not yet answered
-    /// to the last byte.
+    /// Returns the next step. `in_flight` is the number of accepted calls whose answers
+    /// have not been sent completely.
     pub fn tick(&mut self, in_flight: u32, now: Time) -> DrainStep {
         let Phase::Leaving { since, announced } = self.phase else {
             return DrainStep::Wait;
@@ -76,14 +77,14 @@
             return DrainStep::Announce;
         }
         let elapsed = now.saturating_sub(since);
-        if elapsed < LINGER {
+        if elapsed < NOTICE_TIME {
             return DrainStep::Wait;
         }
         if in_flight == 0 {
             self.phase = Phase::Left;
             return DrainStep::Leave;
         }
-        if elapsed < self.bound {
+        if elapsed < self.time_limit {
             return DrainStep::Wait;
         }
         self.phase = Phase::Left;
--- a/crates/calls/src/fingerprint.rs
+++ b/crates/calls/src/fingerprint.rs
@@ -1,23 +1,24 @@
-//! Names of requests by what they ask for.
+//! Identification of requests by their content.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Hash over what a request asks for: two requests with one fingerprint ask for the same,
-/// whatever their ids.
+/// Hash of the content of a request. Two requests with the same fingerprint ask for the same
+/// thing, whatever their ids are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// Over method, path with query, and body.
+    /// Computes the fingerprint from the method, the path with its query, and the body.
     #[must_use]
     pub fn of(method: &str, path: &str, body: &[u8]) -> Self {
         Self::over([method.as_bytes(), path.as_bytes(), body])
     }
 
-    /// Over these parts in this order. Where one ends counts as well.
+    /// Computes the fingerprint from `parts`. Their order and their boundaries are
+    /// significant.
     #[must_use]
     pub fn over<const N: usize>(parts: [&[u8]; N]) -> Self {
         let mut hasher = Xxh3::new();
--- a/crates/calls/src/identity.rs
+++ b/crates/calls/src/identity.rs
@@ -1,4 +1,4 @@
-//! Who a caller is: the customer that holds its key.
+//! Authentication of callers by API key.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -8,30 +8,31 @@
 /// Name of the header in which callers send their keys.
 pub const CREDENTIAL: &str = "authorization";
 
-/// Scheme of the credential; compared regardless of case.
+/// Authentication scheme, which is compared without regard to case.
 const SCHEME: &[u8] = b"bearer";
 
-/// Longest key. A longer one is refused before it is hashed.
-const MAX_KEY: usize = 256;
+/// Maximum length of a key in bytes. A longer one is refused before it is hashed.
+const MAX_KEY_LEN: usize = 256;
 
-/// Why a request names no key.
+/// Why the credentials of a request contain no valid key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CredentialError {
-    /// There is no credential.
+    /// There are no credentials.
     Missing,
-    /// There are two, and nothing says which one is meant.
+    /// There is more than one credential, and it is unclear which one is meant.
     Repeated,
-    /// The scheme is another one.
+    /// The authentication scheme is not `bearer`.
     Scheme,
-    /// The key is empty, too long, or has bytes that no key has.
+    /// The key is empty, too long, or contains bytes that are not allowed.
     Malformed,
 }
 
-/// The digest of the key in a request's credentials.
+/// Returns the digest of the key in a request's credentials.
 ///
 /// # Errors
 ///
-/// Whatever [`CredentialError`] names.
+/// Returns a [`CredentialError`] if the credentials do not consist of exactly one
+/// well-formed bearer key.
 pub fn bearer_key<'a>(
     credentials: impl IntoIterator<Item = &'a [u8]>,
 ) -> Result<KeyDigest, CredentialError> {
@@ -47,14 +48,15 @@
         return Err(CredentialError::Scheme);
     }
     let key = key.trim_ascii();
-    let is_well_formed = (1..=MAX_KEY).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
+    let is_well_formed =
+        (1..=MAX_KEY_LEN).contains(&key.len()) && key.iter().all(u8::is_ascii_graphic);
     if !is_well_formed {
         return Err(CredentialError::Malformed);
     }
     Ok(KeyDigest::of(key))
 }
 
-/// The customers of one version, by their keys.
+/// The customers of one configuration version, by their API keys.
 #[derive(Clone, Debug, Default)]
 pub struct KeyRing {
     holders: HashMap<KeyDigest, Arc<Customer>>,
@@ -63,7 +65,7 @@
 }
 
 impl KeyRing {
-    /// The customers of `state`.
+    /// Collects the customers of `state`.
     #[must_use]
     pub fn new(state: &State) -> Self {
         let mut ring = Self::default();
@@ -84,25 +86,25 @@
             .insert(customer.name.clone(), Arc::clone(customer));
     }
 
-    /// Whether there are no customers: nobody needs a key then.
+    /// Returns whether there are no customers. Callers need no key then.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.customers.is_empty()
     }
 
-    /// The customer that holds this key.
+    /// Returns the customer that holds this key.
     #[must_use]
     pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Customer>> {
         self.holders.get(key)
     }
 
-    /// Whether `customer` still holds the key of this id.
+    /// Returns whether `customer` still holds the key with this id.
     #[must_use]
     pub fn still_holds(&self, customer: &str, key: KeyId) -> bool {
         self.ids.get(&key).is_some_and(|it| it == customer)
     }
 
-    /// The customer with this name.
+    /// Returns the customer with this name.
     #[must_use]
     pub fn customer(&self, name: &str) -> Option<&Arc<Customer>> {
         self.customers.get(name)
--- a/crates/calls/src/ids.rs
+++ b/crates/calls/src/ids.rs
@@ -1,21 +1,21 @@
-//! Ids and clock readings that the call tables share.
+//! Ids and clock readings that several modules of this crate use.
 
 use std::time::Duration;
 
-/// Names one attempt over all daemons. Drawn at random by the entry, so that
-/// two entries never use the same one.
+/// Identifies an attempt among all daemons. The entry chooses it at random, so that
+/// no two entries use the same id.
 pub type AttemptId = u128;
 
-/// Names one life of a daemon process. A restarted daemon has another one.
+/// Identifies one run of a daemon process. It changes when the daemon restarts.
 pub type Incarnation = u64;
 
-/// Names the set of upstreams of a service, see [`crate::set_id`].
+/// Identifies a set of upstreams, see [`crate::set_id`].
 pub type SetId = u64;
 
-/// Reading of this process's steady clock: time since the process started.
-/// Never comparable between machines.
+/// Reading of this process's steady clock: the time since the process started.
+/// Readings of two machines are not comparable.
 pub type Time = Duration;
 
-/// Reading of the calendar clock: time since the Unix epoch. Comparable between
-/// machines only up to the skew bound, see `docs/design/at-most-once.md`.
+/// Reading of the calendar clock: the time since the Unix epoch. Readings of two
+/// machines differ by up to the maximum clock skew, see `docs/design/at-most-once.md`.
 pub type Wall = Duration;
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -1,21 +1,23 @@
-//! Decisions about calls: which upstream takes an attempt, what the executor
-//! admits, what may be tried again, and what is known about an attempt whose
-//! answer went missing.
+//! Decisions about calls: which upstream an attempt is sent to, what the executor
+//! admits, what may be retried, and what is known about an attempt whose answer was
+//! lost.
 //!
-//! Nothing here opens a socket, reads a clock or starts a thread. State lies in
-//! tables, time and randomness come in as arguments, and so the same code runs
-//! in the daemon, under scripted scenarios with virtual time, and under the
+//! Nothing in this crate opens a socket, reads a clock or starts a thread. All state
+//! is in plain tables, and time and randomness are passed as arguments. The same code
+//! therefore runs in the daemon, in scripted scenarios with virtual time, and in the
 //! model checker.
 //!
-//! The two sides of a call are the *entry* (the daemon that took it from the
-//! caller) and the *executor* (the daemon on the target's own instance):
+//! The two sides of a call are the *entry*, the daemon that received it from the
+//! caller, and the *executor*, the daemon on the target's own instance:
 //!
-//! * the entry uses [`RouteTable`], [`KeyRing`], [`Purse`], [`Router`] or [`Placement`], [`RetryBudget`], [`Backoff`], [`Deadline`] and
-//!   [`Silence`];
+//! * the entry uses [`RouteTable`], [`KeyRing`], [`Purse`], [`Router`] or
+//!   [`Placement`], [`RetryBudget`], [`Backoff`], [`Deadline`] and [`Silence`];
 //! * both use [`Quarantine`];
-//! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IntentTable`], [`Drain`] and [`Departure`].
+//! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IntentTable`],
+//!   [`Drain`] and [`Departure`].
 //!
-//! The reasons are in `docs/design/calls.md` and `docs/design/at-most-once.md`.
+//! The design is explained in `docs/design/calls.md` and
+//! `docs/design/at-most-once.md`.
 
 mod admission;
 mod answer;
