--- a/crates/calls/src/intent/home.rs
+++ b/crates/calls/src/intent/home.rs
@@ -330,11 +330,11 @@
         for sets in self.services.values_mut() {
             sets.earlier.retain(|earlier| {
                 let old = earlier.ended_at + keep_for < now;
-                let confirmed = earlier
+                let all_confirmed = earlier
                     .names
                     .iter()
                     .all(|it| confirmed_long_ago(earlier, it));
-                !(old && confirmed)
+                !(old && all_confirmed)
             });
         }
     }
--- a/crates/calls/src/intent/memory.rs
+++ b/crates/calls/src/intent/memory.rs
@@ -10,7 +10,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::ids::Wall;
 
-/// All entries of an [`IntentTable`] whose process has stopped running requests.
+/// All records of an [`IntentTable`] whose process has stopped running requests.
 ///
 /// Only the next process of the same upstream may restore it. A process in between
 /// may have run keys that it does not contain.
--- a/crates/calls/src/intent/table/handover.rs
+++ b/crates/calls/src/intent/table/handover.rs
@@ -2,20 +2,20 @@
 
 use std::sync::Arc;
 
-use super::{Entry, IntentTable, Run};
+use super::{IntentTable, Record, Run};
 use crate::intent::memory::{IntentMemory, Remembered, RememberedRun};
 
 impl IntentTable {
-    /// Returns the entries that the next process has to restore, or `None` while a
+    /// Returns the records that the next process has to restore, or `None` while a
     /// request is running, because its outcome would be missing.
     #[must_use]
     pub fn memory(&self) -> Option<IntentMemory> {
-        let intents = self.entries.iter().map(|(key, entry)| {
+        let intents = self.records.iter().map(|(key, record)| {
             Some(Remembered {
                 key: key.clone(),
-                fingerprint: entry.fingerprint,
-                expires: entry.expires,
-                run: entry.run.remembered()?,
+                fingerprint: record.fingerprint,
+                expires: record.expires,
+                run: record.run.remembered()?,
             })
         });
         let intents = intents.collect::<Option<Vec<_>>>()?;
@@ -25,7 +25,7 @@
         })
     }
 
-    /// Restores the entries of the previous process, which must not have run anything
+    /// Restores the records of the previous process, which must not have run anything
     /// after it stored them. Without them, every key made before this process started
     /// is unsettled: after a planned restart, callers would be told "unknown" about
     /// requests that never ran.
@@ -44,21 +44,21 @@
             expires,
             run,
         } = remembered;
-        if self.entries.contains_key(&key) {
+        if self.records.contains_key(&key) {
             return;
         }
         self.expiry.entry(expires).or_default().push(key.clone());
         let run = Run::from(run);
         if let Run::Done(answer) = &run {
-            self.answer_bytes += answer.weight();
+            self.kept_bytes += answer.weight();
             self.answer_order.push_back(key.clone());
         }
-        let entry = Entry {
+        let record = Record {
             fingerprint,
             expires,
             run,
         };
-        self.entries.insert(key, entry);
+        self.records.insert(key, record);
     }
 }
 
--- a/crates/calls/src/intent/table/mod.rs
+++ b/crates/calls/src/intent/table/mod.rs
@@ -1,4 +1,4 @@
-//! The home's table of idempotency keys.
+//! The table of idempotency keys at their home.
 
 mod handover;
 
@@ -51,7 +51,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Entry {
+struct Record {
     fingerprint: Fingerprint,
     expires: Wall,
     run: Run,
@@ -63,11 +63,11 @@
     cfg: IntentConfig,
     /// The table decides only about keys that were made after this time.
     since: Wall,
-    entries: BTreeMap<IntentKey, Entry>,
+    records: BTreeMap<IntentKey, Record>,
     expiry: BTreeMap<Wall, Vec<IntentKey>>,
     /// Keys whose answers are kept, oldest first.
     answer_order: VecDeque<IntentKey>,
-    answer_bytes: usize,
+    kept_bytes: usize,
 }
 
 impl IntentTable {
@@ -81,23 +81,23 @@
         Self {
             cfg,
             since: started + cfg.skew,
-            entries: BTreeMap::new(),
+            records: BTreeMap::new(),
             expiry: BTreeMap::new(),
             answer_order: VecDeque::new(),
-            answer_bytes: 0,
+            kept_bytes: 0,
         }
     }
 
     /// Returns the number of keys.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.entries.len()
+        self.records.len()
     }
 
     /// Returns whether the table has no keys.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.entries.is_empty()
+        self.records.is_empty()
     }
 
     /// Returns what the table already knows about a key, or `None` if it knows
@@ -108,8 +108,8 @@
     /// to be told "not run" about a request that did run.
     #[must_use]
     pub fn recall(&self, key: &IntentKey, fingerprint: Fingerprint) -> Option<Begin> {
-        let entry = self.entries.get(key)?;
-        Some(entry.decide(fingerprint))
+        let record = self.records.get(key)?;
+        Some(record.decide(fingerprint))
     }
 
     /// Decides about a request whose key has this executor as its home.
@@ -129,7 +129,7 @@
         if let Err(refusal) = self.check_age(key, now) {
             return Begin::Refused(refusal);
         }
-        if self.entries.len() >= self.cfg.keys {
+        if self.records.len() >= self.cfg.keys {
             return Begin::Refused(Refusal::retry(Reason::MemoryFull, FULL_RETRY_AFTER));
         }
         self.insert(key, fingerprint, attempt, now);
@@ -141,11 +141,11 @@
             return Ok(());
         };
         if created > now + self.cfg.skew {
-            // It would still be accepted after its entry has expired by our clock.
+            // It would still be accepted after its record has expired by our clock.
             return Err(Refusal::permanent(Reason::KeyFromFuture));
         }
         // At equality, a previous home whose clock is ahead by the maximum skew has
-        // just dropped its entry.
+        // just dropped its record.
         if created + self.cfg.retention <= now {
             return Err(Refusal::permanent(Reason::KeyExpired));
         }
@@ -166,7 +166,7 @@
     /// Removes the key, because the attempt that held it did not run.
     pub fn release(&mut self, key: &IntentKey, attempt: AttemptId) {
         if self.runs_under(key, attempt) {
-            self.entries.remove(key);
+            self.records.remove(key);
         }
     }
 
@@ -175,7 +175,7 @@
         if !self.runs_under(key, attempt) {
             return;
         }
-        self.answer_bytes += answer.weight();
+        self.kept_bytes += answer.weight();
         self.set_run(key, Run::Done(answer));
         self.answer_order.push_back(key.clone());
         self.evict_answers();
@@ -200,7 +200,7 @@
     /// executor. Must be called only after the version that moved it was applied here.
     #[must_use]
     pub fn hand_over(&self, key: &IntentKey) -> HomeAnswer {
-        let Some(entry) = self.entries.get(key) else {
+        let Some(record) = self.records.get(key) else {
             let created = key.key.created();
             // A second run of a key without a creation time is prevented by its claim row.
             let never_ran = created.is_none_or(|created| self.is_authoritative_for(created));
@@ -210,7 +210,7 @@
                 HomeAnswer::Unknown
             };
         };
-        match &entry.run {
+        match &record.run {
             Run::Running(_) => HomeAnswer::Running,
             Run::Done(answer) => HomeAnswer::Done(Arc::clone(answer)),
             Run::DoneWithoutAnswer | Run::Unknown => HomeAnswer::Unknown,
@@ -230,33 +230,33 @@
     }
 
     fn expire(&mut self, key: IntentKey, now: Wall) {
-        let Some(entry) = self.entries.get_mut(&key) else {
+        let Some(record) = self.records.get_mut(&key) else {
             return;
         };
-        if entry.expires > now {
+        if record.expires > now {
             // The key was released and used again. It has a later expiry of its own.
             return;
         }
-        match &entry.run {
+        match &record.run {
             Run::Running(_) => {
-                entry.expires = now + self.cfg.retention;
-                self.expiry.entry(entry.expires).or_default().push(key);
+                record.expires = now + self.cfg.retention;
+                self.expiry.entry(record.expires).or_default().push(key);
                 return;
             }
-            Run::Done(answer) => self.answer_bytes -= answer.weight(),
+            Run::Done(answer) => self.kept_bytes -= answer.weight(),
             Run::DoneWithoutAnswer | Run::Unknown => {}
         }
-        self.entries.remove(&key);
+        self.records.remove(&key);
         self.prune_answer_order();
     }
 
     /// Removes keys without a kept answer from the front of the eviction order, which
     /// would otherwise keep growing.
     fn prune_answer_order(&mut self) {
-        let entries = &self.entries;
+        let records = &self.records;
         let has_answer = |key: &IntentKey| {
-            let done = |it: &Entry| matches!(it.run, Run::Done(_));
-            entries.get(key).is_some_and(done)
+            let done = |it: &Record| matches!(it.run, Run::Done(_));
+            records.get(key).is_some_and(done)
         };
         while self
             .answer_order
@@ -271,43 +271,43 @@
         let created = key.key.created().unwrap_or(now);
         let expires = created + self.cfg.retention + self.cfg.skew;
         let run = Run::Running(attempt);
-        let entry = Entry {
+        let record = Record {
             fingerprint,
             expires,
             run,
         };
         self.expiry.entry(expires).or_default().push(key.clone());
-        self.entries.insert(key.clone(), entry);
+        self.records.insert(key.clone(), record);
     }
 
     fn runs_under(&self, key: &IntentKey, attempt: AttemptId) -> bool {
-        let running = |entry: &Entry| entry.run == Run::Running(attempt);
-        self.entries.get(key).is_some_and(running)
+        let running = |record: &Record| record.run == Run::Running(attempt);
+        self.records.get(key).is_some_and(running)
     }
 
     fn set_run(&mut self, key: &IntentKey, run: Run) {
-        if let Some(entry) = self.entries.get_mut(key) {
-            entry.run = run;
+        if let Some(record) = self.records.get_mut(key) {
+            record.run = run;
         }
     }
 
     fn evict_answers(&mut self) {
-        while self.answer_bytes > self.cfg.answer_bytes {
+        while self.kept_bytes > self.cfg.answer_bytes {
             let Some(oldest) = self.answer_order.pop_front() else {
                 return;
             };
-            let Some(entry) = self.entries.get_mut(&oldest) else {
+            let Some(record) = self.records.get_mut(&oldest) else {
                 continue;
             };
-            if let Run::Done(answer) = &entry.run {
-                self.answer_bytes -= answer.weight();
-                entry.run = Run::DoneWithoutAnswer;
+            if let Run::Done(answer) = &record.run {
+                self.kept_bytes -= answer.weight();
+                record.run = Run::DoneWithoutAnswer;
             }
         }
     }
 }
 
-impl Entry {
+impl Record {
     fn decide(&self, fingerprint: Fingerprint) -> Begin {
         if self.fingerprint != fingerprint {
             return Begin::Refused(Refusal::permanent(Reason::KeyReused));
--- a/crates/calls/src/ledger/mod.rs
+++ b/crates/calls/src/ledger/mod.rs
@@ -40,7 +40,7 @@
     expiry: VecDeque<(Time, AttemptId)>,
     /// Attempts whose answers are kept, oldest first.
     answer_order: VecDeque<AttemptId>,
-    answer_bytes: usize,
+    kept_bytes: usize,
 }
 
 impl Ledger {
@@ -54,7 +54,7 @@
             records: BTreeMap::new(),
             expiry: VecDeque::new(),
             answer_order: VecDeque::new(),
-            answer_bytes: 0,
+            kept_bytes: 0,
         }
     }
 
@@ -124,7 +124,7 @@
         if !self.transition(attempt, Settled::Done(answer), is_running) {
             return;
         }
-        self.answer_bytes += weight;
+        self.kept_bytes += weight;
         self.answer_order.push_back(attempt);
         self.evict_answers();
     }
@@ -195,7 +195,7 @@
             return;
         }
         if let Settled::Done(answer) = &record.state {
-            self.answer_bytes -= answer.weight();
+            self.kept_bytes -= answer.weight();
         }
         self.records.remove(&attempt);
         self.prune_answer_order();
@@ -271,7 +271,7 @@
     }
 
     fn evict_answers(&mut self) {
-        while self.answer_bytes > self.cfg.answer_bytes {
+        while self.kept_bytes > self.cfg.answer_bytes {
             let Some(oldest) = self.answer_order.pop_front() else {
                 return;
             };
@@ -279,7 +279,7 @@
                 continue;
             };
             if let Settled::Done(answer) = &record.state {
-                self.answer_bytes -= answer.weight();
+                self.kept_bytes -= answer.weight();
                 record.state = Settled::DoneWithoutAnswer;
             }
         }
