--- a/crates/calls/tests/all/homes.rs
+++ b/crates/calls/tests/all/homes.rs
@@ -15,7 +15,7 @@
     names.iter().copied().map(SmolStr::from).collect()
 }
 
-/// Homes of upstream `b` that has seen nothing but its start.
+/// The history of upstream `b` right after it started.
 fn started(names: &[&str]) -> HomeSets {
     let mut homes = HomeSets::new("b".into(), SKEW, RETENTION);
     homes.note(&"floatdesk".into(), set(names), 1, true, NOW);
@@ -42,9 +42,9 @@
     Home::Ask(names.iter().map(question).collect())
 }
 
-// An upstream is added while the old home lags. An entry that lags too still
-// sends the key to the old home; the new home must not run it as well before
-// the old one has stopped taking it.
+// An upstream is added while the previous home lags behind. A lagging entry still sends
+// the key there. The new home must not run the key before the previous one has
+// confirmed that it no longer accepts it.
 #[test]
 fn new_home_waits_for_the_previous_one() {
     let mut homes = started(&["a"]);
@@ -59,8 +59,8 @@
     assert_eq!(homes.check(&fresh, id), Home::Mine);
 }
 
-// The claim ran at the old home, its answer was lost, and the caller's retry
-// goes to the new home. The confirmation alone says nothing about this key.
+// A claim ran at the previous home, its answer was lost, and the retry goes to the new
+// home. The key is older than the confirmation, so the previous home must be asked.
 #[test]
 fn key_from_before_the_confirmation_is_asked_for() {
     let mut homes = started(&["a"]);
@@ -71,8 +71,8 @@
     assert_eq!(homes.check(&old, id), ask(&["a"], 2));
 }
 
-// A daemon restarts in the middle of a change: it cannot know which set came
-// before its first one, so any other member may be a home that lags.
+// A daemon restarts during a change. It does not know the sets before its first one, so
+// any other member may be a previous home that lags behind.
 #[test]
 fn started_daemon_asks_every_member() {
     let names = &["a", "b", "c"];
@@ -81,7 +81,7 @@
     assert_eq!(homes.check(&key, set_id(&set(names))), ask(&["a", "c"], 1));
 }
 
-// Versions were skipped: the set in between may have had another home.
+// Versions were skipped. A set of a skipped version may have had another home.
 #[test]
 fn skipped_versions_ask_every_member() {
     let mut homes = started(&["a"]);
@@ -92,8 +92,8 @@
     assert_eq!(homes.check(&key, set_id(&set(names))), ask(&["a"], 9));
 }
 
-// An instance is destroyed and its upstream deleted. Keys made before may have
-// run there; later ones run on the operator's word.
+// An instance is destroyed and its upstream deleted. Keys made before may have run
+// there. Later ones may run, because the operator's deletion is proof enough.
 #[test]
 fn keys_of_a_destroyed_home_are_unsettled() {
     let mut homes = started(&["a", "b"]);
@@ -117,8 +117,8 @@
     assert_eq!(homes.check(&key, set_id(&set(&["a", "b"]))), Home::NotMine);
 }
 
-// Earlier sets are dropped only when no key that is still accepted can have run
-// under them, and never while a member has not confirmed.
+// An earlier set is dropped only once no key that is still accepted can have run under
+// it, and never before all its members have confirmed.
 #[test]
 fn unconfirmed_sets_are_kept() {
     let mut homes = started(&["a", "b"]);
@@ -133,12 +133,12 @@
     assert_eq!(homes.check(&old, id), Home::Mine);
 }
 
-// Version 2 adds b, which takes a claim, and version 3 takes it away again. This
-// home restarts at 3 and has never heard of b. An entry that lags sends the claim
-// to b, which lags too and asks this home; another entry sends it here. Were b
-// told "never", both would run it.
+// Version 2 adds b and version 3 removes it again. This home restarts at version 3 and
+// does not know of b. A lagging entry sends a claim to b, which also lags behind and
+// asks this home; another entry sends the claim here. If b were told "never", both
+// would run it.
 #[test]
-fn who_is_not_the_home_gets_no_promise() {
+fn only_the_current_home_is_told_that_a_key_never_ran() {
     let mut homes = HomeSets::new("a".into(), SKEW, RETENTION);
     homes.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
     let key = key_with_homes(NOW + 5 * SKEW, &[(&["a", "b"], "b")]);
@@ -146,25 +146,26 @@
     assert!(homes.is_home(&key, &"a".into()));
 }
 
-// A claim ran at b, whose upstream was then deleted. This home is restarted as
-// planned and takes over the memory of keys, so it would take the claim for new.
-// What its former process knew of b makes it ask, and in the end say "unknown".
+// A claim ran at b, whose upstream was then deleted. This home is restarted as planned
+// and restores the table of keys, so without more it would treat the claim as new. The
+// members that the previous process knew include b, so b is asked, and after its
+// deletion the key is unsettled.
 #[test]
-fn planned_restart_remembers_who_was_a_home() {
-    let mut former = HomeSets::new("a".into(), SKEW, RETENTION);
-    former.note(&"floatdesk".into(), set(&["a"]), 1, true, EARLIER);
-    former.note(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
-    former.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
+fn planned_restart_restores_previous_homes() {
+    let mut previous = HomeSets::new("a".into(), SKEW, RETENTION);
+    previous.note(&"floatdesk".into(), set(&["a"]), 1, true, EARLIER);
+    previous.note(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
+    previous.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
     let key = key_with_homes(NOW, &[(&["a", "b"], "b")]);
     let id = set_id(&set(&["a"]));
-    for noted_first in [false, true] {
+    for applied_first in [false, true] {
         let mut homes = HomeSets::new("a".into(), SKEW, RETENTION);
-        if !noted_first {
-            homes.resume(former.known());
+        if !applied_first {
+            homes.resume(previous.known());
         }
         homes.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW + SKEW);
-        if noted_first {
-            homes.resume(former.known());
+        if applied_first {
+            homes.resume(previous.known());
         }
         assert_eq!(homes.check(&key, id), ask(&["b"], 3));
         homes.gone(&"b".into(), 3, NOW + 2 * SKEW);
--- a/crates/calls/tests/all/identity.rs
+++ b/crates/calls/tests/all/identity.rs
@@ -1,11 +1,11 @@
-//! Keys in credentials, and the customers that hold them.
+//! API keys in credentials, and the customers that hold them.
 
 use std::sync::Arc;
 
 use stoatstep_calls::{CredentialError, KeyRing, bearer_key};
 use stoatstep_resource::{Customer, Held, KeyDigest, Resource, State};
 
-/// Credentials of a request, and what they name.
+/// Credentials of a request, and the expected result.
 type Case<'a> = (&'a [&'a [u8]], Result<KeyDigest, CredentialError>);
 
 fn ring(customers: &[(&str, &[&str])]) -> KeyRing {
@@ -67,7 +67,7 @@
     assert!(KeyRing::default().is_empty());
 }
 
-/// A digest in a log line, from which a short key could be found by trying all.
+/// A whole digest in a log line would let a reader find a short key by brute force.
 #[test]
 fn a_digest_is_not_shown_whole_in_debug_text() {
     let digest = KeyDigest::of(b"k1");
--- a/crates/calls/tests/all/intent.rs
+++ b/crates/calls/tests/all/intent.rs
@@ -45,8 +45,8 @@
     }
 }
 
-// A caller loses the answer and sends its claim again with the same key. It
-// gets the first run's answer, and the claim is not posted twice.
+// A caller does not receive the answer and sends its claim again with the same key. It
+// gets the answer of the first run, and the claim is not posted twice.
 #[test]
 fn same_key_runs_once() {
     let mut table = table();
@@ -58,9 +58,9 @@
     assert_eq!(table.begin(&key, REQUEST, 3, now), Begin::Replay(answer()));
 }
 
-// A claim ran at its home, and its caller sends it again while a previous home is
-// dead. The home knows the end without asking anyone, so the caller gets the
-// answer and never "not run". Of a key that it does not know it says nothing.
+// A claim ran at its home, and its caller retries while a previous home is down. The
+// home knows the outcome without asking the previous home, so the caller must get the
+// answer and not "not run". For an unknown key the table returns nothing.
 #[test]
 fn what_ran_here_is_known_without_asking_previous_homes() {
     let mut table = table();
@@ -75,8 +75,8 @@
     assert_eq!(reused.as_ref().and_then(reason), Some(Reason::KeyReused));
 }
 
-// The daemon restarts between two sends of one claim. The new process has no
-// record of the first send, so it must not take the key for a new one.
+// The daemon restarts between a call and its retry. The new process has no record of
+// the first call, so it must not treat the key as a new one.
 #[test]
 fn key_from_before_the_start_is_unsettled() {
     let mut table = table();
@@ -87,9 +87,9 @@
     assert_eq!(table.hand_over(&within_skew), HomeAnswer::Unknown);
 }
 
-// A caller whose clock is ahead by the whole bound makes a key in the moment in
-// which this process starts, and the process before it runs it. The key states
-// the last time that the new process has no authority over.
+// A caller whose clock is ahead by the maximum skew makes a key at the moment at which
+// this process starts, and the previous process runs it. The creation time of the key
+// is the last one about which the new process must not decide.
 #[test]
 fn key_from_the_moment_of_the_start_is_unsettled() {
     let mut table = table();
@@ -102,9 +102,9 @@
     assert_eq!(table.begin(&after, REQUEST, 2, now), Begin::Run);
 }
 
-// A key's home moves to this executor. The clock of the previous home is ahead
-// by the whole bound: it has just dropped the record of its run, and says that
-// the key never ran. By this executor's clock the key has just come of age.
+// The home of a key moves to this executor. The clock of the previous home is ahead by
+// the maximum skew: it has just dropped the record of the run and replies that the key
+// never ran. By this executor's clock, the key expires at this very moment.
 #[test]
 fn key_is_expired_here_once_a_previous_home_may_have_dropped_it() {
     let mut table = table();
@@ -113,7 +113,7 @@
     assert_eq!(reason(&begin), Some(Reason::KeyExpired));
 }
 
-// A run's record is dropped by age, and the caller sends again after that.
+// The record of a run has expired, and the caller retries after that.
 #[test]
 fn key_older_than_its_record_is_expired() {
     let mut table = table();
@@ -128,8 +128,8 @@
     assert_eq!(reason(&begin), Some(Reason::KeyExpired));
 }
 
-// A key that claims to be made tomorrow would be accepted for a day, long after
-// its record is gone.
+// A key with a creation time of tomorrow would be accepted for a day, long after its
+// record has expired.
 #[test]
 fn key_from_the_future_is_refused() {
     let now = START + MINUTE;
@@ -137,8 +137,8 @@
     assert_eq!(reason(&begin), Some(Reason::KeyFromFuture));
 }
 
-// The target's connection breaks in the middle of a run. Nobody knows whether
-// it ran; another send must not run it.
+// The connection to the target breaks during a run. It is unknown whether the request
+// ran, so a retry must not run it.
 #[test]
 fn broken_run_keeps_the_key_taken() {
     let mut table = table();
@@ -150,10 +150,10 @@
     assert_eq!(reason(&begin), Some(Reason::LostAnswer));
 }
 
-// A queue refuses the first send as not run; the second send may run. The first
-// attempt's late words must not free or settle the key of the second.
+// The queue refuses the first attempt as not run, so a second one may run. Late reports
+// about the first attempt must not release or complete the key of the second.
 #[test]
-fn refused_run_frees_the_key_for_the_next_attempt_only() {
+fn late_report_of_a_refused_attempt_does_not_change_the_next() {
     let mut table = table();
     let now = START + MINUTE;
     let key = timed_key(now);
@@ -175,10 +175,10 @@
     assert_eq!(reason(&begin), Some(Reason::KeyReused));
 }
 
-// Keys come faster than they expire. New ones are refused as not run; none that
-// may come again is dropped.
+// Keys arrive faster than they expire. New ones are refused as not run, and no key
+// that may still be retried is dropped.
 #[test]
-fn full_table_refuses_instead_of_forgetting() {
+fn full_table_refuses_instead_of_dropping_keys() {
     let mut table = IntentTable::new(START, IntentConfig::default().keys(1));
     let now = START + MINUTE;
     let first = timed_key(now);
@@ -188,16 +188,16 @@
     assert_eq!(table.begin(&first, REQUEST, 3, now), Begin::Wait(1));
 }
 
-// A key without a time was refused and taken again later. The first record's
-// expiry must not take the second one with it.
+// The first attempt of a key without a creation time was refused, and the key is used
+// again later. The expiry of the first record must not drop the second one.
 #[test]
-fn retaken_plain_key_keeps_its_own_time() {
+fn reused_plain_key_has_its_own_expiry() {
     let mut table = table();
     let key = key("refund-2211");
     table.begin(&key, REQUEST, 1, START);
     table.release(&key, 1);
-    let retaken = START + 9 * MINUTE;
-    table.begin(&key, REQUEST, 2, retaken);
+    let reused = START + 9 * MINUTE;
+    table.begin(&key, REQUEST, 2, reused);
     table.done(&key, 2, answer());
     let now = START + 15 * MINUTE;
     table.tick(now);
@@ -216,16 +216,16 @@
     assert!(lower.is_ok_and(|it| it.created().is_some()));
 }
 
-// A home restarts as planned while callers retry. The new process takes over
-// the memory: what ran is answered from it, what did not run may run, although
-// both keys are older than the process.
+// A home is restarted as planned while callers retry. The new process restores the
+// table: a key that ran gets its answer and a key that did not run may run, although
+// both were made before the process started.
 #[test]
-fn memory_of_the_process_before_settles_keys_older_than_this_one() {
+fn restored_table_decides_about_keys_older_than_the_process() {
     let made = START + MINUTE;
     let (ran, new) = (timed_key(made), timed_key(made + SECOND));
     let mut before = table();
     assert_eq!(before.begin(&ran, REQUEST, 1, made), Begin::Run);
-    assert_eq!(before.memory(), None, "how it ends is not known yet");
+    assert_eq!(before.memory(), None, "a request is still running");
     before.done(&ran, 1, answer());
     let memory = before.memory().expect("nothing runs");
 
@@ -241,5 +241,5 @@
     assert_eq!(after.begin(&new, REQUEST, 4, restarted), Begin::Run);
     assert_eq!(after.len(), 2);
     after.tick(made + Duration::from_mins(20));
-    assert_eq!(after.len(), 1, "only what still runs is kept");
+    assert_eq!(after.len(), 1, "only the running request is kept");
 }
--- a/crates/calls/tests/all/ledger.rs
+++ b/crates/calls/tests/all/ledger.rs
@@ -30,9 +30,9 @@
     }
 }
 
-// The caller is told "not run" and sends again. The first request was stuck on
-// the way and comes in after the revoke. Without the fence it would run beside
-// the second one.
+// The caller is told "not run" and sends the request again. The first request was
+// delayed on the network and arrives after the revoke. Without the fence, both would
+// run.
 #[test]
 fn late_arrival_after_revoke_does_not_run() {
     let mut ledger = ledger();
@@ -42,8 +42,8 @@
     assert_eq!(reason(&late), Some(Reason::Revoked));
 }
 
-// The fence is forgotten to bound memory, and the stuck request comes in after
-// that. Its ticket is older than any fence that was forgotten.
+// The record of the revoke expires, and the delayed request arrives after that. Its
+// ticket must have expired by then.
 #[test]
 fn late_arrival_after_the_fence_was_forgotten_does_not_run() {
     let mut ledger = ledger();
@@ -58,8 +58,8 @@
     );
 }
 
-// An entry was frozen and asks about an attempt whose record is gone. It ran,
-// so "never seen, hence not run" would be untrue.
+// An entry was suspended for a while and revokes an attempt whose record has expired.
+// The attempt ran, so the absence of a record must not be taken for "not run".
 #[test]
 fn revoke_with_an_old_ticket_is_unknown() {
     let mut ledger = ledger();
@@ -71,10 +71,10 @@
     assert_eq!(ledger.revoke(1, ticket, SECOND + LIFE), Settled::Unknown);
 }
 
-// The executor restarts while an attempt runs. The new process has never seen
-// the attempt, but its predecessor may have run it.
+// The executor restarts while an attempt is running. The new process has no record of
+// the attempt, but the previous one may have run it.
 #[test]
-fn restarted_executor_vouches_for_nothing() {
+fn restarted_executor_knows_nothing_of_earlier_attempts() {
     let ticket = Ticket {
         incarnation: 6,
         stamp: SECOND,
@@ -87,8 +87,8 @@
     );
 }
 
-// A queued attempt is revoked, its entry tries elsewhere, and then the slot
-// comes free. The attempt must not start any more.
+// A queued attempt is revoked, its entry retries elsewhere, and then a slot becomes
+// free. The revoked attempt must not start.
 #[test]
 fn revoked_while_queued_does_not_start() {
     let mut ledger = ledger();
@@ -98,8 +98,8 @@
     assert!(!ledger.start(1));
 }
 
-// The answer's connection breaks after the run. The entry revokes and gets the
-// whole answer; a copy of the request does not run again.
+// The connection breaks after the run and before the answer was received. The revoke
+// returns the complete answer, and a copy of the request does not run again.
 #[test]
 fn finished_attempt_hands_over_its_answer() {
     let mut ledger = ledger();
@@ -113,8 +113,8 @@
     assert_eq!(ledger.arrive(1, ticket, SECOND), Arrival::Seen(done));
 }
 
-// The ledger is full of attempts that run. A revoke still gets a true "not
-// run", since every ticket issued so far is refused from then on.
+// The ledger is full of queued attempts. A revoke may still return "not run", because
+// all tickets issued so far are refused from then on.
 #[test]
 fn full_ledger_still_fences() {
     let mut ledger = ledger();
@@ -131,9 +131,9 @@
     assert_eq!(ledger.revoke(6, ticket, 3 * SECOND), Settled::NotRun);
 }
 
-// The caller is told "not run, memory full" and may send again. A second copy of
-// the refused attempt is still on its way and comes in after records have gone.
-// There was no room to remember the refusal by, so only its ticket tells.
+// The caller is told "not run, memory full" and may retry. A second copy of the
+// refused attempt arrives after records have expired. There was no room to record the
+// refusal, so the copy must be refused because of its ticket.
 #[test]
 fn copy_of_what_was_refused_while_full_does_not_run() {
     let mut ledger = ledger();
@@ -153,10 +153,10 @@
     assert_eq!(again, Arrival::New);
 }
 
-// Answers are dropped for room, oldest first. The attempt stays "ran": dropping
-// its record would make it look as if it had never come in.
+// The oldest answers are evicted to free memory. The records must stay: without its
+// record, an attempt would look as if it had never arrived.
 #[test]
-fn dropped_answer_is_still_a_run() {
+fn evicted_answer_is_still_a_run() {
     let mut ledger = ledger();
     let ticket = ledger.ticket(SECOND);
     for attempt in 1..=3 {
@@ -169,8 +169,8 @@
     assert_eq!(ledger.revoke(3, ticket, SECOND), Settled::Done(answer(300)));
 }
 
-// A call outlives its ticket. Its record must stay, or a revoke would find
-// nothing and the run would be forgotten while it goes on.
+// A run takes longer than its ticket is valid. Its record must be kept, so that a
+// revoke finds the run while it goes on.
 #[test]
 fn running_record_outlives_its_time() {
     let mut ledger = ledger();
--- a/crates/calls/tests/all/main.rs
+++ b/crates/calls/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the call decisions, with time passed in.
+//! Tests of the decisions about calls. Time is passed in as an argument.
 
 mod admission;
 mod departure;
--- a/crates/calls/tests/all/quarantine.rs
+++ b/crates/calls/tests/all/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which targets end.
+//! Quarantine of requests that crash their targets.
 
 use std::time::Duration;
 
@@ -26,19 +26,20 @@
     Finding::Answered { request, ago }
 }
 
-/// A daemon that heard of the ends of `lives` targets under the request, the last at `now`.
-fn after(lives: usize, now: Duration) -> Quarantine {
+/// The quarantine of a daemon that was told at `now` that `crashes` targets crashed while
+/// they ran the lethal request.
+fn after(crashes: usize, now: Duration) -> Quarantine {
     let mut known = Quarantine::default();
-    for life in 0..lives {
-        known.hear(&ended(LETHAL, &format!("i-{life}")), now);
+    for crash in 0..crashes {
+        known.hear(&ended(LETHAL, &format!("i-{crash}")), now);
     }
     known
 }
 
-/// Callers send a request again and again under which targets end. From the third one on
-/// it is refused, with the time until it may be tried again.
+/// Callers keep sending a request that crashes targets. After the third crash it is
+/// refused, and the refusal tells after which time it may be retried.
 #[test]
-fn a_request_is_refused_once_enough_targets_ended_under_it() {
+fn a_request_is_refused_after_enough_crashes() {
     let known = after(LIVES - 1, s(1));
     assert_eq!(known.holds(LETHAL, s(1)), None);
     let mut known = after(LIVES - 1, s(1));
@@ -48,10 +49,10 @@
     assert_eq!(known.holds(HARMLESS, s(2)), None);
 }
 
-/// The end of one target is told by several daemons, and told again for as long as it is
-/// news. That is one end all the same.
+/// Several daemons report the crash of one target, and gossip repeats the report for a
+/// while. The crash still counts once.
 #[test]
-fn the_end_of_one_target_counts_once() {
+fn the_crash_of_one_target_counts_once() {
     let mut known = after(LIVES - 1, s(1));
     for at in 2..20 {
         let again = known.hear(&ended(LETHAL, "i-0"), s(at));
@@ -60,10 +61,11 @@
     assert_eq!(known.holds(LETHAL, s(20)), None);
 }
 
-/// What runs beside a lethal request is lost with the target and tried elsewhere, maybe
-/// beside the same one again. Once it is answered, it is not suspected any more.
+/// A harmless request that runs at the same target as a lethal one is lost with the target
+/// and retried elsewhere, maybe again together with the lethal one. Once it is answered, it
+/// is not suspected any more.
 #[test]
-fn an_answer_clears_what_ran_beside_a_lethal_request() {
+fn an_answer_clears_a_request_that_ran_beside_a_lethal_one() {
     let mut known = after(LIVES - 1, s(1));
     let learned = known.hear(&answered(LETHAL), s(2));
     assert_eq!(learned, Learned::Cleared { was_held: false });
@@ -72,34 +74,34 @@
     assert_eq!(known.holds(LETHAL, s(3)), None);
 }
 
-/// A daemon may hear of an answer before it hears of the ends that it speaks against.
+/// The report of an answer may arrive before the crash reports that it refutes.
 #[test]
-fn an_answer_that_comes_first_counts_as_well() {
+fn an_answer_reported_before_the_crashes_counts_as_well() {
     let mut known = Quarantine::default();
     known.hear(&answered(LETHAL), s(1));
-    for life in 0..LIVES {
-        known.hear(&ended(LETHAL, &format!("i-{life}")), s(2));
+    for crash in 0..LIVES {
+        known.hear(&ended(LETHAL, &format!("i-{crash}")), s(2));
     }
     assert_eq!(known.holds(LETHAL, s(2)), None);
 }
 
-/// A change of data may make a request lethal that was answered until then. What it was
-/// answered before that speaks for it for a moment only.
+/// A change of data may make a request lethal that was answered until then. Its earlier
+/// answers must not keep it from being quarantined for long.
 #[test]
-fn an_old_answer_does_not_speak_for_a_request() {
+fn an_old_answer_does_not_clear_a_request() {
     let mut known = Quarantine::default();
     known.hear(&answered(LETHAL), s(1));
     let later = s(1) + ANSWERED_FOR + s(1);
-    for life in 0..LIVES {
-        known.hear(&ended(LETHAL, &format!("i-{life}")), later);
+    for crash in 0..LIVES {
+        known.hear(&ended(LETHAL, &format!("i-{crash}")), later);
     }
     assert!(known.holds(LETHAL, later).is_some());
 }
 
-/// The target has been mended, or not: after the pause the request may run, and where one
-/// more target ends under it, it is refused for twice as long.
+/// After the quarantine the request may run, whether or not the targets were repaired. If
+/// it crashes one more target, it is refused for twice as long.
 #[test]
-fn after_the_pause_one_more_end_is_enough() {
+fn after_the_quarantine_one_more_crash_is_enough() {
     let mut known = after(LIVES, s(1));
     assert_eq!(known.holds(LETHAL, s(601)), None);
     known.tick(s(700));
@@ -109,10 +111,10 @@
     assert!(known.is_empty());
 }
 
-/// A daemon that starts hears of what is refused in its first exchange, however long ago
-/// the targets ended; its pause ends with that of the others.
+/// A daemon that starts learns in its first gossip exchange which requests are refused,
+/// however long ago the targets crashed. The quarantine ends there when it ends elsewhere.
 #[test]
-fn whoever_starts_later_learns_what_is_refused() {
+fn a_daemon_that_starts_later_learns_what_is_refused() {
     let known = after(LIVES, s(1));
     let news = known.news(s(301));
     let mut started = Quarantine::default();
@@ -122,40 +124,41 @@
     assert_eq!(started.holds(LETHAL, s(350)), Some(s(300)));
 }
 
-/// The targets may have ended before the daemon began that hears of them. Its callers are
-/// refused for no longer than those of the others.
+/// The targets may have crashed before the daemon started that is told of it. The
+/// quarantine must not last longer there than at the other daemons.
 #[test]
-fn the_pause_of_a_young_daemon_ends_with_that_of_the_others() {
+fn the_quarantine_ends_at_the_same_time_for_a_daemon_that_started_later() {
     let known = after(LIVES, s(1000));
-    let mut young = Quarantine::default();
+    let mut started = Quarantine::default();
     for finding in &known.news(s(1300)) {
-        young.hear(finding, s(5));
+        started.hear(finding, s(5));
     }
-    assert_eq!(young.holds(LETHAL, s(5)), Some(s(300)));
-    assert_eq!(young.holds(LETHAL, s(306)), None);
+    assert_eq!(started.holds(LETHAL, s(5)), Some(s(300)));
+    assert_eq!(started.holds(LETHAL, s(306)), None);
 }
 
-/// Two daemons tell each other of a request each second. The pause must not grow by it.
+/// Two daemons gossip about a request each second. That must not extend the quarantine.
 #[test]
-fn telling_each_other_does_not_prolong_the_pause() {
+fn gossip_does_not_extend_the_quarantine() {
     let mut one = after(LIVES, s(1));
     let mut other = Quarantine::default();
     for at in 2..500 {
-        let on_the_way = Duration::from_millis(100);
+        let transmission = Duration::from_millis(100);
         for finding in one.news(s(at)) {
-            other.hear(&finding, s(at) + on_the_way);
+            other.hear(&finding, s(at) + transmission);
         }
         for finding in other.news(s(at)) {
-            one.hear(&finding, s(at) + on_the_way);
+            one.hear(&finding, s(at) + transmission);
         }
     }
     let left = other.holds(LETHAL, s(500)).expect("still refused");
     assert!(left <= s(101) + Duration::from_millis(100), "{left:?}");
 }
 
-/// Many targets end for other reasons; what they ran must not push out what is refused.
+/// Many targets end for other reasons. The requests that they ran must not evict those that
+/// are refused.
 #[test]
-fn what_is_refused_is_remembered_before_what_is_suspected() {
+fn refused_requests_are_kept_before_suspected_ones() {
     let mut known = after(LIVES, s(1));
     for request in 10..5000 {
         known.hear(&ended(Fingerprint(request), "i-x"), s(2));
@@ -164,23 +167,23 @@
     assert!(known.news(s(3)).len() <= 64);
 }
 
-/// The memory is full. More word of a request that is known takes no other one's place.
+/// The quarantine is full. Another report about a recorded request must not evict any other.
 #[test]
-fn more_word_of_a_known_request_pushes_out_no_other() {
+fn another_report_of_a_known_request_evicts_no_other() {
     let mut known = Quarantine::default();
     let requests = 10..10 + 1024;
     for request in requests.clone() {
         known.hear(&ended(Fingerprint(request), "i-0"), s(1));
     }
     known.hear(&ended(Fingerprint(10), "i-1"), s(2));
-    let forgotten = requests.filter(|it| known.lives(Fingerprint(*it)) == 0);
-    assert_eq!(forgotten.count(), 0);
+    let evicted = requests.filter(|it| known.lives(Fingerprint(*it)) == 0);
+    assert_eq!(evicted.count(), 0);
 }
 
-/// A rack of targets ends at once, and the request that most callers send ran at each of
-/// them. Each of those targets had just answered it, so its end tells nothing about it.
+/// All targets of a rack end at once, and a popular request was running at each of them.
+/// Each of those targets had just answered it, so it is not the cause of the crash.
 #[test]
-fn what_a_target_has_just_answered_is_not_what_ended_it() {
+fn a_request_that_a_target_just_answered_is_not_the_cause_of_its_crash() {
     let mut recent = RecentAnswers::default();
     recent.note(HARMLESS, s(1));
     assert!(recent.has(HARMLESS, s(2)));
--- a/crates/calls/tests/all/quarantine_load.rs
+++ b/crates/calls/tests/all/quarantine_load.rs
@@ -1,9 +1,9 @@
-//! What callers get of refusing requests under which targets end, in virtual time.
+//! Simulation of the quarantine under load, in virtual time.
 //!
-//! Twenty targets with a daemon each serve 1,000 calls a second. A fifth of the calls ask
-//! for the same, a fifth for one of 2,000 things, the others for something of their own.
-//! Calls whose target ends are tried once more elsewhere. `--nocapture` prints the table
-//! that `docs/design/quarantine.md` shows.
+//! Twenty targets with a daemon each serve 1,000 calls per second. A fifth of the calls are
+//! the same request, a fifth are one of 2,000 requests, and each of the others is a request
+//! of its own. Calls whose target crashes are retried once elsewhere. `--nocapture` prints
+//! the table in `docs/design/quarantine.md`.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -20,229 +20,234 @@
 const RUN: Duration = Duration::from_millis(90);
 const RESTART: Duration = Duration::from_secs(3);
 const LENGTH: Duration = Duration::from_secs(30);
-/// Attempts of one call.
+/// Maximum number of attempts of one call.
 const ATTEMPTS: u32 = 2;
-/// Word between two daemons that tell each other at once.
-const WORD: Duration = Duration::from_millis(5);
-/// A regular exchange reaches everybody within so many of them.
+/// Time that a report takes from one daemon to another if it is sent at once.
+const MESSAGE_DELAY: Duration = Duration::from_millis(5);
+/// Number of regular gossip exchanges, one per second, in which a report reaches all daemons.
 const EXCHANGES: u64 = 4;
 
 const LETHAL: Fingerprint = Fingerprint(1);
 const POPULAR: Fingerprint = Fingerprint(2);
 const SEEDS: u64 = 40;
 
-/// What goes wrong.
+/// The faults of a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Trouble {
-    /// A lethal request comes four times a second.
+enum Faults {
+    /// A lethal request arrives four times per second, from two seconds after the start.
     Lethal,
-    /// The same from the first moment on, when nothing was answered yet.
+    /// A lethal request arrives four times per second from the start, when no request has
+    /// been answered yet.
     LethalFromStart,
-    /// Six targets end at once, three times.
+    /// Six targets crash at once, three times.
     Racks,
-    /// Some target ends each half second.
+    /// A random target crashes every half second.
     Flapping,
 }
 
-/// How daemons find out.
+/// A variant of the quarantine.
 #[derive(Clone, Copy, Debug)]
-struct Way {
+struct Variant {
     name: &'static str,
-    lives: usize,
-    is_told_at_once: bool,
-    tries_again: bool,
+    threshold: usize,
+    sends_at_once: bool,
+    retries: bool,
     counts_answers: bool,
 }
 
-const STANDING: Way = Way {
+const DEFAULT: Variant = Variant {
     name: "standing",
-    lives: LIVES,
-    is_told_at_once: true,
-    tries_again: true,
+    threshold: LIVES,
+    sends_at_once: true,
+    retries: true,
     counts_answers: true,
 };
 
-const TROUBLES: [Trouble; 4] = [
-    Trouble::Lethal,
-    Trouble::LethalFromStart,
-    Trouble::Racks,
-    Trouble::Flapping,
+const FAULTS: [Faults; 4] = [
+    Faults::Lethal,
+    Faults::LethalFromStart,
+    Faults::Racks,
+    Faults::Flapping,
 ];
 
-const WAYS: [Way; 7] = [
-    STANDING,
-    Way {
+const VARIANTS: [Variant; 7] = [
+    DEFAULT,
+    Variant {
         name: "none",
-        lives: usize::MAX,
-        ..STANDING
+        threshold: usize::MAX,
+        ..DEFAULT
     },
-    Way {
+    Variant {
         name: "two lives",
-        lives: 2,
-        ..STANDING
+        threshold: 2,
+        ..DEFAULT
     },
-    Way {
+    Variant {
         name: "four lives",
-        lives: 4,
-        ..STANDING
+        threshold: 4,
+        ..DEFAULT
     },
-    Way {
+    Variant {
         name: "exchanges only",
-        is_told_at_once: false,
-        ..STANDING
+        sends_at_once: false,
+        ..DEFAULT
     },
-    Way {
+    Variant {
         name: "no second try",
-        tries_again: false,
-        ..STANDING
+        retries: false,
+        ..DEFAULT
     },
-    Way {
+    Variant {
         name: "answers don't count",
         counts_answers: false,
-        ..STANDING
+        ..DEFAULT
     },
 ];
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Sums {
-    /// Targets that ended under the lethal request.
-    ended: u32,
-    /// Runs of it that began though every daemon could know of the third end.
+struct Totals {
+    /// Targets that crashed because of the lethal request.
+    crashed: u32,
+    /// Runs of the lethal request that began although every daemon could know of the third
+    /// crash.
     late: u32,
     answered: u32,
-    /// Harmless calls that ended with their target, after their last try.
+    /// Harmless calls that were lost with their target on their last attempt.
     lost: u32,
     /// Harmless calls that were refused as lethal.
-    wronged: u32,
+    wrongly_refused: u32,
     /// Harmless calls that found no free slot at two targets.
-    turned_away: u32,
+    rejected: u32,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives(Call),
-    Ends(usize, u32, u64),
-    Returns(usize),
-    Breaks(usize),
-    Hears(usize, Vec<u128>, u64),
-    Cleared(usize, u128),
+    CallArrives(Call),
+    RunEnds(usize, u32, u64),
+    TargetRestarts(usize),
+    TargetCrashes(usize),
+    CrashReported(usize, Vec<u128>, u64),
+    AnswerReported(usize, u128),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Call {
     request: u128,
-    tries: u32,
+    attempts: u32,
 }
 
 struct Target {
     is_up: bool,
-    life: u32,
+    generation: u32,
     runs: BTreeMap<u64, Call>,
     recent: RecentAnswers,
     known: Quarantine,
 }
 
-struct World {
-    way: Way,
+struct Simulation {
+    variant: Variant,
     now: Duration,
     queue: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     count: u64,
     targets: Vec<Target>,
     rng: Xoshiro256PlusPlus,
-    sums: Sums,
-    /// When the third target ended under the lethal request.
-    third: Option<Duration>,
+    totals: Totals,
+    /// When the third target crashed because of the lethal request.
+    third_crash: Option<Duration>,
 }
 
-impl World {
-    fn new(way: Way, seed: u64) -> Self {
+impl Simulation {
+    fn new(variant: Variant, seed: u64) -> Self {
         let target = |_| Target {
             is_up: true,
-            life: 0,
+            generation: 0,
             runs: BTreeMap::new(),
             recent: RecentAnswers::default(),
-            known: Quarantine::refusing_after(way.lives),
+            known: Quarantine::refusing_after(variant.threshold),
         };
         Self {
-            way,
+            variant,
             now: Duration::ZERO,
             queue: BinaryHeap::new(),
             count: 0,
             targets: (0..TARGETS).map(target).collect(),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            sums: Sums::default(),
-            third: None,
+            totals: Totals::default(),
+            third_crash: None,
         }
     }
 
-    fn at(&mut self, at: Duration, event: Event) {
+    fn schedule(&mut self, at: Duration, event: Event) {
         self.count += 1;
         self.queue.push(Reverse((at, self.count, event)));
     }
 
-    fn play(mut self, trouble: Trouble) -> Sums {
-        self.fill(CALLS_PER_S, 0.0, None);
-        match trouble {
-            Trouble::Lethal => self.fill(LETHAL_PER_S, 2.0, Some(LETHAL)),
-            Trouble::LethalFromStart => self.fill(LETHAL_PER_S, 0.0, Some(LETHAL)),
-            Trouble::Racks => {
+    fn run(mut self, faults: Faults) -> Totals {
+        self.schedule_calls(CALLS_PER_S, 0.0, None);
+        match faults {
+            Faults::Lethal => self.schedule_calls(LETHAL_PER_S, 2.0, Some(LETHAL)),
+            Faults::LethalFromStart => self.schedule_calls(LETHAL_PER_S, 0.0, Some(LETHAL)),
+            Faults::Racks => {
                 for at in [8, 16, 24] {
                     let first = self.rng.random_range(0..TARGETS);
-                    for rack in 0..6 {
-                        let broken = Event::Breaks((first + rack) % TARGETS);
-                        self.at(Duration::from_secs(at), broken);
+                    for offset in 0..6 {
+                        let crash = Event::TargetCrashes((first + offset) % TARGETS);
+                        self.schedule(Duration::from_secs(at), crash);
                     }
                 }
             }
-            Trouble::Flapping => {
-                for half in 4..56 {
-                    let broken = Event::Breaks(self.rng.random_range(0..TARGETS));
-                    self.at(Duration::from_millis(half * 500), broken);
+            Faults::Flapping => {
+                for half_seconds in 4..56 {
+                    let crash = Event::TargetCrashes(self.rng.random_range(0..TARGETS));
+                    self.schedule(Duration::from_millis(half_seconds * 500), crash);
                 }
             }
         }
         while let Some(Reverse((at, _, event))) = self.queue.pop() {
             self.now = at;
-            self.step(event);
+            self.handle(event);
         }
-        self.sums
+        self.totals
     }
 
-    fn fill(&mut self, per_s: f64, from_s: f64, request: Option<Fingerprint>) {
+    fn schedule_calls(&mut self, per_s: f64, from_s: f64, request: Option<Fingerprint>) {
         let mut at = from_s;
-        let mut own = 10_000;
+        let mut unique = 10_000;
         while at < LENGTH.as_secs_f64() {
             at += -self.rng.random::<f64>().max(1e-9).ln() / per_s;
-            own += 1;
-            let request = request.map_or_else(|| self.draw(own), |it| it.0);
-            let call = Call { request, tries: 0 };
-            self.at(Duration::from_secs_f64(at), Event::Arrives(call));
+            unique += 1;
+            let request = request.map_or_else(|| self.draw_request(unique), |it| it.0);
+            let call = Call {
+                request,
+                attempts: 0,
+            };
+            self.schedule(Duration::from_secs_f64(at), Event::CallArrives(call));
         }
     }
 
-    fn draw(&mut self, own: u128) -> u128 {
+    fn draw_request(&mut self, unique: u128) -> u128 {
         match self.rng.random_range(0..5) {
             0 => POPULAR.0,
             1 => self.rng.random_range(100..2100),
-            _ => own,
+            _ => unique,
         }
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Arrives(call) => self.arrives(call),
-            Event::Ends(target, life, run) => self.ends(target, life, run),
-            Event::Breaks(target) => self.breaks(target),
-            Event::Returns(target) => {
+            Event::CallArrives(call) => self.call_arrives(call),
+            Event::RunEnds(target, generation, run) => self.run_ends(target, generation, run),
+            Event::TargetCrashes(target) => self.target_crashes(target),
+            Event::TargetRestarts(target) => {
                 self.targets[target].is_up = true;
-                self.targets[target].life += 1;
+                self.targets[target].generation += 1;
             }
-            Event::Hears(daemon, requests, life) => {
+            Event::CrashReported(daemon, requests, generation) => {
                 for request in requests {
-                    self.hear(daemon, request, life);
+                    self.crash_reported(daemon, request, generation);
                 }
             }
-            Event::Cleared(daemon, request) => {
+            Event::AnswerReported(daemon, request) => {
                 let finding = Finding::Answered {
                     request: Fingerprint(request),
                     ago: Duration::ZERO,
@@ -252,16 +257,16 @@
         }
     }
 
-    fn hear(&mut self, daemon: usize, request: u128, life: u64) {
+    fn crash_reported(&mut self, daemon: usize, request: u128, generation: u64) {
         let finding = Finding::Ended {
             request: Fingerprint(request),
-            lives: vec![life],
+            lives: vec![generation],
             ago: Duration::ZERO,
         };
         self.targets[daemon].known.hear(&finding, self.now);
     }
 
-    fn arrives(&mut self, call: Call) {
+    fn call_arrives(&mut self, call: Call) {
         let request = Fingerprint(call.request);
         let entry = self.rng.random_range(0..TARGETS);
         if self.targets[entry].known.holds(request, self.now).is_some() {
@@ -281,42 +286,44 @@
                 return self.refused(call);
             }
             if self.targets[target].runs.len() < SLOTS {
-                return self.runs(target, call);
+                return self.start_run(target, call);
             }
         }
-        self.sums.turned_away += u32::from(request != LETHAL);
+        self.totals.rejected += u32::from(request != LETHAL);
     }
 
-    fn runs(&mut self, target: usize, call: Call) {
-        let known = self.third.is_some_and(|at| self.now > at + WORD);
-        self.sums.late += u32::from(call.request == LETHAL.0 && known);
+    fn start_run(&mut self, target: usize, call: Call) {
+        let known = self
+            .third_crash
+            .is_some_and(|at| self.now > at + MESSAGE_DELAY);
+        self.totals.late += u32::from(call.request == LETHAL.0 && known);
         let run = self.count;
-        let life = self.targets[target].life;
+        let generation = self.targets[target].generation;
         self.targets[target].runs.insert(run, call);
-        self.at(self.now + RUN, Event::Ends(target, life, run));
+        self.schedule(self.now + RUN, Event::RunEnds(target, generation, run));
     }
 
     fn refused(&mut self, call: Call) {
-        self.sums.wronged += u32::from(call.request != LETHAL.0);
+        self.totals.wrongly_refused += u32::from(call.request != LETHAL.0);
     }
 
-    fn ends(&mut self, target: usize, life: u32, run: u64) {
-        if self.targets[target].life != life {
+    fn run_ends(&mut self, target: usize, generation: u32, run: u64) {
+        if self.targets[target].generation != generation {
             return;
         }
         let Some(call) = self.targets[target].runs.get(&run).copied() else {
             return;
         };
         if call.request == LETHAL.0 {
-            self.sums.ended += 1;
-            if self.sums.ended == 3 {
-                self.third = Some(self.now);
+            self.totals.crashed += 1;
+            if self.totals.crashed == 3 {
+                self.third_crash = Some(self.now);
             }
-            return self.breaks(target);
+            return self.target_crashes(target);
         }
         self.targets[target].runs.remove(&run);
-        self.sums.answered += 1;
-        if self.way.counts_answers {
+        self.totals.answered += 1;
+        if self.variant.counts_answers {
             self.answered(target, Fingerprint(call.request));
         }
     }
@@ -325,122 +332,134 @@
         self.targets[target].recent.note(request, self.now);
         if self.targets[target].known.lives(request) > 0 {
             let is_near = self.targets[target].known.is_near(request);
-            self.step(Event::Cleared(target, request.0));
+            self.handle(Event::AnswerReported(target, request.0));
             for other in 0..TARGETS {
-                let word = if is_near && self.way.is_told_at_once {
-                    WORD
+                let delay = if is_near && self.variant.sends_at_once {
+                    MESSAGE_DELAY
                 } else {
-                    self.exchanges()
+                    self.gossip_delay()
                 };
-                self.at(self.now + word, Event::Cleared(other, request.0));
+                self.schedule(self.now + delay, Event::AnswerReported(other, request.0));
             }
         }
     }
 
-    fn exchanges(&mut self) -> Duration {
+    fn gossip_delay(&mut self) -> Duration {
         Duration::from_millis(self.rng.random_range(0..EXCHANGES * 1000))
     }
 
-    fn breaks(&mut self, target: usize) {
+    fn target_crashes(&mut self, target: usize) {
         if !self.targets[target].is_up {
             return;
         }
-        let (now, way) = (self.now, self.way);
-        let broken = &mut self.targets[target];
-        broken.is_up = false;
-        let runs: Vec<_> = std::mem::take(&mut broken.runs).into_values().collect();
-        let mark = life_mark(&format!("i-{target}-{}", broken.life));
-        let has = |it: &u128| way.counts_answers && broken.recent.has(Fingerprint(*it), now);
+        let (now, variant) = (self.now, self.variant);
+        let crashed = &mut self.targets[target];
+        crashed.is_up = false;
+        let runs: Vec<_> = std::mem::take(&mut crashed.runs).into_values().collect();
+        let generation = life_mark(&format!("i-{target}-{}", crashed.generation));
+        let has = |it: &u128| variant.counts_answers && crashed.recent.has(Fingerprint(*it), now);
         let ran = runs.iter().map(|it| it.request);
         let suspected: Vec<u128> = ran.filter(|it| !has(it)).collect();
-        self.at(now + RESTART, Event::Returns(target));
-        self.step(Event::Hears(target, suspected.clone(), mark));
+        self.schedule(now + RESTART, Event::TargetRestarts(target));
+        self.handle(Event::CrashReported(target, suspected.clone(), generation));
         for other in (0..TARGETS).filter(|it| *it != target) {
-            let word = if way.is_told_at_once {
-                WORD
+            let delay = if variant.sends_at_once {
+                MESSAGE_DELAY
             } else {
-                self.exchanges()
+                self.gossip_delay()
             };
-            let heard = Event::Hears(other, suspected.clone(), mark);
-            self.at(now + word, heard);
+            let reported = Event::CrashReported(other, suspected.clone(), generation);
+            self.schedule(now + delay, reported);
         }
         for call in runs {
-            let tries = call.tries + 1;
-            if way.tries_again && tries < ATTEMPTS {
-                self.at(now, Event::Arrives(Call { tries, ..call }));
+            let attempts = call.attempts + 1;
+            if variant.retries && attempts < ATTEMPTS {
+                self.schedule(now, Event::CallArrives(Call { attempts, ..call }));
             } else {
-                self.sums.lost += u32::from(call.request != LETHAL.0);
+                self.totals.lost += u32::from(call.request != LETHAL.0);
             }
         }
     }
 }
 
-/// Sums of all seeds, and the most targets that ended with one of them.
-fn played(way: Way, trouble: Trouble) -> (Sums, u32) {
-    let mut all = Sums::default();
+/// Returns the totals over all seeds, and the largest number of targets that crashed with a
+/// single seed.
+fn simulate(variant: Variant, faults: Faults) -> (Totals, u32) {
+    let mut all = Totals::default();
     let mut most = 0;
     for seed in 0..SEEDS {
-        let sums = World::new(way, seed).play(trouble);
-        all.ended += sums.ended;
-        all.late += sums.late;
-        all.answered += sums.answered;
-        all.lost += sums.lost;
-        all.wronged += sums.wronged;
-        all.turned_away += sums.turned_away;
-        most = most.max(sums.ended);
+        let totals = Simulation::new(variant, seed).run(faults);
+        all.crashed += totals.crashed;
+        all.late += totals.late;
+        all.answered += totals.answered;
+        all.lost += totals.lost;
+        all.wrongly_refused += totals.wrongly_refused;
+        all.rejected += totals.rejected;
+        most = most.max(totals.crashed);
     }
     (all, most)
 }
 
-/// Callers lose what runs beside a lethal request, and what the targets that are left have
-/// no slots for. Three targets are the price of knowing, and those that run it at that
-/// moment come on top; from when all can know, it does not begin to run any more.
+/// Callers lose the calls that run at the same target as a lethal request, and those for
+/// which the remaining targets have no slots. Three crashes are needed to detect the
+/// request, and the targets that run it at that moment crash as well. Once all daemons can
+/// know of it, it must not run any more.
 #[test]
-fn a_lethal_request_takes_few_targets() {
-    let (sums, _) = played(STANDING, Trouble::Lethal);
-    assert_eq!(sums.late, 0);
-    assert_eq!(sums.wronged, 0);
+fn a_lethal_request_crashes_few_targets() {
+    let (totals, _) = simulate(DEFAULT, Faults::Lethal);
+    assert_eq!(totals.late, 0);
+    assert_eq!(totals.wrongly_refused, 0);
 }
 
-/// In the first second of a fleet what most callers send was not answered yet, and may
-/// have run at three targets that ended. Until one of its runs ends well it is refused.
+/// In the first second of a fleet, a popular request has not been answered yet and may have
+/// run at three targets that crashed. It is refused until one of its runs is answered.
 #[test]
 fn in_the_first_second_hardly_a_harmless_call_is_refused() {
-    let (sums, _) = played(STANDING, Trouble::LethalFromStart);
-    assert_eq!(sums.late, 0);
-    assert!(sums.wronged * 10_000 < sums.answered, "{}", sums.wronged);
+    let (totals, _) = simulate(DEFAULT, Faults::LethalFromStart);
+    assert_eq!(totals.late, 0);
+    assert!(
+        totals.wrongly_refused * 10_000 < totals.answered,
+        "{}",
+        totals.wrongly_refused
+    );
 }
 
-/// Where targets end for other reasons, whatever they ran is still served: by the rack, or
-/// one after the other.
+/// If targets crash for other reasons, whole racks or one after the other, the requests that
+/// they ran are still served.
 #[test]
-fn targets_that_end_by_themselves_condemn_no_request() {
-    for trouble in [Trouble::Racks, Trouble::Flapping] {
-        let (sums, _) = played(STANDING, trouble);
-        assert_eq!(sums.wronged, 0, "{trouble:?}");
+fn targets_that_crash_for_other_reasons_quarantine_no_request() {
+    for faults in [Faults::Racks, Faults::Flapping] {
+        let (totals, _) = simulate(DEFAULT, faults);
+        assert_eq!(totals.wrongly_refused, 0, "{faults:?}");
     }
 }
 
-/// Prints what each way costs whom. What makes the standing way worth its parts is held
-/// here: without words at once the request takes more targets, and without answers calls
-/// are refused that do no harm.
+/// Prints the results of each variant, and checks that the parts of the default variant are
+/// needed: if reports are not sent at once, a lethal request crashes more targets, and if
+/// answers are ignored, harmless calls are refused.
 #[test]
 fn each_part_of_the_way_is_worth_something() {
     println!("way, trouble: ended (most), late, answered, lost, wrongly refused, turned away");
     let mut of = HashMap::new();
-    for way in WAYS {
-        for trouble in TROUBLES {
-            let (it, most) = played(way, trouble);
+    for variant in VARIANTS {
+        for faults in FAULTS {
+            let (it, most) = simulate(variant, faults);
             println!(
-                "| {} | {trouble:?} | {} ({most}) | {} | {} | {} | {} | {} |",
-                way.name, it.ended, it.late, it.answered, it.lost, it.wronged, it.turned_away
+                "| {} | {faults:?} | {} ({most}) | {} | {} | {} | {} | {} |",
+                variant.name,
+                it.crashed,
+                it.late,
+                it.answered,
+                it.lost,
+                it.wrongly_refused,
+                it.rejected
             );
-            of.insert((way.name, trouble as u8), it);
+            of.insert((variant.name, faults as u8), it);
         }
     }
-    let lethal = |name| of[&(name, Trouble::Lethal as u8)];
-    let racks = |name| of[&(name, Trouble::Racks as u8)];
-    assert!(lethal("none").ended > 2 * lethal("standing").ended);
-    assert!(lethal("exchanges only").ended > lethal("standing").ended);
-    assert!(racks("answers don't count").wronged > 0);
+    let lethal = |name| of[&(name, Faults::Lethal as u8)];
+    let racks = |name| of[&(name, Faults::Racks as u8)];
+    assert!(lethal("none").crashed > 2 * lethal("standing").crashed);
+    assert!(lethal("exchanges only").crashed > lethal("standing").crashed);
+    assert!(racks("answers don't count").wrongly_refused > 0);
 }
--- a/crates/calls/tests/all/quota.rs
+++ b/crates/calls/tests/all/quota.rs
@@ -1,7 +1,8 @@
-//! Quotas in virtual time: what is granted at most, and what is refused below the quota.
+//! Simulation of quotas in virtual time: how much is granted beyond a quota, and how much is
+//! refused below it.
 //!
-//! Entries of four zones ask for tokens of one customer, by each of three ways to hold its
-//! quota. `--nocapture` prints the table that `docs/design/demands.md` shows.
+//! Entries of four zones request tokens of one customer under each of four ways to divide
+//! its quota. `--nocapture` prints the table in `docs/design/demands.md`.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,69 +18,73 @@
     per_minute: 6000,
     burst: 100,
 };
-/// Time before calls come, in which buckets fill.
+/// Time before the first call, in which buckets fill.
 const WARM_UP: Duration = Duration::from_secs(3);
 const LENGTH: Duration = Duration::from_secs(30);
-/// Time between two tries of a home to borrow.
-const BORROW_PAUSE: Duration = Duration::from_millis(250);
-/// Span in which grants are counted.
+/// Time between two attempts of a home to borrow.
+const BORROW_INTERVAL: Duration = Duration::from_millis(250);
+/// Sliding window in which grants are counted.
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// How a quota is held.
+/// How a quota is divided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Way {
     /// Each entry has an equal share.
     EvenShares,
-    /// One home for the fleet; a part that is cut off chooses one of its own.
+    /// The fleet has one home. A part of the fleet that is partitioned chooses another.
     OneHome,
-    /// A home in each zone with an equal share, and no borrowing.
+    /// Each zone has a home with an equal share, and homes do not borrow.
     ZoneHomes,
-    /// The same, and a home that is short borrows from the others.
+    /// Each zone has a home with an equal share, and a home that runs short borrows from the
+    /// others.
     Borrowing,
 }
 
-/// Where the customer's calls enter.
+/// At which entries the customer's calls arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Skew {
+    /// All entries receive equally many calls.
     Even,
-    /// Half of them in one zone.
+    /// Half of the calls arrive in one zone.
     OneZone,
-    /// A tenth of the entries has all of them.
+    /// A tenth of the entries receives all calls.
     FewEntries,
 }
 
+/// What fails during a simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Trouble {
+    /// Nothing fails.
     None,
-    /// A zone is cut off from the others for the second third.
+    /// One zone is partitioned from the others during the second third of the time.
     Cut,
-    /// The homes die in the middle, and others follow them.
+    /// All homes fail in the middle and are replaced.
     HomesDie,
 }
 
-/// One play.
+/// Parameters of one simulation.
 #[derive(Clone, Copy, Debug)]
 struct Play {
     way: Way,
     entries: usize,
-    /// Calls, as a part of the quota's rate.
+    /// Rate of calls, as a fraction of the quota's rate.
     load: f64,
     skew: Skew,
     trouble: Trouble,
 }
 
-/// What came of it.
+/// Result of one simulation.
 #[derive(Debug, Default)]
 struct Outcome {
     calls: f64,
     refused: f64,
     messages: f64,
     messages_between_zones: f64,
-    /// Most grants in a window, as a part of what the quota allows in it.
+    /// Largest number of grants in a window, as a fraction of what the quota allows.
     worst_window: f64,
 }
 
-struct World {
+struct Simulation {
     play: Play,
     rng: Xoshiro256PlusPlus,
     purses: HashMap<usize, Purse>,
@@ -89,7 +94,7 @@
     outcome: Outcome,
 }
 
-impl World {
+impl Simulation {
     fn zone(entry: usize) -> usize {
         entry % ZONES
     }
@@ -99,18 +104,18 @@
         self.play.trouble == Trouble::Cut && (WARM_UP + third..WARM_UP + 2 * third).contains(&now)
     }
 
-    /// The bucket that an entry's tokens come from, and its share.
+    /// Returns the bucket that an entry's tokens come from, and its fraction of the quota.
     fn bucket_of(&self, entry: usize, now: Time) -> (usize, f64) {
         let zone = Self::zone(entry);
         match self.play.way {
-            Way::EvenShares => (entry, 1.0 / count(self.play.entries)),
+            Way::EvenShares => (entry, 1.0 / to_f64(self.play.entries)),
             Way::OneHome if self.is_cut(now) && zone == 0 => (1, 1.0),
             Way::OneHome => (0, 1.0),
-            Way::ZoneHomes | Way::Borrowing => (zone, 1.0 / count(ZONES)),
+            Way::ZoneHomes | Way::Borrowing => (zone, 1.0 / to_f64(ZONES)),
         }
     }
 
-    fn entry(&mut self) -> usize {
+    fn draw_entry(&mut self) -> usize {
         let entries = self.play.entries;
         match self.play.skew {
             Skew::OneZone if self.rng.random_bool(0.5) => {
@@ -123,7 +128,7 @@
 
     fn call(&mut self, now: Time) {
         self.outcome.calls += 1.0;
-        let entry = self.entry();
+        let entry = self.draw_entry();
         let mut purse = self.purses.remove(&entry).unwrap_or_default();
         let is_served = match purse.take(now) {
             Taken::Token => true,
@@ -139,23 +144,23 @@
     }
 
     fn ask(&mut self, purse: &mut Purse, entry: usize, now: Time) -> bool {
-        let (bucket, of) = self.bucket_of(entry, now);
+        let (bucket, fraction) = self.bucket_of(entry, now);
         if self.play.way != Way::EvenShares {
             self.outcome.messages += 2.0;
         }
         if self.play.way == Way::OneHome && Self::zone(entry) != bucket {
             self.outcome.messages_between_zones += 2.0;
         }
-        let share = Share::new(QUOTA, of);
-        // An entry that holds its own share has nobody to fetch tokens from ahead.
+        let share = Share::new(QUOTA, fraction);
+        // An entry that has a share of its own does not request tokens in advance.
         let wanted = if self.play.way == Way::EvenShares {
             1
         } else {
             purse.wanted(1)
         };
         let granted = self.bucket(bucket).grant(wanted, share, now);
-        if let Some(pause) = granted.retry_after {
-            purse.refused(pause, now);
+        if let Some(retry_after) = granted.retry_after {
+            purse.refused(retry_after, now);
         }
         if self.play.way == Way::Borrowing && self.bucket(bucket).is_low(share) {
             self.borrow(bucket, share, now);
@@ -167,7 +172,7 @@
     fn bucket(&mut self, bucket: usize) -> &mut Bucket {
         self.buckets
             .get_mut(&bucket)
-            .expect("it was there from the start")
+            .expect("all buckets exist from the start")
     }
 
     fn borrow(&mut self, borrower: usize, share: Share, now: Time) {
@@ -175,11 +180,11 @@
         if now < *next {
             return;
         }
-        *next = now + BORROW_PAUSE;
+        *next = now + BORROW_INTERVAL;
         let wanted = Share::whole(share.per_second * 0.5).max(1);
         for lender in 0..ZONES {
-            let is_reached = !self.is_cut(now) || lender != 0 && borrower != 0;
-            if lender == borrower || !is_reached {
+            let is_reachable = !self.is_cut(now) || lender != 0 && borrower != 0;
+            if lender == borrower || !is_reachable {
                 continue;
             }
             self.outcome.messages_between_zones += 2.0;
@@ -188,19 +193,19 @@
         }
     }
 
-    fn homes_die(&mut self, now: Time) {
+    fn replace_homes(&mut self, now: Time) {
         for bucket in self.buckets.values_mut() {
             *bucket = Bucket::empty(now);
         }
     }
 }
 
-fn count(of: usize) -> f64 {
-    u32::try_from(of).map_or(f64::MAX, f64::from)
+fn to_f64(count: usize) -> f64 {
+    u32::try_from(count).map_or(f64::MAX, f64::from)
 }
 
-fn play(play: Play, seed: u64) -> Outcome {
-    let mut world = World {
+fn simulate(play: Play, seed: u64) -> Outcome {
+    let mut simulation = Simulation {
         play,
         rng: Xoshiro256PlusPlus::seed_from_u64(seed),
         purses: HashMap::new(),
@@ -210,36 +215,38 @@
         outcome: Outcome::default(),
     };
     for bucket in 0..play.entries.max(ZONES) {
-        world.buckets.insert(bucket, Bucket::empty(Time::ZERO));
+        simulation.buckets.insert(bucket, Bucket::empty(Time::ZERO));
     }
     if play.way == Way::OneHome {
-        // Chosen when the cut begins, by those that lost the other one.
-        world.buckets.insert(1, Bucket::empty(WARM_UP + LENGTH / 3));
+        // The second home, which the partitioned zone chooses when the partition begins.
+        simulation
+            .buckets
+            .insert(1, Bucket::empty(WARM_UP + LENGTH / 3));
     }
     let mut now = WARM_UP;
-    let mut have_died = false;
+    let mut are_replaced = false;
     while now < WARM_UP + LENGTH {
-        let gap = -(1.0 - world.rng.random::<f64>()).ln() / (play.load * QUOTA.per_second());
+        let gap = -(1.0 - simulation.rng.random::<f64>()).ln() / (play.load * QUOTA.per_second());
         now += Duration::from_secs_f64(gap);
-        if play.trouble == Trouble::HomesDie && !have_died && now > WARM_UP + LENGTH / 2 {
-            have_died = true;
-            world.homes_die(now);
+        if play.trouble == Trouble::HomesDie && !are_replaced && now > WARM_UP + LENGTH / 2 {
+            are_replaced = true;
+            simulation.replace_homes(now);
         }
-        world.call(now);
+        simulation.call(now);
     }
     let allowed = QUOTA.per_second() * WINDOW.as_secs_f64() + f64::from(QUOTA.burst);
     let mut from = 0;
-    for until in 0..world.grants.len() {
-        while world.grants[until].saturating_sub(world.grants[from]) > WINDOW {
+    for until in 0..simulation.grants.len() {
+        while simulation.grants[until].saturating_sub(simulation.grants[from]) > WINDOW {
             from += 1;
         }
-        let part = count(until - from + 1) / allowed;
-        world.outcome.worst_window = world.outcome.worst_window.max(part);
+        let fraction = to_f64(until - from + 1) / allowed;
+        simulation.outcome.worst_window = simulation.outcome.worst_window.max(fraction);
     }
-    world.outcome
+    simulation.outcome
 }
 
-const STANDING: Play = Play {
+const DEFAULT: Play = Play {
     way: Way::Borrowing,
     entries: 75,
     load: 0.6,
@@ -247,7 +254,8 @@
     trouble: Trouble::None,
 };
 
-/// The part beyond its quota that a customer may get: what is in force at the users'.
+/// Factor of its quota up to which a customer may get tokens: the tolerance that is in force
+/// at the users of the fleet.
 const TOLERANCE: f64 = 1.1;
 
 #[test]
@@ -270,7 +278,7 @@
                 (5.0, Skew::Even, Trouble::Cut),
                 (5.0, Skew::Even, Trouble::HomesDie),
             ] {
-                let outcome = play(
+                let outcome = simulate(
                     Play {
                         way,
                         entries,
@@ -292,63 +300,68 @@
     }
 }
 
-/// A customer with many times its usual gets more than its quota: because a cut leaves two
-/// homes, or because homes that follow others grant what those granted before.
+/// Guards against granting a customer with a high load more than its quota, because a
+/// partition leaves two homes, or because new homes grant tokens that their predecessors
+/// granted before.
 #[test]
 fn no_trouble_grants_more_than_the_quota() {
     for entries in [76, 984] {
         for skew in [Skew::Even, Skew::OneZone, Skew::FewEntries] {
             for trouble in [Trouble::None, Trouble::Cut, Trouble::HomesDie] {
                 for seed in 0..3 {
-                    let hot = Play {
+                    let overloaded = Play {
                         entries,
                         skew,
                         trouble,
                         load: 8.0,
-                        ..STANDING
+                        ..DEFAULT
                     };
-                    let outcome = play(hot, seed);
-                    assert!(outcome.worst_window <= TOLERANCE, "{hot:?}: {outcome:?}");
+                    let outcome = simulate(overloaded, seed);
+                    assert!(
+                        outcome.worst_window <= TOLERANCE,
+                        "{overloaded:?}: {outcome:?}"
+                    );
                 }
             }
         }
     }
 }
 
-/// A customer is refused below its quota since its calls come to one zone, or to a few
-/// entries.
+/// Guards against refusing calls of a customer that stays below its quota, because they
+/// arrive in one zone or at a few entries.
 #[test]
 fn hardly_anything_is_refused_below_the_quota() {
-    const REFUSED: f64 = 0.01;
+    const MAX_REFUSED: f64 = 0.01;
     for entries in [76, 984] {
         for skew in [Skew::Even, Skew::OneZone, Skew::FewEntries] {
-            let calm = Play {
+            let below_quota = Play {
                 entries,
                 skew,
-                ..STANDING
+                ..DEFAULT
             };
-            let outcome = play(calm, 1);
+            let outcome = simulate(below_quota, 1);
             let refused = outcome.refused / outcome.calls;
-            assert!(refused <= REFUSED, "{calm:?}: {refused}");
+            assert!(refused <= MAX_REFUSED, "{below_quota:?}: {refused}");
         }
     }
 }
 
-/// Callers that were refused come back together and are refused together again.
+/// Guards against refused callers that all retry at the same time and are refused again.
 #[test]
-fn those_refused_are_told_different_times() {
+fn refused_callers_get_different_retry_times() {
     let share = Share::new(QUOTA, 1.0);
     let mut bucket = Bucket::empty(Time::ZERO);
     let mut last = Duration::ZERO;
     for _ in 0..20 {
         let granted = bucket.grant(1, share, Time::ZERO);
-        let pause = granted.retry_after.expect("it is empty");
-        assert!(granted.tokens == 0 && pause > last);
-        last = pause;
+        let retry_after = granted.retry_after.expect("the bucket is empty");
+        assert!(granted.tokens == 0 && retry_after > last);
+        last = retry_after;
     }
 }
 
-/// What nobody used in time is granted again, and then used as well.
+/// A token that was not used in time must not be used late, because the home grants its
+/// tokens again.
 #[test]
 fn a_token_expires() {
     let mut purse = Purse::default();
@@ -358,7 +371,7 @@
 }
 
 proptest! {
-    /// Homes that follow each other at any moments grant what one may grant, and no more.
+    /// Successive homes, replaced at any time, together grant no more than a single one may.
     #[test]
     fn homes_that_follow_each_other_grant_one_quota(
         gaps_ms in proptest::collection::vec((0_u64..400, 0_u32..40, any::<bool>()), 1..80),
@@ -367,9 +380,9 @@
         let mut bucket = Bucket::empty(Time::ZERO);
         let mut now = Time::ZERO;
         let mut granted = 0.0;
-        for (gap, wanted, follows) in gaps_ms {
+        for (gap, wanted, is_replaced) in gaps_ms {
             now += Duration::from_millis(gap);
-            if follows {
+            if is_replaced {
                 bucket = Bucket::empty(now);
             }
             granted += f64::from(bucket.grant(wanted, share, now).tokens);
