--- a/crates/calls/src/intent/config.rs
+++ b/crates/calls/src/intent/config.rs
@@ -2,16 +2,16 @@
 
 use std::time::Duration;
 
-/// Limits of an [`IntentTable`](super::IntentTable) and its assumption about clocks.
+/// Limits of an [`IdempotencyTable`](super::IdempotencyTable) and its assumption about clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct IntentConfig {
+pub struct IdempotencyConfig {
     pub(crate) skew: Duration,
     pub(crate) retention: Duration,
     pub(crate) keys: usize,
     pub(crate) answer_bytes: usize,
 }
 
-impl Default for IntentConfig {
+impl Default for IdempotencyConfig {
     fn default() -> Self {
         Self {
             skew: Duration::from_secs(2),
@@ -22,7 +22,7 @@
     }
 }
 
-impl IntentConfig {
+impl IdempotencyConfig {
     /// Sets the maximum difference between two calendar clocks, 2 s by default. With
     /// a larger value, more keys are refused as unsettled after a restart.
     #[must_use]
--- a/crates/calls/src/intent/home.rs
+++ b/crates/calls/src/intent/home.rs
@@ -7,7 +7,7 @@
 use stoatstep_resource::{ServiceName, UpstreamName, Version};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
-use super::key::IntentKey;
+use super::key::IdempotencyKey;
 use crate::ids::{SetId, Wall};
 
 /// Maximum number of earlier sets kept for one service. Older ones are merged into
@@ -23,7 +23,10 @@
 /// Liveness is ignored: two entries may disagree about it, and a request whose key
 /// has two homes could run twice.
 #[must_use]
-pub fn home_of<'a>(names: &'a BTreeSet<UpstreamName>, key: &IntentKey) -> Option<&'a UpstreamName> {
+pub fn home_of<'a>(
+    names: &'a BTreeSet<UpstreamName>,
+    key: &IdempotencyKey,
+) -> Option<&'a UpstreamName> {
     let name = key.name();
     names.iter().max_by_key(|upstream| {
         let seed = xxh3_64_with_seed(upstream.as_bytes(), 0);
@@ -209,7 +212,7 @@
     /// If both were told "never", or one of them had nobody to ask, the key would run
     /// at both. Therefore only the home that this executor knows is told "never".
     #[must_use]
-    pub fn is_home(&self, key: &IntentKey, asker: &UpstreamName) -> bool {
+    pub fn is_home(&self, key: &IdempotencyKey, asker: &UpstreamName) -> bool {
         let sets = self.services.get(&key.service);
         sets.is_some_and(|sets| home_of(&sets.current, key) == Some(asker))
     }
@@ -233,7 +236,7 @@
     /// `id`. Previous homes are not checked for a key without a creation time: its
     /// claim row prevents a second run.
     #[must_use]
-    pub fn check(&self, key: &IntentKey, id: SetId) -> Home {
+    pub fn check(&self, key: &IdempotencyKey, id: SetId) -> Home {
         let Some(sets) = self.services.get(&key.service) else {
             return Home::StaleConfig;
         };
@@ -249,7 +252,7 @@
         }
     }
 
-    fn check_earlier(&self, sets: &Sets, key: &IntentKey, created: Wall) -> Home {
+    fn check_earlier(&self, sets: &Sets, key: &IdempotencyKey, created: Wall) -> Home {
         let mut ask = BTreeMap::new();
         for earlier in &sets.earlier {
             for upstream in self.previous_homes(earlier, key) {
@@ -277,7 +280,7 @@
     fn previous_homes<'a>(
         &self,
         earlier: &'a Earlier,
-        key: &IntentKey,
+        key: &IdempotencyKey,
     ) -> impl Iterator<Item = &'a UpstreamName> {
         let home = home_of(&earlier.names, key);
         let any_may_be_home = earlier.any_may_be_home;
--- a/crates/calls/src/intent/key.rs
+++ b/crates/calls/src/intent/key.rs
@@ -116,7 +116,7 @@
 /// An idempotency key within its scope: keys of two tenants or two services are
 /// different keys even if their texts are equal.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct IntentKey {
+pub struct IdempotencyKey {
     /// The service that the call is for.
     pub service: ServiceName,
     /// The tenant that sends the call.
@@ -125,7 +125,7 @@
     pub key: KeyText,
 }
 
-impl IntentKey {
+impl IdempotencyKey {
     /// Returns the name of the key within its service, used for hashing and for the
     /// claim row.
     #[must_use]
--- a/crates/calls/src/intent/memory.rs
+++ b/crates/calls/src/intent/memory.rs
@@ -5,30 +5,30 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::key::IntentKey;
+use super::key::IdempotencyKey;
 use crate::answer::Answer;
 use crate::fingerprint::Fingerprint;
 use crate::ids::Wall;
 
-/// All records of an [`IntentTable`] whose process has stopped running requests.
+/// All records of an [`IdempotencyTable`] whose process has stopped running requests.
 ///
 /// Only the next process of the same upstream may restore it. A process in between
 /// may have run keys that it does not contain.
 ///
-/// [`IntentTable`]: super::IntentTable
+/// [`IdempotencyTable`]: super::IdempotencyTable
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct IntentMemory {
+pub struct IdempotencySnapshot {
     /// A key that was made after this time and is not in `intents` never ran.
     pub since: Wall,
     /// The keys that ran or may have run.
-    pub intents: Vec<Remembered>,
+    pub intents: Vec<RememberedKey>,
 }
 
 /// A key that ran or may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Remembered {
+pub struct RememberedKey {
     /// The key.
-    pub key: IntentKey,
+    pub key: IdempotencyKey,
     /// Fingerprint of the request that was sent with the key.
     pub fingerprint: Fingerprint,
     /// When the key may be dropped.
--- a/crates/calls/src/intent/mod.rs
+++ b/crates/calls/src/intent/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! Each key has one home: the executor that rendezvous hashing selects among the
 //! configured upstreams of the service ([`home_of`]). Only the home runs a request
-//! with this key, after looking the key up in its table ([`IntentTable`]). The table
+//! with this key, after looking the key up in its table ([`IdempotencyTable`]). The table
 //! decides about keys that state their creation time only if they were made after
 //! its process started. After a change of the set of upstreams, the previous home
 //! has to confirm first ([`HomeSets`]). See `docs/design/at-most-once.md`.
@@ -13,8 +13,8 @@
 mod memory;
 mod table;
 
-pub use config::IntentConfig;
+pub use config::IdempotencyConfig;
 pub use home::{Handover, Home, HomeSets, KnownMembers, home_of, set_id};
-pub use key::{IntentKey, KeyError, KeyText};
-pub use memory::{IntentMemory, Remembered, RememberedRun};
-pub use table::{Begin, HomeAnswer, IntentTable};
+pub use key::{IdempotencyKey, KeyError, KeyText};
+pub use memory::{IdempotencySnapshot, RememberedKey, RememberedRun};
+pub use table::{Begin, HomeAnswer, IdempotencyTable};
--- a/crates/calls/src/intent/table/handover.rs
+++ b/crates/calls/src/intent/table/handover.rs
@@ -1,17 +1,17 @@
-//! Conversion of the table to and from an [`IntentMemory`].
+//! Conversion of the table to and from an [`IdempotencySnapshot`].
 
 use std::sync::Arc;
 
-use super::{IntentTable, Record, Run};
-use crate::intent::memory::{IntentMemory, Remembered, RememberedRun};
+use super::{IdempotencyTable, Record, Run};
+use crate::intent::memory::{IdempotencySnapshot, RememberedKey, RememberedRun};
 
-impl IntentTable {
+impl IdempotencyTable {
     /// Returns the records that the next process has to restore, or `None` while a
     /// request is running, because its outcome would be missing.
     #[must_use]
-    pub fn memory(&self) -> Option<IntentMemory> {
+    pub fn memory(&self) -> Option<IdempotencySnapshot> {
         let intents = self.records.iter().map(|(key, record)| {
-            Some(Remembered {
+            Some(RememberedKey {
                 key: key.clone(),
                 fingerprint: record.fingerprint,
                 expires: record.expires,
@@ -19,7 +19,7 @@
             })
         });
         let intents = intents.collect::<Option<Vec<_>>>()?;
-        Some(IntentMemory {
+        Some(IdempotencySnapshot {
             since: self.since,
             intents,
         })
@@ -29,7 +29,7 @@
     /// after it stored them. Without them, every key made before this process started
     /// is unsettled: after a planned restart, callers would be told "unknown" about
     /// requests that never ran.
-    pub fn resume(&mut self, memory: IntentMemory) {
+    pub fn resume(&mut self, memory: IdempotencySnapshot) {
         self.since = self.since.min(memory.since);
         for remembered in memory.intents {
             self.restore_key(remembered);
@@ -37,8 +37,8 @@
         self.evict_answers();
     }
 
-    fn restore_key(&mut self, remembered: Remembered) {
-        let Remembered {
+    fn restore_key(&mut self, remembered: RememberedKey) {
+        let RememberedKey {
             key,
             fingerprint,
             expires,
--- a/crates/calls/src/intent/table/mod.rs
+++ b/crates/calls/src/intent/table/mod.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::config::IntentConfig;
-use super::key::IntentKey;
+use super::config::IdempotencyConfig;
+use super::key::IdempotencyKey;
 use crate::answer::Answer;
 use crate::fingerprint::Fingerprint;
 use crate::ids::{AttemptId, Wall};
@@ -59,25 +59,25 @@
 
 /// The keys that ran, may have run or are running at this executor.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct IntentTable {
-    cfg: IntentConfig,
+pub struct IdempotencyTable {
+    cfg: IdempotencyConfig,
     /// The table decides only about keys that were made after this time.
     since: Wall,
-    records: BTreeMap<IntentKey, Record>,
-    expiry: BTreeMap<Wall, Vec<IntentKey>>,
+    records: BTreeMap<IdempotencyKey, Record>,
+    expiry: BTreeMap<Wall, Vec<IdempotencyKey>>,
     /// Keys whose answers are kept, oldest first.
-    answer_order: VecDeque<IntentKey>,
+    answer_order: VecDeque<IdempotencyKey>,
     kept_bytes: usize,
 }
 
-impl IntentTable {
+impl IdempotencyTable {
     /// Creates an empty table for a process that started at `started`.
     ///
     /// The table is authoritative for keys made more than the maximum clock skew after
     /// the start. They were made while this process was running, so no earlier process
     /// can have run them.
     #[must_use]
-    pub fn new(started: Wall, cfg: IntentConfig) -> Self {
+    pub fn new(started: Wall, cfg: IdempotencyConfig) -> Self {
         Self {
             cfg,
             since: started + cfg.skew,
@@ -107,7 +107,7 @@
     /// table alone decides; otherwise an unreachable previous home would cause a retry
     /// to be told "not run" about a request that did run.
     #[must_use]
-    pub fn recall(&self, key: &IntentKey, fingerprint: Fingerprint) -> Option<Begin> {
+    pub fn recall(&self, key: &IdempotencyKey, fingerprint: Fingerprint) -> Option<Begin> {
         let record = self.records.get(key)?;
         Some(record.decide(fingerprint))
     }
@@ -118,7 +118,7 @@
     /// may run only after this attempt has written the claim row of the key.
     pub fn begin(
         &mut self,
-        key: &IntentKey,
+        key: &IdempotencyKey,
         fingerprint: Fingerprint,
         attempt: AttemptId,
         now: Wall,
@@ -136,7 +136,7 @@
         Begin::Run
     }
 
-    fn check_age(&self, key: &IntentKey, now: Wall) -> Result<(), Refusal> {
+    fn check_age(&self, key: &IdempotencyKey, now: Wall) -> Result<(), Refusal> {
         let Some(created) = key.key.created() else {
             return Ok(());
         };
@@ -164,14 +164,14 @@
     }
 
     /// Removes the key, because the attempt that held it did not run.
-    pub fn release(&mut self, key: &IntentKey, attempt: AttemptId) {
+    pub fn release(&mut self, key: &IdempotencyKey, attempt: AttemptId) {
         if self.runs_under(key, attempt) {
             self.records.remove(key);
         }
     }
 
     /// Records that the attempt ran, with its complete answer.
-    pub fn done(&mut self, key: &IntentKey, attempt: AttemptId, answer: Arc<Answer>) {
+    pub fn done(&mut self, key: &IdempotencyKey, attempt: AttemptId, answer: Arc<Answer>) {
         if !self.runs_under(key, attempt) {
             return;
         }
@@ -182,7 +182,7 @@
     }
 
     /// Records that the attempt ran and that its answer was too large to keep.
-    pub fn done_without_answer(&mut self, key: &IntentKey, attempt: AttemptId) {
+    pub fn done_without_answer(&mut self, key: &IdempotencyKey, attempt: AttemptId) {
         if self.runs_under(key, attempt) {
             self.set_run(key, Run::DoneWithoutAnswer);
         }
@@ -190,7 +190,7 @@
 
     /// Records that the connection to the target broke while the attempt ran. The key
     /// is not released, because another run could be the second one.
-    pub fn lost(&mut self, key: &IntentKey, attempt: AttemptId) {
+    pub fn lost(&mut self, key: &IdempotencyKey, attempt: AttemptId) {
         if self.runs_under(key, attempt) {
             self.set_run(key, Run::Unknown);
         }
@@ -199,7 +199,7 @@
     /// Returns what this executor knows about a key whose home has moved to another
     /// executor. Must be called only after the version that moved it was applied here.
     #[must_use]
-    pub fn hand_over(&self, key: &IntentKey) -> HomeAnswer {
+    pub fn hand_over(&self, key: &IdempotencyKey) -> HomeAnswer {
         let Some(record) = self.records.get(key) else {
             let created = key.key.created();
             // A second run of a key without a creation time is prevented by its claim row.
@@ -229,7 +229,7 @@
         }
     }
 
-    fn expire(&mut self, key: IntentKey, now: Wall) {
+    fn expire(&mut self, key: IdempotencyKey, now: Wall) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
@@ -254,7 +254,7 @@
     /// would otherwise keep growing.
     fn prune_answer_order(&mut self) {
         let records = &self.records;
-        let has_answer = |key: &IntentKey| {
+        let has_answer = |key: &IdempotencyKey| {
             let done = |it: &Record| matches!(it.run, Run::Done(_));
             records.get(key).is_some_and(done)
         };
@@ -267,7 +267,13 @@
         }
     }
 
-    fn insert(&mut self, key: &IntentKey, fingerprint: Fingerprint, attempt: AttemptId, now: Wall) {
+    fn insert(
+        &mut self,
+        key: &IdempotencyKey,
+        fingerprint: Fingerprint,
+        attempt: AttemptId,
+        now: Wall,
+    ) {
         let created = key.key.created().unwrap_or(now);
         let expires = created + self.cfg.retention + self.cfg.skew;
         let run = Run::Running(attempt);
@@ -280,12 +286,12 @@
         self.records.insert(key.clone(), record);
     }
 
-    fn runs_under(&self, key: &IntentKey, attempt: AttemptId) -> bool {
+    fn runs_under(&self, key: &IdempotencyKey, attempt: AttemptId) -> bool {
         let running = |record: &Record| record.run == Run::Running(attempt);
         self.records.get(key).is_some_and(running)
     }
 
-    fn set_run(&mut self, key: &IntentKey, run: Run) {
+    fn set_run(&mut self, key: &IdempotencyKey, run: Run) {
         if let Some(record) = self.records.get_mut(key) {
             record.run = run;
         }
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -13,7 +13,7 @@
 //! * the entry uses [`RouteTable`], [`KeyRing`], [`Purse`], [`Router`] or
 //!   [`Placement`], [`RetryBudget`], [`Backoff`], [`Deadline`] and [`Silence`];
 //! * both use [`Quarantine`];
-//! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IntentTable`],
+//! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IdempotencyTable`],
 //!   [`Drain`] and [`Departure`].
 //!
 //! The design is explained in `docs/design/calls.md` and
@@ -58,8 +58,9 @@
 pub use identity::{CREDENTIAL, CredentialError, KeyRing, bearer_key};
 pub use ids::{AttemptId, Incarnation, SetId, Time, Wall};
 pub use intent::{
-    Begin, Handover, Home, HomeAnswer, HomeSets, IntentConfig, IntentKey, IntentMemory,
-    IntentTable, KeyError, KeyText, KnownMembers, Remembered, RememberedRun, home_of, set_id,
+    Begin, Handover, Home, HomeAnswer, HomeSets, IdempotencyConfig, IdempotencyKey,
+    IdempotencySnapshot, IdempotencyTable, KeyError, KeyText, KnownMembers, RememberedKey,
+    RememberedRun, home_of, set_id,
 };
 pub use ledger::{Arrival, Ledger, LedgerConfig, Settled, Ticket};
 pub use placement::{Placement, Seen, Wish};
--- a/crates/calls/tests/all/homes.rs
+++ b/crates/calls/tests/all/homes.rs
@@ -2,7 +2,7 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_calls::{Handover, Home, HomeSets, IntentKey, home_of, set_id};
+use stoatstep_calls::{Handover, Home, HomeSets, IdempotencyKey, home_of, set_id};
 
 use crate::intent::timed_key;
 
@@ -22,8 +22,8 @@
     homes
 }
 
-fn key_with_homes(created: Duration, homes: &[(&[&str], &str)]) -> IntentKey {
-    let fits = |key: &IntentKey| {
+fn key_with_homes(created: Duration, homes: &[(&[&str], &str)]) -> IdempotencyKey {
+    let fits = |key: &IdempotencyKey| {
         let at = |names: &[&str]| home_of(&set(names), key).cloned();
         homes
             .iter()
--- a/crates/calls/tests/all/intent.rs
+++ b/crates/calls/tests/all/intent.rs
@@ -2,8 +2,8 @@
 use std::time::Duration;
 
 use stoatstep_calls::{
-    Answer, Begin, Fingerprint, HomeAnswer, IntentConfig, IntentKey, IntentTable, KeyError,
-    KeyText, Reason,
+    Answer, Begin, Fingerprint, HomeAnswer, IdempotencyConfig, IdempotencyKey, IdempotencyTable,
+    KeyError, KeyText, Reason,
 };
 use uuid::{NoContext, Timestamp, Uuid};
 
@@ -13,21 +13,21 @@
 const REQUEST: Fingerprint = Fingerprint(1);
 
 /// A key made at `created`.
-pub(crate) fn timed_key(created: Duration) -> IntentKey {
+pub(crate) fn timed_key(created: Duration) -> IdempotencyKey {
     let stamp = Timestamp::from_unix(NoContext, created.as_secs(), created.subsec_nanos());
     key(&Uuid::new_v7(stamp).to_string())
 }
 
-fn key(text: &str) -> IntentKey {
-    IntentKey {
+fn key(text: &str) -> IdempotencyKey {
+    IdempotencyKey {
         service: "floatdesk".into(),
         tenant: "elm-school".into(),
         key: KeyText::try_from(text).expect("the key is well formed"),
     }
 }
 
-fn table() -> IntentTable {
-    IntentTable::new(START, IntentConfig::default())
+fn table() -> IdempotencyTable {
+    IdempotencyTable::new(START, IdempotencyConfig::default())
 }
 
 fn answer() -> Arc<Answer> {
@@ -179,7 +179,7 @@
 // that may still be retried is dropped.
 #[test]
 fn full_table_refuses_instead_of_dropping_keys() {
-    let mut table = IntentTable::new(START, IntentConfig::default().keys(1));
+    let mut table = IdempotencyTable::new(START, IdempotencyConfig::default().keys(1));
     let now = START + MINUTE;
     let first = timed_key(now);
     assert_eq!(table.begin(&first, REQUEST, 1, now), Begin::Run);
@@ -230,7 +230,7 @@
     let memory = before.memory().expect("nothing runs");
 
     let restarted = made + 3 * SECOND;
-    let mut after = IntentTable::new(restarted, IntentConfig::default());
+    let mut after = IdempotencyTable::new(restarted, IdempotencyConfig::default());
     let unsettled = after.begin(&new, REQUEST, 2, restarted);
     assert_eq!(reason(&unsettled), Some(Reason::KeyUnsettled));
     after.resume(memory);
--- a/crates/daemon/src/call/handover.rs
+++ b/crates/daemon/src/call/handover.rs
@@ -13,7 +13,7 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use smol_str::{SmolStr, format_smolstr};
-use stoatstep_calls::{Incarnation, IntentMemory, KnownMembers};
+use stoatstep_calls::{IdempotencySnapshot, Incarnation, KnownMembers};
 use stoatstep_platform::{
     CommitAnswer, CommitRequest, Condition, Platform, PlatformError, ReadRequest, Row,
     TableRevision, Write,
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct MemoryObject {
     birth: Incarnation,
-    memory: IntentMemory,
+    memory: IdempotencySnapshot,
     members: KnownMembers,
 }
 
--- a/crates/daemon/src/call/homes.rs
+++ b/crates/daemon/src/call/homes.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Handover, Home, HomeAnswer, IntentKey, Reason, Refusal};
+use stoatstep_calls::{Handover, Home, HomeAnswer, IdempotencyKey, Reason, Refusal};
 
 use super::sync;
 use super::target::RunEnd;
@@ -32,7 +32,7 @@
 pub(super) async fn check(
     node: &Rc<Node>,
     attempt: &Attempt,
-    key: &IntentKey,
+    key: &IdempotencyKey,
 ) -> Result<(), RunEnd> {
     let home = checked(node, attempt, key);
     let Home::Ask(questions) = home else {
@@ -52,7 +52,7 @@
     }
 }
 
-fn checked(node: &Rc<Node>, attempt: &Attempt, key: &IntentKey) -> Home {
+fn checked(node: &Rc<Node>, attempt: &Attempt, key: &IdempotencyKey) -> Home {
     sync::config(node);
     let tables = node.calls.executor.borrow();
     tables.homes.check(key, attempt.call.set)
@@ -75,7 +75,7 @@
     Refusal::retry(Reason::HomeMoving, MOVING_RETRY)
 }
 
-async fn ask(node: &Rc<Node>, key: &IntentKey, question: &Handover) -> Result<(), RunEnd> {
+async fn ask(node: &Rc<Node>, key: &IdempotencyKey, question: &Handover) -> Result<(), RunEnd> {
     let Some(member) = node.control.serving(&question.upstream).pop() else {
         settle_deleted(node, key, question);
         return Err(unsettled(node, question, &"no instance of it is known"));
@@ -120,7 +120,7 @@
 /// An upstream that is still configured may be cut off and running keys, so
 /// silence alone never settles it. Its deletion is the operator's word that its
 /// instance runs nothing.
-fn settle_deleted(node: &Rc<Node>, key: &IntentKey, question: &Handover) {
+fn settle_deleted(node: &Rc<Node>, key: &IdempotencyKey, question: &Handover) {
     let wall = node.calls.clock.wall();
     let mut tables = node.calls.executor.borrow_mut();
     if tables.homes.is_member(&key.service, &question.upstream) {
--- a/crates/daemon/src/call/keyed.rs
+++ b/crates/daemon/src/call/keyed.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::format_smolstr;
 use stoatstep_calls::{
-    Answer, AttemptId, Begin, Deadline, Fingerprint, IntentKey, KeyText, Reason, Refusal,
+    Answer, AttemptId, Begin, Deadline, Fingerprint, IdempotencyKey, KeyText, Reason, Refusal,
 };
 use stoatstep_platform::{
     CommitAnswer, CommitRequest, Condition, Platform, PlatformError, ReadRequest, Row, RowKey,
@@ -45,7 +45,7 @@
 pub(super) async fn open(
     node: &Rc<Node>,
     attempt: &Attempt,
-    key: &IntentKey,
+    key: &IdempotencyKey,
     deadline: Deadline,
 ) -> Opened {
     let fingerprint = fingerprint(attempt);
@@ -80,7 +80,7 @@
 /// process the one that remembers comes first. Without it a process that the
 /// platform never heard of would run keys, and the next one, with the memory of
 /// the one before, would run them again.
-fn may_take(node: &Node, key: &IntentKey) -> bool {
+fn may_take(node: &Node, key: &IdempotencyKey) -> bool {
     node.calls.has_home.get() || matches!(key.key, KeyText::Plain(_))
 }
 
@@ -88,12 +88,17 @@
     Refusal::retry(Reason::NotReady, HOME_RETRY)
 }
 
-fn recall(node: &Rc<Node>, key: &IntentKey, fingerprint: Fingerprint) -> Option<Begin> {
+fn recall(node: &Rc<Node>, key: &IdempotencyKey, fingerprint: Fingerprint) -> Option<Begin> {
     let tables = node.calls.executor.borrow();
     tables.intents.recall(key, fingerprint)
 }
 
-fn begin(node: &Rc<Node>, attempt: &Attempt, key: &IntentKey, fingerprint: Fingerprint) -> Begin {
+fn begin(
+    node: &Rc<Node>,
+    attempt: &Attempt,
+    key: &IdempotencyKey,
+    fingerprint: Fingerprint,
+) -> Begin {
     let wall = node.calls.clock.wall();
     let mut tables = node.calls.executor.borrow_mut();
     tables.intents.begin(key, fingerprint, attempt.id, wall)
@@ -126,7 +131,7 @@
 pub(super) async fn claim(
     node: &Rc<Node>,
     attempt: &Attempt,
-    key: &IntentKey,
+    key: &IdempotencyKey,
     deadline: Deadline,
 ) -> Result<(), RunEnd> {
     if matches!(key.key, KeyText::Timed { .. }) {
@@ -154,7 +159,7 @@
 async fn read_back(
     node: &Rc<Node>,
     attempt: &Attempt,
-    key: &IntentKey,
+    key: &IdempotencyKey,
     bound: Duration,
 ) -> Result<(), RunEnd> {
     let Ok(Ok(row)) = timeout(bound, read(node, key)).await else {
@@ -210,7 +215,7 @@
 fn after_claim(
     node: &Rc<Node>,
     attempt: &Attempt,
-    change: impl FnOnce(ClaimRow, Row, &IntentKey) -> CommitRequest + 'static,
+    change: impl FnOnce(ClaimRow, Row, &IdempotencyKey) -> CommitRequest + 'static,
 ) {
     let Some(key) = attempt.key.clone().filter(|_| attempt.claimed.get()) else {
         return;
@@ -232,7 +237,7 @@
     });
 }
 
-async fn read(node: &Rc<Node>, key: &IntentKey) -> Result<Option<Row>, PlatformError> {
+async fn read(node: &Rc<Node>, key: &IdempotencyKey) -> Result<Option<Row>, PlatformError> {
     let req = ReadRequest {
         gets: vec![row_key(key)],
         ranges: Vec::new(),
@@ -241,7 +246,7 @@
     Ok(answer.rows.into_iter().next().flatten())
 }
 
-fn put(row: &ClaimRow, condition: Condition, key: &IntentKey) -> CommitRequest {
+fn put(row: &ClaimRow, condition: Condition, key: &IdempotencyKey) -> CommitRequest {
     let value = rmp_serde::to_vec(row).expect("plain data always encodes");
     CommitRequest {
         conditions: vec![condition],
@@ -252,7 +257,7 @@
     }
 }
 
-fn row_key(key: &IntentKey) -> RowKey {
+fn row_key(key: &IdempotencyKey) -> RowKey {
     format_smolstr!("claim/{}/{}", key.service, key.name())
 }
 
--- a/crates/daemon/src/call/request.rs
+++ b/crates/daemon/src/call/request.rs
@@ -10,7 +10,7 @@
 use rand::RngExt;
 use smol_str::{SmolStr, ToSmolStr, format_smolstr};
 use stoatstep_calls::{
-    CREDENTIAL, Class, Deadline, Header, IntentKey, KeyText, Reason, Refusal, ResolvedRoute,
+    CREDENTIAL, Class, Deadline, Header, IdempotencyKey, KeyText, Reason, Refusal, ResolvedRoute,
     bearer_key, set_id,
 };
 use stoatstep_resource::{CustomerName, ServiceName, TenantLimit};
@@ -73,7 +73,7 @@
     pub(super) route: Arc<ResolvedRoute>,
     pub(super) deadline: Deadline,
     /// The key, where the call may run only once.
-    pub(super) key: Option<IntentKey>,
+    pub(super) key: Option<IdempotencyKey>,
     pub(super) parts: Rc<WireCall>,
 }
 
@@ -106,7 +106,7 @@
             None => node.calls.entry.borrow_mut().rng.random(),
         };
         let service = route.service(draw).clone();
-        let key = key.map(|key| IntentKey {
+        let key = key.map(|key| IdempotencyKey {
             service: service.clone(),
             tenant: head.tenant.clone(),
             key,
--- a/crates/daemon/src/call/tables.rs
+++ b/crates/daemon/src/call/tables.rs
@@ -6,8 +6,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stoatstep_calls::{
-    Admission, AdmissionConfig, AttemptId, HomeSets, Incarnation, IntentConfig, IntentTable,
-    Ledger, LedgerConfig, Refusal, RetryBudget, Router,
+    Admission, AdmissionConfig, AttemptId, HomeSets, IdempotencyConfig, IdempotencyTable,
+    Incarnation, Ledger, LedgerConfig, Refusal, RetryBudget, Router,
 };
 use stoatstep_resource::{ServiceName, Version};
 
@@ -53,7 +53,7 @@
 pub(super) struct ExecutorTables {
     pub(super) ledger: Ledger,
     pub(super) admission: Admission,
-    pub(super) intents: IntentTable,
+    pub(super) intents: IdempotencyTable,
     pub(super) homes: HomeSets,
     pub(super) noted: Option<Version>,
     pub(super) waiting: BTreeMap<AttemptId, oneshot::Sender<Result<(), Refusal>>>,
@@ -64,11 +64,11 @@
     pub(super) fn new(cfg: &Config, clock: &Clock) -> Self {
         let incarnation: Incarnation = rand::rng().random();
         let admission = AdmissionConfig::for_slots(SLOTS_UNKNOWN);
-        let intents = IntentConfig::default().skew(SKEW).retention(RETENTION);
+        let intents = IdempotencyConfig::default().skew(SKEW).retention(RETENTION);
         Self {
             ledger: Ledger::new(incarnation, LedgerConfig::default()),
             admission: Admission::new(admission),
-            intents: IntentTable::new(clock.started_wall(), intents),
+            intents: IdempotencyTable::new(clock.started_wall(), intents),
             homes: HomeSets::new(cfg.upstream.clone(), SKEW, RETENTION),
             noted: None,
             waiting: BTreeMap::new(),
--- a/crates/daemon/src/call/wire.rs
+++ b/crates/daemon/src/call/wire.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    Answer, AttemptId, Class, Header, HomeAnswer, IntentKey, KeyText, Load, Refusal, SetId,
+    Answer, AttemptId, Class, Header, HomeAnswer, IdempotencyKey, KeyText, Load, Refusal, SetId,
     Settled, Ticket,
 };
 use stoatstep_resource::{CustomerName, ServiceName, UpstreamName, Version};
@@ -56,7 +56,7 @@
     pub(super) ticket: Ticket,
     pub(super) left: Duration,
     pub(super) method: Method,
-    pub(super) key: Option<IntentKey>,
+    pub(super) key: Option<IdempotencyKey>,
     /// Whether its claim row may have been written.
     pub(super) claimed: Cell<bool>,
     pub(super) call: Rc<WireCall>,
@@ -96,7 +96,7 @@
             .as_ref()
             .map(|text| KeyText::try_from(text.as_str()));
         let key = key.transpose().map_err(|_| WireError::Key)?;
-        let key = key.map(|key| IntentKey {
+        let key = key.map(|key| IdempotencyKey {
             service: call.service.clone(),
             tenant: call.tenant.clone(),
             key,
@@ -183,7 +183,7 @@
 /// `POST /peer/home`: a new home asks the previous one about a key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct WireHome {
-    pub(super) key: IntentKey,
+    pub(super) key: IdempotencyKey,
     /// The new home.
     pub(super) asker: UpstreamName,
 }
--- a/crates/scenario/src/daemon/calls.rs
+++ b/crates/scenario/src/daemon/calls.rs
@@ -9,8 +9,8 @@
 use smol_str::SmolStr;
 use stoatstep_calls::{
     Admission, AdmissionConfig, Answer, AttemptId, Candidate, CandidateState, Dispatch, Drain,
-    DrainStep, HomeSets, Incarnation, IntentConfig, IntentTable, Ledger, LedgerConfig, Reason,
-    Refusal, RetryBudget, Router, Ticket,
+    DrainStep, HomeSets, IdempotencyConfig, IdempotencyTable, Incarnation, Ledger, LedgerConfig,
+    Reason, Refusal, RetryBudget, Router, Ticket,
 };
 use stoatstep_membership::{MemberState, Time};
 use stoatstep_platform::TableRevision;
@@ -48,7 +48,7 @@
     pub(super) tickets: BTreeMap<Index, Ticket>,
     pub(super) ledger: Ledger,
     pub(super) admission: Admission,
-    pub(super) intents: IntentTable,
+    pub(super) intents: IdempotencyTable,
     pub(super) homes: HomeSets,
     pub(super) noted: Option<Version>,
     pub(super) waiting: BTreeMap<AttemptId, Sender<Result<(), Refusal>>>,
@@ -70,7 +70,7 @@
     ) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let incarnation: Incarnation = rng.random();
-        let intents = IntentConfig::default().skew(SKEW).retention(RETENTION);
+        let intents = IdempotencyConfig::default().skew(SKEW).retention(RETENTION);
         let has_authority_from = if world.is_without(Safeguard::RestartAuthority) {
             Time::ZERO
         } else {
@@ -83,7 +83,7 @@
             tickets: BTreeMap::new(),
             ledger: Ledger::new(incarnation, LedgerConfig::default()),
             admission: Admission::new(AdmissionConfig::for_slots(1)),
-            intents: IntentTable::new(has_authority_from, intents),
+            intents: IdempotencyTable::new(has_authority_from, intents),
             homes: HomeSets::new(upstream.clone(), SKEW, RETENTION),
             noted: None,
             waiting: BTreeMap::new(),
--- a/crates/scenario/src/daemon/entry.rs
+++ b/crates/scenario/src/daemon/entry.rs
@@ -5,7 +5,7 @@
 
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    AttemptId, Attempts, Backoff, Class, Deadline, IntentKey, KeyText, Load, Outcome, Reason,
+    AttemptId, Attempts, Backoff, Class, Deadline, IdempotencyKey, KeyText, Load, Outcome, Reason,
     Refusal, Report, SetId, Settlement, Ticket, home_of, may_retry, set_id,
 };
 use stoatstep_membership::Time;
@@ -44,7 +44,7 @@
 pub(super) struct Carried {
     pub(super) call: Call,
     pub(super) service: ServiceName,
-    pub(super) key: Option<IntentKey>,
+    pub(super) key: Option<IdempotencyKey>,
     pub(super) set: SetId,
     names: BTreeSet<UpstreamName>,
     pub(super) deadline: Deadline,
@@ -82,7 +82,7 @@
     let names = set_of(&state, &service);
     let carried = Rc::new(Carried {
         deadline: Deadline::after(call.left, node.now()),
-        key: call.key.clone().map(|key| IntentKey {
+        key: call.key.clone().map(|key| IdempotencyKey {
             service: service.clone(),
             tenant: call.tenant.clone(),
             key,
--- a/crates/scenario/src/daemon/handover.rs
+++ b/crates/scenario/src/daemon/handover.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use smol_str::{SmolStr, format_smolstr};
-use stoatstep_calls::{Incarnation, IntentMemory, KnownMembers};
+use stoatstep_calls::{IdempotencySnapshot, Incarnation, KnownMembers};
 use stoatstep_membership::Time;
 use stoatstep_platform::{
     CommitAnswer, CommitRequest, Condition, Platform, PlatformError, ReadRequest, TableRevision,
@@ -20,7 +20,7 @@
 type HomeRow = (Incarnation, bool);
 
 /// Whose memory it is, and the memory.
-type MemoryObject = (Incarnation, IntentMemory, KnownMembers);
+type MemoryObject = (Incarnation, IdempotencySnapshot, KnownMembers);
 
 /// Takes the row, and with it the predecessor's memory.
 pub(super) async fn take(node: Rc<Node>) {
--- a/crates/scenario/src/daemon/keyed.rs
+++ b/crates/scenario/src/daemon/keyed.rs
@@ -4,7 +4,7 @@
 
 use smol_str::format_smolstr;
 use stoatstep_calls::{
-    AttemptId, Begin, Deadline, Fingerprint, Handover, Home, HomeAnswer, IntentKey, KeyText,
+    AttemptId, Begin, Deadline, Fingerprint, Handover, Home, HomeAnswer, IdempotencyKey, KeyText,
     Reason, Refusal,
 };
 use stoatstep_membership::Time;
@@ -29,7 +29,7 @@
 pub(super) async fn open(
     node: &Rc<Node>,
     attempt: &Attempt,
-    key: &IntentKey,
+    key: &IdempotencyKey,
     deadline: Deadline,
 ) -> Result<(), End> {
     if node.world.is_without(Safeguard::KeyMemory) {
@@ -58,16 +58,16 @@
 }
 
 /// The row that makes this process the one that remembers comes first.
-fn may_take(node: &Node, key: &IntentKey) -> bool {
+fn may_take(node: &Node, key: &IdempotencyKey) -> bool {
     node.calls.borrow().has_home || matches!(key.key, KeyText::Plain(_))
 }
 
-fn recall(node: &Node, attempt: &Attempt, key: &IntentKey) -> Option<Begin> {
+fn recall(node: &Node, attempt: &Attempt, key: &IdempotencyKey) -> Option<Begin> {
     let intents = &node.calls.borrow().intents;
     intents.recall(key, fingerprint(attempt))
 }
 
-fn begin(node: &Node, attempt: &Attempt, key: &IntentKey) -> Begin {
+fn begin(node: &Node, attempt: &Attempt, key: &IdempotencyKey) -> Begin {
     let wall = node.wall();
     let fingerprint = fingerprint(attempt);
     let intents = &mut node.calls.borrow_mut().intents;
@@ -91,7 +91,7 @@
 }
 
 /// Whether this executor may run the key now.
-async fn check_home(node: &Rc<Node>, attempt: &Attempt, key: &IntentKey) -> Result<(), End> {
+async fn check_home(node: &Rc<Node>, attempt: &Attempt, key: &IdempotencyKey) -> Result<(), End> {
     let set = attempt.carried.set;
     config(node);
     let home = node.calls.borrow().homes.check(key, set);
@@ -120,7 +120,11 @@
     Refusal::retry(Reason::HomeMoving, MOVING_RETRY)
 }
 
-async fn ask_previous(node: &Rc<Node>, key: &IntentKey, question: &Handover) -> Result<(), End> {
+async fn ask_previous(
+    node: &Rc<Node>,
+    key: &IdempotencyKey,
+    question: &Handover,
+) -> Result<(), End> {
     let Some(index) = index_serving(node, &question.upstream) else {
         settle_deleted(node, key, question);
         return Err(Err(moving()));
@@ -154,7 +158,7 @@
     }
 }
 
-fn settle_deleted(node: &Node, key: &IntentKey, question: &Handover) {
+fn settle_deleted(node: &Node, key: &IdempotencyKey, question: &Handover) {
     let wall = node.wall();
     let homes = &mut node.calls.borrow_mut().homes;
     if homes.is_member(&key.service, &question.upstream) {
@@ -169,7 +173,7 @@
 pub(super) async fn claim(
     node: &Rc<Node>,
     attempt: &Attempt,
-    key: &IntentKey,
+    key: &IdempotencyKey,
     deadline: Deadline,
 ) -> Result<(), End> {
     if matches!(key.key, KeyText::Timed { .. }) || node.world.is_without(Safeguard::ClaimRow) {
@@ -196,7 +200,7 @@
 async fn read_back(
     node: &Node,
     attempt: &Attempt,
-    key: &IntentKey,
+    key: &IdempotencyKey,
     bound: Time,
 ) -> Result<(), End> {
     let read = node.world.exec.timeout(bound, read_row(node, key)).await;
@@ -235,7 +239,7 @@
     });
 }
 
-async fn read_row(node: &Node, key: &IntentKey) -> Option<Row> {
+async fn read_row(node: &Node, key: &IdempotencyKey) -> Option<Row> {
     let req = ReadRequest {
         gets: vec![row_key(key)],
         ranges: Vec::new(),
@@ -244,7 +248,7 @@
     answer.rows.into_iter().next().flatten()
 }
 
-fn row_key(key: &IntentKey) -> RowKey {
+fn row_key(key: &IdempotencyKey) -> RowKey {
     format_smolstr!("claim/{}/{}", key.service, key.name())
 }
 
--- a/crates/spec/src/intent/home.rs
+++ b/crates/spec/src/intent/home.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use stoatstep_calls::{
-    Answer, AttemptId, Begin, Fingerprint, Handover, Home, HomeAnswer, HomeSets, IntentConfig,
-    IntentKey, IntentTable, SetId, Wall, set_id,
+    Answer, AttemptId, Begin, Fingerprint, Handover, Home, HomeAnswer, HomeSets, IdempotencyConfig,
+    IdempotencyKey, IdempotencyTable, SetId, Wall, set_id,
 };
 use stoatstep_resource::{UpstreamName, Version};
 
@@ -36,7 +36,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Executor {
-    table: IntentTable,
+    table: IdempotencyTable,
     homes: HomeSets,
     pub(super) version: u8,
     pub(super) taken: BTreeMap<AttemptId, Taken>,
@@ -94,7 +94,7 @@
 
     pub(super) fn arrive(
         &mut self,
-        key: &IntentKey,
+        key: &IdempotencyKey,
         id: AttemptId,
         set: &BTreeSet<UpstreamName>,
         now: Wall,
@@ -122,7 +122,7 @@
 
     fn begin(
         &mut self,
-        key: &IntentKey,
+        key: &IdempotencyKey,
         id: AttemptId,
         set: SetId,
         now: Wall,
@@ -138,7 +138,7 @@
     /// What this executor says to a new home.
     pub(super) fn answer(
         &self,
-        key: &IntentKey,
+        key: &IdempotencyKey,
         asker: &UpstreamName,
         safeguards: Safeguards,
     ) -> (Version, HomeAnswer) {
@@ -152,7 +152,7 @@
     /// The answer of a previous home came in.
     pub(super) fn hear(
         &mut self,
-        key: &IntentKey,
+        key: &IdempotencyKey,
         id: AttemptId,
         now: Wall,
         safeguards: Safeguards,
@@ -205,12 +205,12 @@
         }
     }
 
-    pub(super) fn refuse(&mut self, key: &IntentKey, id: AttemptId) {
+    pub(super) fn refuse(&mut self, key: &IdempotencyKey, id: AttemptId) {
         self.taken.remove(&id);
         self.table.release(key, id);
     }
 
-    pub(super) fn finish(&mut self, key: &IntentKey, id: AttemptId) {
+    pub(super) fn finish(&mut self, key: &IdempotencyKey, id: AttemptId) {
         self.taken.remove(&id);
         let answer = Answer {
             status: 201,
@@ -220,7 +220,7 @@
         self.table.done(key, id, Arc::new(answer));
     }
 
-    pub(super) fn lose(&mut self, key: &IntentKey, id: AttemptId, safeguards: Safeguards) {
+    pub(super) fn lose(&mut self, key: &IdempotencyKey, id: AttemptId, safeguards: Safeguards) {
         self.taken.remove(&id);
         if safeguards.has(Safeguard::LostKeyKept) {
             self.table.lost(key, id);
@@ -235,8 +235,8 @@
     }
 }
 
-fn table(started: Wall, safeguards: Safeguards) -> IntentTable {
-    let cfg = IntentConfig::default()
+fn table(started: Wall, safeguards: Safeguards) -> IdempotencyTable {
+    let cfg = IdempotencyConfig::default()
         .skew(ticks(SKEW))
         .retention(ticks(RETENTION));
     let mut authority_from = started;
@@ -246,11 +246,11 @@
     if !safeguards.has(Safeguard::SkewMargin) {
         authority_from = started.saturating_sub(ticks(SKEW));
     }
-    IntentTable::new(authority_from, cfg)
+    IdempotencyTable::new(authority_from, cfg)
 }
 
 /// The time as a table sees it that lacks one of its checks.
-fn judged(key: &IntentKey, now: Wall, safeguards: Safeguards) -> Wall {
+fn judged(key: &IdempotencyKey, now: Wall, safeguards: Safeguards) -> Wall {
     let created = key.key.created().unwrap_or(now);
     if !safeguards.has(Safeguard::FutureKeyCheck) {
         return now.max(created);
--- a/crates/spec/src/intent/mod.rs
+++ b/crates/spec/src/intent/mod.rs
@@ -2,7 +2,7 @@
 //! while its home moves, restarts and forgets, and while clocks differ.
 //!
 //! Each executor's memory of keys is a shipped
-//! [`IntentTable`](stoatstep_calls::IntentTable), and who may run the key is
+//! [`IdempotencyTable`](stoatstep_calls::IdempotencyTable), and who may run the key is
 //! decided by a shipped [`HomeSets`](stoatstep_calls::HomeSets). The order in
 //! which the daemon calls them is asynchronous code there and written here anew.
 //! Keys that state no time are fenced by a row in the platform's table, which
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_calls::{AttemptId, IntentKey, KeyText, Wall, home_of};
+use stoatstep_calls::{AttemptId, IdempotencyKey, KeyText, Wall, home_of};
 use stoatstep_resource::UpstreamName;
 
 use crate::invariant::Invariant;
@@ -92,7 +92,7 @@
 pub struct IntentSpec {
     bounds: IntentBounds,
     safeguards: Safeguards,
-    key: IntentKey,
+    key: IdempotencyKey,
     /// The set of upstreams at each version, from 1.
     sets: Vec<BTreeSet<UpstreamName>>,
 }
@@ -234,8 +234,8 @@
 }
 
 /// A key whose home is the second upstream while there are both.
-fn key_that_moves(both: &BTreeSet<UpstreamName>, created: Wall) -> IntentKey {
-    let keys = (0..).map(|number: u32| IntentKey {
+fn key_that_moves(both: &BTreeSet<UpstreamName>, created: Wall) -> IdempotencyKey {
+    let keys = (0..).map(|number: u32| IdempotencyKey {
         service: "floatdesk".into(),
         tenant: "elm-school".into(),
         key: KeyText::Timed {
@@ -243,7 +243,7 @@
             created,
         },
     });
-    let moves = |key: &IntentKey| home_of(both, key).is_some_and(|it| it == UPSTREAMS[1]);
+    let moves = |key: &IdempotencyKey| home_of(both, key).is_some_and(|it| it == UPSTREAMS[1]);
     let mut moving = keys.into_iter().filter(moves);
     moving.next().expect("some key has this home")
 }
