--- a/crates/calls/src/intent/mod.rs
+++ b/crates/calls/src/intent/mod.rs
@@ -17,4 +17,4 @@
 pub use home::{Handover, Home, HomeSets, KnownMembers, home_of, set_id};
 pub use key::{IdempotencyKey, KeyError, KeyText};
 pub use memory::{IdempotencySnapshot, RememberedKey, RememberedRun};
-pub use table::{Begin, HomeAnswer, IdempotencyTable};
+pub use table::{HomeAnswer, IdempotencyTable, KeyDecision};
--- a/crates/calls/src/intent/table/handover.rs
+++ b/crates/calls/src/intent/table/handover.rs
@@ -9,7 +9,7 @@
     /// Returns the records that the next process has to restore, or `None` while a
     /// request is running, because its outcome would be missing.
     #[must_use]
-    pub fn memory(&self) -> Option<IdempotencySnapshot> {
+    pub fn snapshot(&self) -> Option<IdempotencySnapshot> {
         let intents = self.records.iter().map(|(key, record)| {
             Some(RememberedKey {
                 key: key.clone(),
@@ -29,9 +29,9 @@
     /// after it stored them. Without them, every key made before this process started
     /// is unsettled: after a planned restart, callers would be told "unknown" about
     /// requests that never ran.
-    pub fn resume(&mut self, memory: IdempotencySnapshot) {
-        self.since = self.since.min(memory.since);
-        for remembered in memory.intents {
+    pub fn restore(&mut self, snapshot: IdempotencySnapshot) {
+        self.since = self.since.min(snapshot.since);
+        for remembered in snapshot.intents {
             self.restore_key(remembered);
         }
         self.evict_answers();
--- a/crates/calls/src/intent/table/mod.rs
+++ b/crates/calls/src/intent/table/mod.rs
@@ -18,7 +18,7 @@
 
 /// What the home does with a request that has an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Begin {
+pub enum KeyDecision {
     /// Run the request. The table has recorded the key as running under this attempt.
     Run,
     /// A request with the same key is running under this attempt. Wait until it ends.
@@ -101,20 +101,20 @@
     }
 
     /// Returns what the table already knows about a key, or `None` if it knows
-    /// nothing. Never returns [`Begin::Run`].
+    /// nothing. Never returns [`KeyDecision::Run`].
     ///
     /// Must be called before any previous home is asked. For a key that ran here, the
     /// table alone decides; otherwise an unreachable previous home would cause a retry
     /// to be told "not run" about a request that did run.
     #[must_use]
-    pub fn recall(&self, key: &IdempotencyKey, fingerprint: Fingerprint) -> Option<Begin> {
+    pub fn lookup(&self, key: &IdempotencyKey, fingerprint: Fingerprint) -> Option<KeyDecision> {
         let record = self.records.get(key)?;
         Some(record.decide(fingerprint))
     }
 
     /// Decides about a request whose key has this executor as its home.
     ///
-    /// If the key states no creation time and the result is [`Begin::Run`], the request
+    /// If the key states no creation time and the result is [`KeyDecision::Run`], the request
     /// may run only after this attempt has written the claim row of the key.
     pub fn begin(
         &mut self,
@@ -122,18 +122,18 @@
         fingerprint: Fingerprint,
         attempt: AttemptId,
         now: Wall,
-    ) -> Begin {
-        if let Some(known) = self.recall(key, fingerprint) {
+    ) -> KeyDecision {
+        if let Some(known) = self.lookup(key, fingerprint) {
             return known;
         }
         if let Err(refusal) = self.check_age(key, now) {
-            return Begin::Refused(refusal);
+            return KeyDecision::Refused(refusal);
         }
         if self.records.len() >= self.cfg.keys {
-            return Begin::Refused(Refusal::retry(Reason::MemoryFull, FULL_RETRY_AFTER));
+            return KeyDecision::Refused(Refusal::retry(Reason::MemoryFull, FULL_RETRY_AFTER));
         }
         self.insert(key, fingerprint, attempt, now);
-        Begin::Run
+        KeyDecision::Run
     }
 
     fn check_age(&self, key: &IdempotencyKey, now: Wall) -> Result<(), Refusal> {
@@ -199,7 +199,7 @@
     /// Returns what this executor knows about a key whose home has moved to another
     /// executor. Must be called only after the version that moved it was applied here.
     #[must_use]
-    pub fn hand_over(&self, key: &IdempotencyKey) -> HomeAnswer {
+    pub fn status_for_new_home(&self, key: &IdempotencyKey) -> HomeAnswer {
         let Some(record) = self.records.get(key) else {
             let created = key.key.created();
             // A second run of a key without a creation time is prevented by its claim row.
@@ -314,15 +314,17 @@
 }
 
 impl Record {
-    fn decide(&self, fingerprint: Fingerprint) -> Begin {
+    fn decide(&self, fingerprint: Fingerprint) -> KeyDecision {
         if self.fingerprint != fingerprint {
-            return Begin::Refused(Refusal::permanent(Reason::KeyReused));
+            return KeyDecision::Refused(Refusal::permanent(Reason::KeyReused));
         }
         match &self.run {
-            Run::Running(attempt) => Begin::Wait(*attempt),
-            Run::Done(answer) => Begin::Replay(Arc::clone(answer)),
-            Run::DoneWithoutAnswer => Begin::Refused(Refusal::permanent(Reason::AnswerTooLarge)),
-            Run::Unknown => Begin::Refused(Refusal::permanent(Reason::LostAnswer)),
+            Run::Running(attempt) => KeyDecision::Wait(*attempt),
+            Run::Done(answer) => KeyDecision::Replay(Arc::clone(answer)),
+            Run::DoneWithoutAnswer => {
+                KeyDecision::Refused(Refusal::permanent(Reason::AnswerTooLarge))
+            }
+            Run::Unknown => KeyDecision::Refused(Refusal::permanent(Reason::LostAnswer)),
         }
     }
 }
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -58,9 +58,9 @@
 pub use identity::{CREDENTIAL, CredentialError, KeyRing, bearer_key};
 pub use ids::{AttemptId, Incarnation, SetId, Time, Wall};
 pub use intent::{
-    Begin, Handover, Home, HomeAnswer, HomeSets, IdempotencyConfig, IdempotencyKey,
-    IdempotencySnapshot, IdempotencyTable, KeyError, KeyText, KnownMembers, RememberedKey,
-    RememberedRun, home_of, set_id,
+    Handover, Home, HomeAnswer, HomeSets, IdempotencyConfig, IdempotencyKey, IdempotencySnapshot,
+    IdempotencyTable, KeyDecision, KeyError, KeyText, KnownMembers, RememberedKey, RememberedRun,
+    home_of, set_id,
 };
 pub use ledger::{Arrival, Ledger, LedgerConfig, Settled, Ticket};
 pub use placement::{Placement, Seen, Wish};
--- a/crates/calls/tests/all/intent.rs
+++ b/crates/calls/tests/all/intent.rs
@@ -2,8 +2,8 @@
 use std::time::Duration;
 
 use stoatstep_calls::{
-    Answer, Begin, Fingerprint, HomeAnswer, IdempotencyConfig, IdempotencyKey, IdempotencyTable,
-    KeyError, KeyText, Reason,
+    Answer, Fingerprint, HomeAnswer, IdempotencyConfig, IdempotencyKey, IdempotencyTable,
+    KeyDecision, KeyError, KeyText, Reason,
 };
 use uuid::{NoContext, Timestamp, Uuid};
 
@@ -38,10 +38,10 @@
     })
 }
 
-fn reason(begin: &Begin) -> Option<Reason> {
+fn reason(begin: &KeyDecision) -> Option<Reason> {
     match begin {
-        Begin::Refused(refusal) => Some(refusal.reason),
-        Begin::Run | Begin::Wait(_) | Begin::Replay(_) => None,
+        KeyDecision::Refused(refusal) => Some(refusal.reason),
+        KeyDecision::Run | KeyDecision::Wait(_) | KeyDecision::Replay(_) => None,
     }
 }
 
@@ -52,10 +52,13 @@
     let mut table = table();
     let now = START + MINUTE;
     let key = timed_key(now);
-    assert_eq!(table.begin(&key, REQUEST, 1, now), Begin::Run);
-    assert_eq!(table.begin(&key, REQUEST, 2, now), Begin::Wait(1));
+    assert_eq!(table.begin(&key, REQUEST, 1, now), KeyDecision::Run);
+    assert_eq!(table.begin(&key, REQUEST, 2, now), KeyDecision::Wait(1));
     table.done(&key, 1, answer());
-    assert_eq!(table.begin(&key, REQUEST, 3, now), Begin::Replay(answer()));
+    assert_eq!(
+        table.begin(&key, REQUEST, 3, now),
+        KeyDecision::Replay(answer())
+    );
 }
 
 // A claim ran at its home, and its caller retries while a previous home is down. The
@@ -66,12 +69,15 @@
     let mut table = table();
     let now = START + MINUTE;
     let key = timed_key(now);
-    assert_eq!(table.recall(&key, REQUEST), None);
-    assert_eq!(table.begin(&key, REQUEST, 1, now), Begin::Run);
-    assert_eq!(table.recall(&key, REQUEST), Some(Begin::Wait(1)));
+    assert_eq!(table.lookup(&key, REQUEST), None);
+    assert_eq!(table.begin(&key, REQUEST, 1, now), KeyDecision::Run);
+    assert_eq!(table.lookup(&key, REQUEST), Some(KeyDecision::Wait(1)));
     table.done(&key, 1, answer());
-    assert_eq!(table.recall(&key, REQUEST), Some(Begin::Replay(answer())));
-    let reused = table.recall(&key, Fingerprint(2));
+    assert_eq!(
+        table.lookup(&key, REQUEST),
+        Some(KeyDecision::Replay(answer()))
+    );
+    let reused = table.lookup(&key, Fingerprint(2));
     assert_eq!(reused.as_ref().and_then(reason), Some(Reason::KeyReused));
 }
 
@@ -84,7 +90,7 @@
     let within_skew = timed_key(START + SECOND);
     let begin = table.begin(&within_skew, REQUEST, 1, now);
     assert_eq!(reason(&begin), Some(Reason::KeyUnsettled));
-    assert_eq!(table.hand_over(&within_skew), HomeAnswer::Unknown);
+    assert_eq!(table.status_for_new_home(&within_skew), HomeAnswer::Unknown);
 }
 
 // A caller whose clock is ahead by the maximum skew makes a key at the moment at which
@@ -97,9 +103,12 @@
     let at_the_bound = timed_key(START + 2 * SECOND);
     let begin = table.begin(&at_the_bound, REQUEST, 1, now);
     assert_eq!(reason(&begin), Some(Reason::KeyUnsettled));
-    assert_eq!(table.hand_over(&at_the_bound), HomeAnswer::Unknown);
+    assert_eq!(
+        table.status_for_new_home(&at_the_bound),
+        HomeAnswer::Unknown
+    );
     let after = timed_key(START + 3 * SECOND);
-    assert_eq!(table.begin(&after, REQUEST, 2, now), Begin::Run);
+    assert_eq!(table.begin(&after, REQUEST, 2, now), KeyDecision::Run);
 }
 
 // The home of a key moves to this executor. The clock of the previous home is ahead by
@@ -119,7 +128,7 @@
     let mut table = table();
     let now = START + MINUTE;
     let key = timed_key(now);
-    assert_eq!(table.begin(&key, REQUEST, 1, now), Begin::Run);
+    assert_eq!(table.begin(&key, REQUEST, 1, now), KeyDecision::Run);
     table.done(&key, 1, answer());
     let later = now + 11 * MINUTE;
     table.tick(later);
@@ -159,10 +168,10 @@
     let key = timed_key(now);
     table.begin(&key, REQUEST, 1, now);
     table.release(&key, 1);
-    assert_eq!(table.begin(&key, REQUEST, 2, now), Begin::Run);
+    assert_eq!(table.begin(&key, REQUEST, 2, now), KeyDecision::Run);
     table.release(&key, 1);
     table.done(&key, 1, answer());
-    assert_eq!(table.begin(&key, REQUEST, 3, now), Begin::Wait(2));
+    assert_eq!(table.begin(&key, REQUEST, 3, now), KeyDecision::Wait(2));
 }
 
 #[test]
@@ -182,10 +191,10 @@
     let mut table = IdempotencyTable::new(START, IdempotencyConfig::default().keys(1));
     let now = START + MINUTE;
     let first = timed_key(now);
-    assert_eq!(table.begin(&first, REQUEST, 1, now), Begin::Run);
+    assert_eq!(table.begin(&first, REQUEST, 1, now), KeyDecision::Run);
     let second = table.begin(&timed_key(now), REQUEST, 2, now);
     assert_eq!(reason(&second), Some(Reason::MemoryFull));
-    assert_eq!(table.begin(&first, REQUEST, 3, now), Begin::Wait(1));
+    assert_eq!(table.begin(&first, REQUEST, 3, now), KeyDecision::Wait(1));
 }
 
 // The first attempt of a key without a creation time was refused, and the key is used
@@ -201,7 +210,10 @@
     table.done(&key, 2, answer());
     let now = START + 15 * MINUTE;
     table.tick(now);
-    assert_eq!(table.begin(&key, REQUEST, 3, now), Begin::Replay(answer()));
+    assert_eq!(
+        table.begin(&key, REQUEST, 3, now),
+        KeyDecision::Replay(answer())
+    );
 }
 
 #[test]
@@ -224,21 +236,21 @@
     let made = START + MINUTE;
     let (ran, new) = (timed_key(made), timed_key(made + SECOND));
     let mut before = table();
-    assert_eq!(before.begin(&ran, REQUEST, 1, made), Begin::Run);
-    assert_eq!(before.memory(), None, "a request is still running");
+    assert_eq!(before.begin(&ran, REQUEST, 1, made), KeyDecision::Run);
+    assert_eq!(before.snapshot(), None, "a request is still running");
     before.done(&ran, 1, answer());
-    let memory = before.memory().expect("nothing runs");
+    let snapshot = before.snapshot().expect("nothing runs");
 
     let restarted = made + 3 * SECOND;
     let mut after = IdempotencyTable::new(restarted, IdempotencyConfig::default());
     let unsettled = after.begin(&new, REQUEST, 2, restarted);
     assert_eq!(reason(&unsettled), Some(Reason::KeyUnsettled));
-    after.resume(memory);
+    after.restore(snapshot);
     assert_eq!(
         after.begin(&ran, REQUEST, 3, restarted),
-        Begin::Replay(answer())
+        KeyDecision::Replay(answer())
     );
-    assert_eq!(after.begin(&new, REQUEST, 4, restarted), Begin::Run);
+    assert_eq!(after.begin(&new, REQUEST, 4, restarted), KeyDecision::Run);
     assert_eq!(after.len(), 2);
     after.tick(made + Duration::from_mins(20));
     assert_eq!(after.len(), 1, "only the running request is kept");
--- a/crates/daemon/src/call/handover.rs
+++ b/crates/daemon/src/call/handover.rs
@@ -124,7 +124,7 @@
     let tables = node.calls.executor.borrow();
     Some(MemoryObject {
         birth,
-        memory: tables.intents.memory()?,
+        memory: tables.intents.snapshot()?,
         members: tables.homes.known(),
     })
 }
@@ -175,7 +175,7 @@
     let keys = object.memory.intents.len();
     let mut tables = node.calls.executor.borrow_mut();
     tables.homes.resume(object.members);
-    tables.intents.resume(object.memory);
+    tables.intents.restore(object.memory);
     slog::info!(node.log, "memory of keys taken over"; "keys" => keys);
 }
 
--- a/crates/daemon/src/call/homes.rs
+++ b/crates/daemon/src/call/homes.rs
@@ -145,7 +145,7 @@
             answer: WireHomeAnswer::Running,
         };
     }
-    let answer = tables.intents.hand_over(&message.key);
+    let answer = tables.intents.status_for_new_home(&message.key);
     WireHomeReply {
         version,
         answer: WireHomeAnswer::from(answer),
--- a/crates/daemon/src/call/keyed.rs
+++ b/crates/daemon/src/call/keyed.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::format_smolstr;
 use stoatstep_calls::{
-    Answer, AttemptId, Begin, Deadline, Fingerprint, IdempotencyKey, KeyText, Reason, Refusal,
+    Answer, AttemptId, Deadline, Fingerprint, IdempotencyKey, KeyDecision, KeyText, Reason, Refusal,
 };
 use stoatstep_platform::{
     CommitAnswer, CommitRequest, Condition, Platform, PlatformError, ReadRequest, Row, RowKey,
@@ -64,10 +64,10 @@
             begin(node, attempt, key, fingerprint)
         };
         match begin {
-            Begin::Run => return Opened::Run,
-            Begin::Replay(answer) => return Opened::Ended(RunEnd::Done(answer)),
-            Begin::Refused(refusal) => return Opened::Ended(RunEnd::Refused(refusal)),
-            Begin::Wait(other) => {
+            KeyDecision::Run => return Opened::Run,
+            KeyDecision::Replay(answer) => return Opened::Ended(RunEnd::Done(answer)),
+            KeyDecision::Refused(refusal) => return Opened::Ended(RunEnd::Refused(refusal)),
+            KeyDecision::Wait(other) => {
                 if !wait_for(node, other, deadline).await {
                     return Opened::Ended(RunEnd::refused(Reason::TimedOut));
                 }
@@ -88,9 +88,9 @@
     Refusal::retry(Reason::NotReady, HOME_RETRY)
 }
 
-fn recall(node: &Rc<Node>, key: &IdempotencyKey, fingerprint: Fingerprint) -> Option<Begin> {
+fn recall(node: &Rc<Node>, key: &IdempotencyKey, fingerprint: Fingerprint) -> Option<KeyDecision> {
     let tables = node.calls.executor.borrow();
-    tables.intents.recall(key, fingerprint)
+    tables.intents.lookup(key, fingerprint)
 }
 
 fn begin(
@@ -98,7 +98,7 @@
     attempt: &Attempt,
     key: &IdempotencyKey,
     fingerprint: Fingerprint,
-) -> Begin {
+) -> KeyDecision {
     let wall = node.calls.clock.wall();
     let mut tables = node.calls.executor.borrow_mut();
     tables.intents.begin(key, fingerprint, attempt.id, wall)
--- a/crates/scenario/src/daemon/handover.rs
+++ b/crates/scenario/src/daemon/handover.rs
@@ -82,7 +82,7 @@
 fn memory(node: &Node) -> Option<(TableRevision, MemoryObject)> {
     let birth = birth(node);
     let calls = node.calls.borrow();
-    let memory = calls.intents.memory()?;
+    let memory = calls.intents.snapshot()?;
     Some((calls.home_row?, (birth, memory, calls.homes.known())))
 }
 
@@ -103,7 +103,7 @@
     };
     let calls = &mut *node.calls.borrow_mut();
     calls.homes.resume(members);
-    calls.intents.resume(memory);
+    calls.intents.restore(memory);
 }
 
 async fn write(
--- a/crates/scenario/src/daemon/keyed.rs
+++ b/crates/scenario/src/daemon/keyed.rs
@@ -4,8 +4,8 @@
 
 use smol_str::format_smolstr;
 use stoatstep_calls::{
-    AttemptId, Begin, Deadline, Fingerprint, Handover, Home, HomeAnswer, IdempotencyKey, KeyText,
-    Reason, Refusal,
+    AttemptId, Deadline, Fingerprint, Handover, Home, HomeAnswer, IdempotencyKey, KeyDecision,
+    KeyText, Reason, Refusal,
 };
 use stoatstep_membership::Time;
 use stoatstep_platform::{
@@ -46,10 +46,10 @@
             begin(node, attempt, key)
         };
         let other = match begin {
-            Begin::Run => return Ok(()),
-            Begin::Replay(answer) => return Err(Ok(answer)),
-            Begin::Refused(refusal) => return Err(Err(refusal)),
-            Begin::Wait(other) => other,
+            KeyDecision::Run => return Ok(()),
+            KeyDecision::Replay(answer) => return Err(Ok(answer)),
+            KeyDecision::Refused(refusal) => return Err(Err(refusal)),
+            KeyDecision::Wait(other) => other,
         };
         if !wait_for(node, other, deadline).await {
             return Err(Err(Refusal::permanent(Reason::TimedOut)));
@@ -62,12 +62,12 @@
     node.calls.borrow().has_home || matches!(key.key, KeyText::Plain(_))
 }
 
-fn recall(node: &Node, attempt: &Attempt, key: &IdempotencyKey) -> Option<Begin> {
+fn recall(node: &Node, attempt: &Attempt, key: &IdempotencyKey) -> Option<KeyDecision> {
     let intents = &node.calls.borrow().intents;
-    intents.recall(key, fingerprint(attempt))
+    intents.lookup(key, fingerprint(attempt))
 }
 
-fn begin(node: &Node, attempt: &Attempt, key: &IdempotencyKey) -> Begin {
+fn begin(node: &Node, attempt: &Attempt, key: &IdempotencyKey) -> KeyDecision {
     let wall = node.wall();
     let fingerprint = fingerprint(attempt);
     let intents = &mut node.calls.borrow_mut().intents;
@@ -135,7 +135,7 @@
         let version = config(&peer);
         let calls = peer.calls.borrow();
         if calls.homes.is_home(&wanted, &asker) {
-            (version, calls.intents.hand_over(&wanted))
+            (version, calls.intents.status_for_new_home(&wanted))
         } else {
             (0, HomeAnswer::Running)
         }
--- a/crates/spec/src/intent/home.rs
+++ b/crates/spec/src/intent/home.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use stoatstep_calls::{
-    Answer, AttemptId, Begin, Fingerprint, Handover, Home, HomeAnswer, HomeSets, IdempotencyConfig,
-    IdempotencyKey, IdempotencyTable, SetId, Wall, set_id,
+    Answer, AttemptId, Fingerprint, Handover, Home, HomeAnswer, HomeSets, IdempotencyConfig,
+    IdempotencyKey, IdempotencyTable, KeyDecision, SetId, Wall, set_id,
 };
 use stoatstep_resource::{UpstreamName, Version};
 
@@ -71,8 +71,8 @@
         safeguards: Safeguards,
     ) -> Self {
         let mut next = Self::new(number, now, self.version, set, safeguards);
-        if let Some(memory) = self.table.memory() {
-            next.table.resume(memory);
+        if let Some(memory) = self.table.snapshot() {
+            next.table.restore(memory);
             if safeguards.has(Safeguard::MembersHandedOver) {
                 next.homes.resume(self.homes.known());
             }
@@ -100,7 +100,7 @@
         now: Wall,
         safeguards: Safeguards,
     ) {
-        if self.table.recall(key, REQUEST).is_some() {
+        if self.table.lookup(key, REQUEST).is_some() {
             return;
         }
         let mut set = set_id(set);
@@ -129,7 +129,7 @@
         safeguards: Safeguards,
     ) {
         let now = judged(key, now, safeguards);
-        if self.table.begin(key, REQUEST, id, now) == Begin::Run {
+        if self.table.begin(key, REQUEST, id, now) == KeyDecision::Run {
             let phase = Phase::Waits;
             self.taken.insert(id, Taken { set, phase });
         }
@@ -146,7 +146,7 @@
         if checks && !self.homes.is_home(key, asker) {
             return (0, HomeAnswer::Running);
         }
-        (self.version.into(), self.table.hand_over(key))
+        (self.version.into(), self.table.status_for_new_home(key))
     }
 
     /// The answer of a previous home came in.
