--- a/crates/calls/src/intent/mod.rs
+++ b/crates/calls/src/idempotency/mod.rs
@@ -10,11 +10,11 @@
 mod config;
 mod home;
 mod key;
-mod memory;
+mod snapshot;
 mod table;
 
 pub use config::IdempotencyConfig;
 pub use home::{Handover, Home, HomeSets, KnownMembers, home_of, set_id};
 pub use key::{IdempotencyKey, KeyError, KeyText};
-pub use memory::{IdempotencySnapshot, RememberedKey, RememberedRun};
+pub use snapshot::{IdempotencySnapshot, RememberedKey, RememberedRun};
 pub use table::{HomeAnswer, IdempotencyTable, KeyDecision};
--- a/crates/calls/src/intent/table/mod.rs
+++ b/crates/calls/src/idempotency/table/mod.rs
@@ -1,6 +1,6 @@
 //! The table of idempotency keys at their home.
 
-mod handover;
+mod restore;
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
--- a/crates/calls/src/intent/table/handover.rs
+++ b/crates/calls/src/idempotency/table/restore.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::{IdempotencyTable, Record, Run};
-use crate::intent::memory::{IdempotencySnapshot, RememberedKey, RememberedRun};
+use crate::idempotency::snapshot::{IdempotencySnapshot, RememberedKey, RememberedRun};
 
 impl IdempotencyTable {
     /// Returns the records that the next process has to restore, or `None` while a
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -29,9 +29,9 @@
 mod drain;
 mod estimate;
 mod fingerprint;
+mod idempotency;
 mod identity;
 mod ids;
-mod intent;
 mod ledger;
 mod placement;
 mod quarantine;
@@ -55,13 +55,13 @@
 pub use drain::{Drain, DrainStep};
 pub use estimate::Estimate;
 pub use fingerprint::Fingerprint;
-pub use identity::{CREDENTIAL, CredentialError, KeyRing, bearer_key};
-pub use ids::{AttemptId, Incarnation, SetId, Time, Wall};
-pub use intent::{
+pub use idempotency::{
     Handover, Home, HomeAnswer, HomeSets, IdempotencyConfig, IdempotencyKey, IdempotencySnapshot,
     IdempotencyTable, KeyDecision, KeyError, KeyText, KnownMembers, RememberedKey, RememberedRun,
     home_of, set_id,
 };
+pub use identity::{CREDENTIAL, CredentialError, KeyRing, bearer_key};
+pub use ids::{AttemptId, Incarnation, SetId, Time, Wall};
 pub use ledger::{Arrival, Ledger, LedgerConfig, Settled, Ticket};
 pub use placement::{Placement, Seen, Wish};
 pub use quarantine::{
