--- a/crates/calls/src/idempotency/home.rs
+++ b/crates/calls/src/idempotency/home.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
 use super::key::IdempotencyKey;
-use crate::ids::{SetId, Wall};
+use crate::ids::{UpstreamSetId, Wall};
 
 /// Maximum number of earlier sets kept for one service. Older ones are merged into
 /// one set in which every member counts as a previous home. This can only add
@@ -37,7 +37,7 @@
 /// Computes the id of a set of upstreams. Two daemons whose sets have the same id
 /// agree on the home of every key.
 #[must_use]
-pub fn set_id(names: &BTreeSet<UpstreamName>) -> SetId {
+pub fn upstream_set_id(names: &BTreeSet<UpstreamName>) -> UpstreamSetId {
     let mut hasher = Xxh3::new();
     for name in names {
         hasher.update(&name.len().to_le_bytes());
@@ -48,13 +48,13 @@
 
 /// Whether this executor may run the request of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Home {
+pub enum HomeCheck {
     /// This executor is the home, and no other executor can have run the key or can
     /// still run it.
     Mine,
     /// This executor is the home, but has to ask these previous homes about the key
     /// first.
-    Ask(Vec<Handover>),
+    Ask(Vec<HomeQuery>),
     /// This executor is the home, but a previous home is gone together with its
     /// table, and the key was made at a time when it may still have run there.
     Unsettled,
@@ -66,7 +66,7 @@
 
 /// A question to a previous home about a key.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Handover {
+pub struct HomeQuery {
     /// The previous home.
     pub upstream: UpstreamName,
     /// The version that the previous home must have applied before its reply counts.
@@ -106,7 +106,7 @@
 /// The current and earlier sets of upstreams of each service, and the version that
 /// each other executor is known to have applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct HomeSets {
+pub struct HomeHistory {
     me: UpstreamName,
     skew: Duration,
     retention: Duration,
@@ -116,7 +116,7 @@
     inherited: KnownMembers,
 }
 
-impl HomeSets {
+impl HomeHistory {
     /// Creates an empty history for the executor of upstream `me`. `skew` is the
     /// maximum difference between two calendar clocks, `retention` is how long keys
     /// are kept.
@@ -134,7 +134,7 @@
 
     /// Returns what the next process has to restore besides the table of keys.
     #[must_use]
-    pub fn known(&self) -> KnownMembers {
+    pub fn known_members(&self) -> KnownMembers {
         let mut known = self.inherited.clone();
         for (service, sets) in &self.services {
             let earlier = sets.earlier.iter().flat_map(|it| &it.names);
@@ -151,7 +151,7 @@
     /// Such a key may have run at an intermediate home whose upstream has been deleted
     /// since. Without its name that home would not be asked, and the key would run
     /// again.
-    pub fn resume(&mut self, known: KnownMembers) {
+    pub fn restore(&mut self, known: KnownMembers) {
         for (service, names) in &known {
             let sets = self.services.get_mut(service);
             let earlier = sets.into_iter().flat_map(|sets| &mut sets.earlier);
@@ -164,7 +164,7 @@
 
     /// Applies the set that `version` has for a service. `follows` is true if no
     /// version since the last applied one was skipped.
-    pub fn note(
+    pub fn apply_set(
         &mut self,
         service: &ServiceName,
         names: BTreeSet<UpstreamName>,
@@ -219,14 +219,16 @@
 
     /// Returns the id of the current set of a service.
     #[must_use]
-    pub fn current_id(&self, service: &ServiceName) -> Option<SetId> {
-        self.services.get(service).map(|sets| set_id(&sets.current))
+    pub fn current_id(&self, service: &ServiceName) -> Option<UpstreamSetId> {
+        self.services
+            .get(service)
+            .map(|sets| upstream_set_id(&sets.current))
     }
 
     /// Returns when `version` was applied here, or zero if it is not known to have
     /// changed any set.
     #[must_use]
-    pub fn noted_at(&self, version: Version) -> Wall {
+    pub fn applied_at(&self, version: Version) -> Wall {
         let earlier = self.services.values().flat_map(|sets| &sets.earlier);
         let of_version = earlier.filter(|it| it.ended == version);
         of_version.map(|it| it.ended_at).max().unwrap_or_default()
@@ -236,23 +238,23 @@
     /// `id`. Previous homes are not checked for a key without a creation time: its
     /// claim row prevents a second run.
     #[must_use]
-    pub fn check(&self, key: &IdempotencyKey, id: SetId) -> Home {
+    pub fn check(&self, key: &IdempotencyKey, id: UpstreamSetId) -> HomeCheck {
         let Some(sets) = self.services.get(&key.service) else {
-            return Home::StaleConfig;
+            return HomeCheck::StaleConfig;
         };
-        if set_id(&sets.current) != id {
-            return Home::StaleConfig;
+        if upstream_set_id(&sets.current) != id {
+            return HomeCheck::StaleConfig;
         }
         if home_of(&sets.current, key) != Some(&self.me) {
-            return Home::NotMine;
+            return HomeCheck::NotMine;
         }
         match key.key.created() {
             Some(created) => self.check_earlier(sets, key, created),
-            None => Home::Mine,
+            None => HomeCheck::Mine,
         }
     }
 
-    fn check_earlier(&self, sets: &Sets, key: &IdempotencyKey, created: Wall) -> Home {
+    fn check_earlier(&self, sets: &Sets, key: &IdempotencyKey, created: Wall) -> HomeCheck {
         let mut ask = BTreeMap::new();
         for earlier in &sets.earlier {
             for upstream in self.previous_homes(earlier, key) {
@@ -262,7 +264,7 @@
                     // The key was made after the previous home had stopped accepting
                     // keys of the earlier set, so it cannot have run there.
                     Some(it) if created > it.at + self.skew => {}
-                    Some(it) if !it.has_table => return Home::Unsettled,
+                    Some(it) if !it.has_table => return HomeCheck::Unsettled,
                     _ => {
                         let version: &mut Version = ask.entry(upstream.clone()).or_default();
                         *version = earlier.ended.max(*version);
@@ -271,10 +273,10 @@
             }
         }
         if ask.is_empty() {
-            return Home::Mine;
+            return HomeCheck::Mine;
         }
-        let question = |(upstream, version)| Handover { upstream, version };
-        Home::Ask(ask.into_iter().map(question).collect())
+        let question = |(upstream, version)| HomeQuery { upstream, version };
+        HomeCheck::Ask(ask.into_iter().map(question).collect())
     }
 
     fn previous_homes<'a>(
@@ -297,7 +299,7 @@
     /// Records that the upstream was deleted and that no instance of it is known any
     /// more. The operator's deletion is taken as proof that it runs nothing. Keys made
     /// up to now may have run there.
-    pub fn gone(&mut self, upstream: &UpstreamName, version: Version, now: Wall) {
+    pub fn mark_deleted(&mut self, upstream: &UpstreamName, version: Version, now: Wall) {
         self.record_confirmed(upstream, version, now, false);
     }
 
--- a/crates/calls/src/idempotency/mod.rs
+++ b/crates/calls/src/idempotency/mod.rs
@@ -5,7 +5,7 @@
 //! with this key, after looking the key up in its table ([`IdempotencyTable`]). The table
 //! decides about keys that state their creation time only if they were made after
 //! its process started. After a change of the set of upstreams, the previous home
-//! has to confirm first ([`HomeSets`]). See `docs/design/at-most-once.md`.
+//! has to confirm first ([`HomeHistory`]). See `docs/design/at-most-once.md`.
 
 mod config;
 mod home;
@@ -14,7 +14,7 @@
 mod table;
 
 pub use config::IdempotencyConfig;
-pub use home::{Handover, Home, HomeSets, KnownMembers, home_of, set_id};
+pub use home::{HomeCheck, HomeHistory, HomeQuery, KnownMembers, home_of, upstream_set_id};
 pub use key::{IdempotencyKey, KeyError, KeyText};
 pub use snapshot::{IdempotencySnapshot, RememberedKey, RememberedRun};
 pub use table::{HomeAnswer, IdempotencyTable, KeyDecision};
--- a/crates/calls/src/ids.rs
+++ b/crates/calls/src/ids.rs
@@ -9,8 +9,8 @@
 /// Identifies one run of a daemon process. It changes when the daemon restarts.
 pub type Incarnation = u64;
 
-/// Identifies a set of upstreams, see [`crate::set_id`].
-pub type SetId = u64;
+/// Identifies a set of upstreams, see [`crate::upstream_set_id`].
+pub type UpstreamSetId = u64;
 
 /// Reading of this process's steady clock: the time since the process started.
 /// Readings of two machines are not comparable.
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -56,12 +56,12 @@
 pub use estimate::Estimate;
 pub use fingerprint::Fingerprint;
 pub use idempotency::{
-    Handover, Home, HomeAnswer, HomeSets, IdempotencyConfig, IdempotencyKey, IdempotencySnapshot,
-    IdempotencyTable, KeyDecision, KeyError, KeyText, KnownMembers, RememberedKey, RememberedRun,
-    home_of, set_id,
+    HomeAnswer, HomeCheck, HomeHistory, HomeQuery, IdempotencyConfig, IdempotencyKey,
+    IdempotencySnapshot, IdempotencyTable, KeyDecision, KeyError, KeyText, KnownMembers,
+    RememberedKey, RememberedRun, home_of, upstream_set_id,
 };
 pub use identity::{CREDENTIAL, CredentialError, KeyRing, bearer_key};
-pub use ids::{AttemptId, Incarnation, SetId, Time, Wall};
+pub use ids::{AttemptId, Incarnation, Time, UpstreamSetId, Wall};
 pub use ledger::{Arrival, Ledger, LedgerConfig, Settled, Ticket};
 pub use placement::{Placement, Seen, Wish};
 pub use quarantine::{
--- a/crates/calls/tests/all/homes.rs
+++ b/crates/calls/tests/all/homes.rs
@@ -2,7 +2,9 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_calls::{Handover, Home, HomeSets, IdempotencyKey, home_of, set_id};
+use stoatstep_calls::{
+    HomeCheck, HomeHistory, HomeQuery, IdempotencyKey, home_of, upstream_set_id,
+};
 
 use crate::intent::timed_key;
 
@@ -16,9 +18,9 @@
 }
 
 /// The history of upstream `b` right after it started.
-fn started(names: &[&str]) -> HomeSets {
-    let mut homes = HomeSets::new("b".into(), SKEW, RETENTION);
-    homes.note(&"floatdesk".into(), set(names), 1, true, NOW);
+fn started(names: &[&str]) -> HomeHistory {
+    let mut homes = HomeHistory::new("b".into(), SKEW, RETENTION);
+    homes.apply_set(&"floatdesk".into(), set(names), 1, true, NOW);
     homes
 }
 
@@ -34,12 +36,12 @@
         .expect("some key has these homes")
 }
 
-fn ask(names: &[&str], version: u64) -> Home {
-    let question = |name: &&str| Handover {
+fn ask(names: &[&str], version: u64) -> HomeCheck {
+    let question = |name: &&str| HomeQuery {
         upstream: SmolStr::from(*name),
         version,
     };
-    Home::Ask(names.iter().map(question).collect())
+    HomeCheck::Ask(names.iter().map(question).collect())
 }
 
 // An upstream is added while the previous home lags behind. A lagging entry still sends
@@ -49,14 +51,14 @@
 fn new_home_waits_for_the_previous_one() {
     let mut homes = started(&["a"]);
     homes.confirm(&"a".into(), 1, NOW);
-    homes.note(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
-    let id = set_id(&set(&["a", "b"]));
+    homes.apply_set(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
+    let id = upstream_set_id(&set(&["a", "b"]));
     let fresh = key_with_homes(NOW + 5 * SKEW, &[(&["a", "b"], "b")]);
     assert_eq!(homes.check(&fresh, id), ask(&["a"], 2));
     homes.confirm(&"a".into(), 1, NOW + SKEW);
     assert_eq!(homes.check(&fresh, id), ask(&["a"], 2));
     homes.confirm(&"a".into(), 2, NOW + SKEW);
-    assert_eq!(homes.check(&fresh, id), Home::Mine);
+    assert_eq!(homes.check(&fresh, id), HomeCheck::Mine);
 }
 
 // A claim ran at the previous home, its answer was lost, and the retry goes to the new
@@ -64,10 +66,10 @@
 #[test]
 fn key_from_before_the_confirmation_is_asked_for() {
     let mut homes = started(&["a"]);
-    homes.note(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
+    homes.apply_set(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
     homes.confirm(&"a".into(), 2, NOW);
     let old = key_with_homes(NOW + SKEW / 2, &[(&["a", "b"], "b")]);
-    let id = set_id(&set(&["a", "b"]));
+    let id = upstream_set_id(&set(&["a", "b"]));
     assert_eq!(homes.check(&old, id), ask(&["a"], 2));
 }
 
@@ -78,7 +80,10 @@
     let names = &["a", "b", "c"];
     let homes = started(names);
     let key = key_with_homes(NOW + 5 * SKEW, &[(names, "b")]);
-    assert_eq!(homes.check(&key, set_id(&set(names))), ask(&["a", "c"], 1));
+    assert_eq!(
+        homes.check(&key, upstream_set_id(&set(names))),
+        ask(&["a", "c"], 1)
+    );
 }
 
 // Versions were skipped. A set of a skipped version may have had another home.
@@ -87,9 +92,12 @@
     let mut homes = started(&["a"]);
     homes.confirm(&"a".into(), 1, NOW);
     let names = &["a", "b"];
-    homes.note(&"floatdesk".into(), set(names), 9, false, NOW);
+    homes.apply_set(&"floatdesk".into(), set(names), 9, false, NOW);
     let key = key_with_homes(NOW + 5 * SKEW, &[(names, "b")]);
-    assert_eq!(homes.check(&key, set_id(&set(names))), ask(&["a"], 9));
+    assert_eq!(
+        homes.check(&key, upstream_set_id(&set(names))),
+        ask(&["a"], 9)
+    );
 }
 
 // An instance is destroyed and its upstream deleted. Keys made before may have run
@@ -98,23 +106,26 @@
 fn keys_of_a_destroyed_home_are_unsettled() {
     let mut homes = started(&["a", "b"]);
     homes.confirm(&"a".into(), 1, NOW);
-    homes.note(&"floatdesk".into(), set(&["b"]), 2, true, NOW);
-    homes.gone(&"a".into(), 2, NOW);
-    let id = set_id(&set(&["b"]));
+    homes.apply_set(&"floatdesk".into(), set(&["b"]), 2, true, NOW);
+    homes.mark_deleted(&"a".into(), 2, NOW);
+    let id = upstream_set_id(&set(&["b"]));
     let old = key_with_homes(EARLIER, &[(&["a", "b"], "a")]);
-    assert_eq!(homes.check(&old, id), Home::Unsettled);
+    assert_eq!(homes.check(&old, id), HomeCheck::Unsettled);
     let new = key_with_homes(NOW + 2 * SKEW, &[(&["a", "b"], "a")]);
-    assert_eq!(homes.check(&new, id), Home::Mine);
+    assert_eq!(homes.check(&new, id), HomeCheck::Mine);
 }
 
 #[test]
 fn entry_with_another_set_is_refused() {
     let homes = started(&["a", "b"]);
     let key = key_with_homes(NOW, &[(&["a", "b"], "b")]);
-    let other = set_id(&set(&["a", "b", "c"]));
-    assert_eq!(homes.check(&key, other), Home::StaleConfig);
+    let other = upstream_set_id(&set(&["a", "b", "c"]));
+    assert_eq!(homes.check(&key, other), HomeCheck::StaleConfig);
     let key = key_with_homes(NOW, &[(&["a", "b"], "a")]);
-    assert_eq!(homes.check(&key, set_id(&set(&["a", "b"]))), Home::NotMine);
+    assert_eq!(
+        homes.check(&key, upstream_set_id(&set(&["a", "b"]))),
+        HomeCheck::NotMine
+    );
 }
 
 // An earlier set is dropped only once no key that is still accepted can have run under
@@ -124,13 +135,13 @@
     let mut homes = started(&["a", "b"]);
     let hour = Duration::from_hours(1);
     homes.tick(NOW + hour);
-    let id = set_id(&set(&["a", "b"]));
+    let id = upstream_set_id(&set(&["a", "b"]));
     let key = key_with_homes(NOW + hour, &[(&["a", "b"], "b")]);
     assert_eq!(homes.check(&key, id), ask(&["a"], 1));
     homes.confirm(&"a".into(), 1, NOW);
     homes.tick(NOW + hour);
     let old = key_with_homes(EARLIER, &[(&["a", "b"], "b")]);
-    assert_eq!(homes.check(&old, id), Home::Mine);
+    assert_eq!(homes.check(&old, id), HomeCheck::Mine);
 }
 
 // Version 2 adds b and version 3 removes it again. This home restarts at version 3 and
@@ -139,8 +150,8 @@
 // would run it.
 #[test]
 fn only_the_current_home_is_told_that_a_key_never_ran() {
-    let mut homes = HomeSets::new("a".into(), SKEW, RETENTION);
-    homes.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
+    let mut homes = HomeHistory::new("a".into(), SKEW, RETENTION);
+    homes.apply_set(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
     let key = key_with_homes(NOW + 5 * SKEW, &[(&["a", "b"], "b")]);
     assert!(!homes.is_home(&key, &"b".into()));
     assert!(homes.is_home(&key, &"a".into()));
@@ -152,23 +163,23 @@
 // deletion the key is unsettled.
 #[test]
 fn planned_restart_restores_previous_homes() {
-    let mut previous = HomeSets::new("a".into(), SKEW, RETENTION);
-    previous.note(&"floatdesk".into(), set(&["a"]), 1, true, EARLIER);
-    previous.note(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
-    previous.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
+    let mut previous = HomeHistory::new("a".into(), SKEW, RETENTION);
+    previous.apply_set(&"floatdesk".into(), set(&["a"]), 1, true, EARLIER);
+    previous.apply_set(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
+    previous.apply_set(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
     let key = key_with_homes(NOW, &[(&["a", "b"], "b")]);
-    let id = set_id(&set(&["a"]));
+    let id = upstream_set_id(&set(&["a"]));
     for applied_first in [false, true] {
-        let mut homes = HomeSets::new("a".into(), SKEW, RETENTION);
+        let mut homes = HomeHistory::new("a".into(), SKEW, RETENTION);
         if !applied_first {
-            homes.resume(previous.known());
+            homes.restore(previous.known_members());
         }
-        homes.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW + SKEW);
+        homes.apply_set(&"floatdesk".into(), set(&["a"]), 3, true, NOW + SKEW);
         if applied_first {
-            homes.resume(previous.known());
+            homes.restore(previous.known_members());
         }
         assert_eq!(homes.check(&key, id), ask(&["b"], 3));
-        homes.gone(&"b".into(), 3, NOW + 2 * SKEW);
-        assert_eq!(homes.check(&key, id), Home::Unsettled);
+        homes.mark_deleted(&"b".into(), 3, NOW + 2 * SKEW);
+        assert_eq!(homes.check(&key, id), HomeCheck::Unsettled);
     }
 }
--- a/crates/daemon/src/call/handover.rs
+++ b/crates/daemon/src/call/handover.rs
@@ -125,7 +125,7 @@
     Some(MemoryObject {
         birth,
         memory: tables.intents.snapshot()?,
-        members: tables.homes.known(),
+        members: tables.homes.known_members(),
     })
 }
 
@@ -174,7 +174,7 @@
     }
     let keys = object.memory.intents.len();
     let mut tables = node.calls.executor.borrow_mut();
-    tables.homes.resume(object.members);
+    tables.homes.restore(object.members);
     tables.intents.restore(object.memory);
     slog::info!(node.log, "memory of keys taken over"; "keys" => keys);
 }
--- a/crates/daemon/src/call/homes.rs
+++ b/crates/daemon/src/call/homes.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Handover, Home, HomeAnswer, IdempotencyKey, Reason, Refusal};
+use stoatstep_calls::{HomeAnswer, HomeCheck, HomeQuery, IdempotencyKey, Reason, Refusal};
 
 use super::sync;
 use super::target::RunEnd;
@@ -35,7 +35,7 @@
     key: &IdempotencyKey,
 ) -> Result<(), RunEnd> {
     let home = checked(node, attempt, key);
-    let Home::Ask(questions) = home else {
+    let HomeCheck::Ask(questions) = home else {
         return decide(&home);
     };
     for question in questions {
@@ -52,18 +52,18 @@
     }
 }
 
-fn checked(node: &Rc<Node>, attempt: &Attempt, key: &IdempotencyKey) -> Home {
+fn checked(node: &Rc<Node>, attempt: &Attempt, key: &IdempotencyKey) -> HomeCheck {
     sync::config(node);
     let tables = node.calls.executor.borrow();
     tables.homes.check(key, attempt.call.set)
 }
 
-fn decide(home: &Home) -> Result<(), RunEnd> {
+fn decide(home: &HomeCheck) -> Result<(), RunEnd> {
     match home {
-        Home::Mine => Ok(()),
-        Home::Ask(_) => Err(RunEnd::Refused(moving())),
-        Home::Unsettled => Err(RunEnd::refused(Reason::KeyUnsettled)),
-        Home::StaleConfig | Home::NotMine => Err(RunEnd::Refused(stale())),
+        HomeCheck::Mine => Ok(()),
+        HomeCheck::Ask(_) => Err(RunEnd::Refused(moving())),
+        HomeCheck::Unsettled => Err(RunEnd::refused(Reason::KeyUnsettled)),
+        HomeCheck::StaleConfig | HomeCheck::NotMine => Err(RunEnd::Refused(stale())),
     }
 }
 
@@ -75,7 +75,7 @@
     Refusal::retry(Reason::HomeMoving, MOVING_RETRY)
 }
 
-async fn ask(node: &Rc<Node>, key: &IdempotencyKey, question: &Handover) -> Result<(), RunEnd> {
+async fn ask(node: &Rc<Node>, key: &IdempotencyKey, question: &HomeQuery) -> Result<(), RunEnd> {
     let Some(member) = node.control.serving(&question.upstream).pop() else {
         settle_deleted(node, key, question);
         return Err(unsettled(node, question, &"no instance of it is known"));
@@ -111,7 +111,7 @@
 }
 
 /// The end of an attempt whose key a previous home has not spoken for.
-fn unsettled(node: &Node, question: &Handover, cause: &dyn Display) -> RunEnd {
+fn unsettled(node: &Node, question: &HomeQuery, cause: &dyn Display) -> RunEnd {
     let what = format_args!("{}: {cause}", question.upstream);
     warn(node, "key waits for a previous home", &what);
     RunEnd::Refused(moving())
@@ -120,16 +120,16 @@
 /// An upstream that is still configured may be cut off and running keys, so
 /// silence alone never settles it. Its deletion is the operator's word that its
 /// instance runs nothing.
-fn settle_deleted(node: &Rc<Node>, key: &IdempotencyKey, question: &Handover) {
+fn settle_deleted(node: &Rc<Node>, key: &IdempotencyKey, question: &HomeQuery) {
     let wall = node.calls.clock.wall();
     let mut tables = node.calls.executor.borrow_mut();
     if tables.homes.is_member(&key.service, &question.upstream) {
         return;
     }
-    if tables.homes.noted_at(question.version) + UNKNOWN_AFTER < wall {
+    if tables.homes.applied_at(question.version) + UNKNOWN_AFTER < wall {
         tables
             .homes
-            .gone(&question.upstream, question.version, wall);
+            .mark_deleted(&question.upstream, question.version, wall);
     }
 }
 
--- a/crates/daemon/src/call/request.rs
+++ b/crates/daemon/src/call/request.rs
@@ -11,7 +11,7 @@
 use smol_str::{SmolStr, ToSmolStr, format_smolstr};
 use stoatstep_calls::{
     CREDENTIAL, Class, Deadline, Header, IdempotencyKey, KeyText, Reason, Refusal, ResolvedRoute,
-    bearer_key, set_id,
+    bearer_key, upstream_set_id,
 };
 use stoatstep_resource::{CustomerName, ServiceName, TenantLimit};
 
@@ -144,7 +144,7 @@
         depth: head.depth,
         idempotent,
         key: key.map(|key| key.text().clone()),
-        set: set_id(&names.iter().cloned().collect()),
+        set: upstream_set_id(&names.iter().cloned().collect()),
         weight: limit.map_or(DEFAULT_WEIGHT, |it| it.weight),
         concurrency: limit.and_then(|it| it.concurrency),
         request_id: head.request_id,
--- a/crates/daemon/src/call/sync.rs
+++ b/crates/daemon/src/call/sync.rs
@@ -27,7 +27,9 @@
         .is_some_and(|noted| sets_follow(node, noted, version));
     let wall = node.calls.clock.wall();
     for (service, names) in sets(&in_force) {
-        tables.homes.note(&service, names, version, follows, wall);
+        tables
+            .homes
+            .apply_set(&service, names, version, follows, wall);
     }
     tables.noted = Some(version);
     if let Some(upstream) = in_force.upstream(&node.cfg.upstream) {
--- a/crates/daemon/src/call/tables.rs
+++ b/crates/daemon/src/call/tables.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stoatstep_calls::{
-    Admission, AdmissionConfig, AttemptId, HomeSets, IdempotencyConfig, IdempotencyTable,
+    Admission, AdmissionConfig, AttemptId, HomeHistory, IdempotencyConfig, IdempotencyTable,
     Incarnation, Ledger, LedgerConfig, Refusal, RetryBudget, Router,
 };
 use stoatstep_resource::{ServiceName, Version};
@@ -54,7 +54,7 @@
     pub(super) ledger: Ledger,
     pub(super) admission: Admission,
     pub(super) intents: IdempotencyTable,
-    pub(super) homes: HomeSets,
+    pub(super) homes: HomeHistory,
     pub(super) noted: Option<Version>,
     pub(super) waiting: BTreeMap<AttemptId, oneshot::Sender<Result<(), Refusal>>>,
     pub(super) runs: BTreeMap<AttemptId, Run>,
@@ -69,7 +69,7 @@
             ledger: Ledger::new(incarnation, LedgerConfig::default()),
             admission: Admission::new(admission),
             intents: IdempotencyTable::new(clock.started_wall(), intents),
-            homes: HomeSets::new(cfg.upstream.clone(), SKEW, RETENTION),
+            homes: HomeHistory::new(cfg.upstream.clone(), SKEW, RETENTION),
             noted: None,
             waiting: BTreeMap::new(),
             runs: BTreeMap::new(),
--- a/crates/daemon/src/call/wire.rs
+++ b/crates/daemon/src/call/wire.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    Answer, AttemptId, Class, Header, HomeAnswer, IdempotencyKey, KeyText, Load, Refusal, SetId,
-    Settled, Ticket,
+    Answer, AttemptId, Class, Header, HomeAnswer, IdempotencyKey, KeyText, Load, Refusal, Settled,
+    Ticket, UpstreamSetId,
 };
 use stoatstep_resource::{CustomerName, ServiceName, UpstreamName, Version};
 
@@ -33,7 +33,7 @@
     /// Text of the idempotency key, only where it matters.
     pub(super) key: Option<SmolStr>,
     /// The set of upstreams under which the entry chose the key's home.
-    pub(super) set: SetId,
+    pub(super) set: UpstreamSetId,
     pub(super) weight: u32,
     pub(super) concurrency: Option<u32>,
     pub(super) request_id: SmolStr,
--- a/crates/scenario/src/daemon/calls.rs
+++ b/crates/scenario/src/daemon/calls.rs
@@ -9,7 +9,7 @@
 use smol_str::SmolStr;
 use stoatstep_calls::{
     Admission, AdmissionConfig, Answer, AttemptId, Candidate, CandidateState, Dispatch, Drain,
-    DrainStep, HomeSets, IdempotencyConfig, IdempotencyTable, Incarnation, Ledger, LedgerConfig,
+    DrainStep, HomeHistory, IdempotencyConfig, IdempotencyTable, Incarnation, Ledger, LedgerConfig,
     Reason, Refusal, RetryBudget, Router, Ticket,
 };
 use stoatstep_membership::{MemberState, Time};
@@ -49,7 +49,7 @@
     pub(super) ledger: Ledger,
     pub(super) admission: Admission,
     pub(super) intents: IdempotencyTable,
-    pub(super) homes: HomeSets,
+    pub(super) homes: HomeHistory,
     pub(super) noted: Option<Version>,
     pub(super) waiting: BTreeMap<AttemptId, Sender<Result<(), Refusal>>>,
     pub(super) runs: BTreeMap<AttemptId, Run>,
@@ -84,7 +84,7 @@
             ledger: Ledger::new(incarnation, LedgerConfig::default()),
             admission: Admission::new(AdmissionConfig::for_slots(1)),
             intents: IdempotencyTable::new(has_authority_from, intents),
-            homes: HomeSets::new(upstream.clone(), SKEW, RETENTION),
+            homes: HomeHistory::new(upstream.clone(), SKEW, RETENTION),
             noted: None,
             waiting: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -210,7 +210,9 @@
     let wall = node.wall();
     let calls = &mut *node.calls.borrow_mut();
     for (service, names) in sets(&state) {
-        calls.homes.note(&service, names, version, follows, wall);
+        calls
+            .homes
+            .apply_set(&service, names, version, follows, wall);
     }
     calls.noted = Some(version);
     if let Some(upstream) = upstream(&state, &node.upstream) {
--- a/crates/scenario/src/daemon/entry.rs
+++ b/crates/scenario/src/daemon/entry.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 use stoatstep_calls::{
     AttemptId, Attempts, Backoff, Class, Deadline, IdempotencyKey, KeyText, Load, Outcome, Reason,
-    Refusal, Report, SetId, Settlement, Ticket, home_of, may_retry, set_id,
+    Refusal, Report, Settlement, Ticket, UpstreamSetId, home_of, may_retry, upstream_set_id,
 };
 use stoatstep_membership::Time;
 use stoatstep_resource::{CustomerName, Kind, Resource, ServiceName, State, UpstreamName};
@@ -45,7 +45,7 @@
     pub(super) call: Call,
     pub(super) service: ServiceName,
     pub(super) key: Option<IdempotencyKey>,
-    pub(super) set: SetId,
+    pub(super) set: UpstreamSetId,
     names: BTreeSet<UpstreamName>,
     pub(super) deadline: Deadline,
 }
@@ -87,7 +87,7 @@
             tenant: call.tenant.clone(),
             key,
         }),
-        set: set_id(&names),
+        set: upstream_set_id(&names),
         names,
         service,
         call,
--- a/crates/scenario/src/daemon/handover.rs
+++ b/crates/scenario/src/daemon/handover.rs
@@ -83,7 +83,10 @@
     let birth = birth(node);
     let calls = node.calls.borrow();
     let memory = calls.intents.snapshot()?;
-    Some((calls.home_row?, (birth, memory, calls.homes.known())))
+    Some((
+        calls.home_row?,
+        (birth, memory, calls.homes.known_members()),
+    ))
 }
 
 async fn resume(node: &Node, birth: Incarnation) {
@@ -102,7 +105,7 @@
         return;
     };
     let calls = &mut *node.calls.borrow_mut();
-    calls.homes.resume(members);
+    calls.homes.restore(members);
     calls.intents.restore(memory);
 }
 
--- a/crates/scenario/src/daemon/keyed.rs
+++ b/crates/scenario/src/daemon/keyed.rs
@@ -4,8 +4,8 @@
 
 use smol_str::format_smolstr;
 use stoatstep_calls::{
-    AttemptId, Deadline, Fingerprint, Handover, Home, HomeAnswer, IdempotencyKey, KeyDecision,
-    KeyText, Reason, Refusal,
+    AttemptId, Deadline, Fingerprint, HomeAnswer, HomeCheck, HomeQuery, IdempotencyKey,
+    KeyDecision, KeyText, Reason, Refusal,
 };
 use stoatstep_membership::Time;
 use stoatstep_platform::{
@@ -96,10 +96,10 @@
     config(node);
     let home = node.calls.borrow().homes.check(key, set);
     let questions = match home {
-        Home::Mine => return Ok(()),
-        Home::Ask(questions) => questions,
-        Home::Unsettled => return Err(Err(Refusal::permanent(Reason::KeyUnsettled))),
-        Home::StaleConfig | Home::NotMine => return Err(Err(stale())),
+        HomeCheck::Mine => return Ok(()),
+        HomeCheck::Ask(questions) => questions,
+        HomeCheck::Unsettled => return Err(Err(Refusal::permanent(Reason::KeyUnsettled))),
+        HomeCheck::StaleConfig | HomeCheck::NotMine => return Err(Err(stale())),
     };
     for question in questions {
         ask_previous(node, key, &question).await?;
@@ -123,7 +123,7 @@
 async fn ask_previous(
     node: &Rc<Node>,
     key: &IdempotencyKey,
-    question: &Handover,
+    question: &HomeQuery,
 ) -> Result<(), End> {
     let Some(index) = index_serving(node, &question.upstream) else {
         settle_deleted(node, key, question);
@@ -158,14 +158,14 @@
     }
 }
 
-fn settle_deleted(node: &Node, key: &IdempotencyKey, question: &Handover) {
+fn settle_deleted(node: &Node, key: &IdempotencyKey, question: &HomeQuery) {
     let wall = node.wall();
     let homes = &mut node.calls.borrow_mut().homes;
     if homes.is_member(&key.service, &question.upstream) {
         return;
     }
-    if homes.noted_at(question.version) + UNKNOWN_AFTER < wall {
-        homes.gone(&question.upstream, question.version, wall);
+    if homes.applied_at(question.version) + UNKNOWN_AFTER < wall {
+        homes.mark_deleted(&question.upstream, question.version, wall);
     }
 }
 
--- a/crates/spec/src/intent/home.rs
+++ b/crates/spec/src/intent/home.rs
@@ -4,8 +4,9 @@
 use std::sync::Arc;
 
 use stoatstep_calls::{
-    Answer, AttemptId, Fingerprint, Handover, Home, HomeAnswer, HomeSets, IdempotencyConfig,
-    IdempotencyKey, IdempotencyTable, KeyDecision, SetId, Wall, set_id,
+    Answer, AttemptId, Fingerprint, HomeAnswer, HomeCheck, HomeHistory, HomeQuery,
+    IdempotencyConfig, IdempotencyKey, IdempotencyTable, KeyDecision, UpstreamSetId, Wall,
+    upstream_set_id,
 };
 use stoatstep_resource::{UpstreamName, Version};
 
@@ -19,9 +20,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
     /// Previous homes are to be asked, one after the other.
-    Asks(Vec<Handover>),
+    Asks(Vec<HomeQuery>),
     /// An answer to the last question is on its way.
-    Hears(Vec<Handover>, Version, HomeAnswer),
+    Hears(Vec<HomeQuery>, Version, HomeAnswer),
     /// The key is taken, and the attempt waits for a slot.
     Waits,
     /// The target has it.
@@ -30,14 +31,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Taken {
-    set: SetId,
+    set: UpstreamSetId,
     pub(super) phase: Phase,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Executor {
     table: IdempotencyTable,
-    homes: HomeSets,
+    homes: HomeHistory,
     pub(super) version: u8,
     pub(super) taken: BTreeMap<AttemptId, Taken>,
 }
@@ -51,7 +52,7 @@
         safeguards: Safeguards,
     ) -> Self {
         let me = UPSTREAMS[number].into();
-        let homes = HomeSets::new(me, ticks(SKEW), ticks(RETENTION));
+        let homes = HomeHistory::new(me, ticks(SKEW), ticks(RETENTION));
         let mut executor = Self {
             table: table(started, safeguards),
             homes,
@@ -74,7 +75,7 @@
         if let Some(memory) = self.table.snapshot() {
             next.table.restore(memory);
             if safeguards.has(Safeguard::MembersHandedOver) {
-                next.homes.resume(self.homes.known());
+                next.homes.restore(self.homes.known_members());
             }
         }
         next
@@ -89,7 +90,8 @@
     ) {
         self.version = version;
         let service = "floatdesk".into();
-        self.homes.note(&service, set, version.into(), follows, now);
+        self.homes
+            .apply_set(&service, set, version.into(), follows, now);
     }
 
     pub(super) fn arrive(
@@ -103,20 +105,20 @@
         if self.table.lookup(key, REQUEST).is_some() {
             return;
         }
-        let mut set = set_id(set);
+        let mut set = upstream_set_id(set);
         if !safeguards.has(Safeguard::SetIdCheck) {
             set = self.homes.current_id(&key.service).unwrap_or(set);
         }
         match self.homes.check(key, set) {
-            Home::Mine => self.begin(key, id, set, now, safeguards),
-            Home::Ask(_) if !safeguards.has(Safeguard::HomeConfirm) => {
+            HomeCheck::Mine => self.begin(key, id, set, now, safeguards),
+            HomeCheck::Ask(_) if !safeguards.has(Safeguard::HomeConfirm) => {
                 self.begin(key, id, set, now, safeguards);
             }
-            Home::Ask(questions) => {
+            HomeCheck::Ask(questions) => {
                 let phase = Phase::Asks(questions);
                 self.taken.insert(id, Taken { set, phase });
             }
-            Home::Unsettled | Home::StaleConfig | Home::NotMine => {}
+            HomeCheck::Unsettled | HomeCheck::StaleConfig | HomeCheck::NotMine => {}
         }
     }
 
@@ -124,7 +126,7 @@
         &mut self,
         key: &IdempotencyKey,
         id: AttemptId,
-        set: SetId,
+        set: UpstreamSetId,
         now: Wall,
         safeguards: Safeguards,
     ) {
@@ -189,7 +191,8 @@
         let taken = self.taken.remove(&id);
         if let Some(Phase::Asks(questions)) = taken.map(|it| it.phase) {
             for question in questions {
-                self.homes.gone(&question.upstream, question.version, now);
+                self.homes
+                    .mark_deleted(&question.upstream, question.version, now);
             }
         }
     }
--- a/crates/spec/src/intent/mod.rs
+++ b/crates/spec/src/intent/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Each executor's memory of keys is a shipped
 //! [`IdempotencyTable`](stoatstep_calls::IdempotencyTable), and who may run the key is
-//! decided by a shipped [`HomeSets`](stoatstep_calls::HomeSets). The order in
+//! decided by a shipped [`HomeHistory`](stoatstep_calls::HomeHistory). The order in
 //! which the daemon calls them is asynchronous code there and written here anew.
 //! Keys that state no time are fenced by a row in the platform's table, which
 //! is not part of this specification.
