--- a/crates/calls/src/ledger/mod.rs
+++ b/crates/calls/src/ledger/mod.rs
@@ -18,14 +18,14 @@
 use crate::ids::{AttemptId, Incarnation, Time};
 use crate::refusal::{Reason, Refusal};
 
-pub use types::{Arrival, LedgerConfig, Settled, Ticket};
+pub use types::{Arrival, AttemptStatus, LedgerConfig, Ticket};
 
 /// Time after which a caller may retry when the ledger is full.
 const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record {
-    state: Settled,
+    state: AttemptStatus,
     keep_until: Time,
 }
 
@@ -83,7 +83,7 @@
     pub fn arrive(&mut self, attempt: AttemptId, ticket: Ticket, now: Time) -> Arrival {
         if let Some(record) = self.records.get(&attempt) {
             return match &record.state {
-                Settled::NotRun => Arrival::Refused(Refusal::permanent(Reason::Revoked)),
+                AttemptStatus::NotRun => Arrival::Refused(Refusal::permanent(Reason::Revoked)),
                 state => Arrival::Seen(state.clone()),
             };
         }
@@ -98,7 +98,7 @@
             self.invalidate_issued_tickets(now);
             return Arrival::Refused(Refusal::retry(Reason::MemoryFull, FULL_RETRY_AFTER));
         }
-        self.insert(attempt, Settled::Queued, now);
+        self.insert(attempt, AttemptStatus::Queued, now);
         Arrival::New
     }
 
@@ -106,22 +106,22 @@
     /// it waited. It must not run then, because its entry was told "not run".
     #[must_use]
     pub fn start(&mut self, attempt: AttemptId) -> bool {
-        self.transition(attempt, Settled::Running, |state| {
-            matches!(state, Settled::Queued)
+        self.transition(attempt, AttemptStatus::Running, |state| {
+            matches!(state, AttemptStatus::Queued)
         })
     }
 
     /// Records that the queue or the target refused the attempt before it ran.
     pub fn refused(&mut self, attempt: AttemptId) {
-        self.transition(attempt, Settled::NotRun, |state| {
-            matches!(state, Settled::Queued | Settled::Running)
+        self.transition(attempt, AttemptStatus::NotRun, |state| {
+            matches!(state, AttemptStatus::Queued | AttemptStatus::Running)
         });
     }
 
     /// Records that the attempt ran, with its complete answer.
     pub fn done(&mut self, attempt: AttemptId, answer: Arc<Answer>) {
         let weight = answer.weight();
-        if !self.transition(attempt, Settled::Done(answer), is_running) {
+        if !self.transition(attempt, AttemptStatus::Done(answer), is_running) {
             return;
         }
         self.kept_bytes += weight;
@@ -131,44 +131,44 @@
 
     /// Records that the attempt ran and that its answer was too large to keep.
     pub fn done_without_answer(&mut self, attempt: AttemptId) {
-        self.transition(attempt, Settled::DoneWithoutAnswer, is_running);
+        self.transition(attempt, AttemptStatus::DoneWithoutAnswer, is_running);
     }
 
     /// Records that the connection to the target broke while the attempt ran.
     pub fn lost(&mut self, attempt: AttemptId) {
-        self.transition(attempt, Settled::Unknown, is_running);
+        self.transition(attempt, AttemptStatus::Unknown, is_running);
     }
 
     /// Returns what is known about the attempt without changing anything.
     #[must_use]
-    pub fn peek(&self, attempt: AttemptId, ticket: Ticket, now: Time) -> Settled {
+    pub fn peek(&self, attempt: AttemptId, ticket: Ticket, now: Time) -> AttemptStatus {
         if let Some(record) = self.records.get(&attempt) {
             return record.state.clone();
         }
         if !self.is_current(ticket, now) {
             // It may have run under an earlier process, or so long ago that its
             // record has expired.
-            return Settled::Unknown;
+            return AttemptStatus::Unknown;
         }
         if ticket.stamp < self.min_stamp {
-            return Settled::NotRun;
+            return AttemptStatus::NotRun;
         }
-        Settled::NeverSeen
+        AttemptStatus::NeverSeen
     }
 
     /// Prevents the attempt from running if it has not started, and returns its
     /// status. An attempt that has not started is fenced: it does not run even if
     /// the original request arrives later, so "not run" stays true. The result is
-    /// never [`Settled::NeverSeen`] or [`Settled::Queued`].
-    pub fn revoke(&mut self, attempt: AttemptId, ticket: Ticket, now: Time) -> Settled {
+    /// never [`AttemptStatus::NeverSeen`] or [`AttemptStatus::Queued`].
+    pub fn revoke(&mut self, attempt: AttemptId, ticket: Ticket, now: Time) -> AttemptStatus {
         match self.peek(attempt, ticket, now) {
-            Settled::NeverSeen => {
+            AttemptStatus::NeverSeen => {
                 self.fence(attempt, now);
-                Settled::NotRun
+                AttemptStatus::NotRun
             }
-            Settled::Queued => {
+            AttemptStatus::Queued => {
                 self.refused(attempt);
-                Settled::NotRun
+                AttemptStatus::NotRun
             }
             settled => settled,
         }
@@ -189,12 +189,12 @@
         let Some(record) = self.records.get_mut(&attempt) else {
             return;
         };
-        if matches!(record.state, Settled::Queued | Settled::Running) {
+        if matches!(record.state, AttemptStatus::Queued | AttemptStatus::Running) {
             record.keep_until = now + self.cfg.ticket_life;
             self.expiry.push_back((record.keep_until, attempt));
             return;
         }
-        if let Settled::Done(answer) = &record.state {
+        if let AttemptStatus::Done(answer) = &record.state {
             self.kept_bytes -= answer.weight();
         }
         self.records.remove(&attempt);
@@ -206,7 +206,7 @@
     fn prune_answer_order(&mut self) {
         let records = &self.records;
         let has_answer = |attempt: &AttemptId| {
-            let done = |it: &Record| matches!(it.state, Settled::Done(_));
+            let done = |it: &Record| matches!(it.state, AttemptStatus::Done(_));
             records.get(attempt).is_some_and(done)
         };
         while self.answer_order.front().is_some_and(|it| !has_answer(it)) {
@@ -239,14 +239,14 @@
             self.invalidate_issued_tickets(now);
             return;
         }
-        self.insert(attempt, Settled::NotRun, now);
+        self.insert(attempt, AttemptStatus::NotRun, now);
     }
 
     fn invalidate_issued_tickets(&mut self, now: Time) {
         self.min_stamp = now + Duration::from_nanos(1);
     }
 
-    fn insert(&mut self, attempt: AttemptId, state: Settled, now: Time) {
+    fn insert(&mut self, attempt: AttemptId, state: AttemptStatus, now: Time) {
         let keep_until = now + self.cfg.ticket_life;
         self.records.insert(attempt, Record { state, keep_until });
         self.expiry.push_back((keep_until, attempt));
@@ -257,8 +257,8 @@
     fn transition(
         &mut self,
         attempt: AttemptId,
-        to: Settled,
-        is_allowed_from: impl FnOnce(&Settled) -> bool,
+        to: AttemptStatus,
+        is_allowed_from: impl FnOnce(&AttemptStatus) -> bool,
     ) -> bool {
         let Some(record) = self.records.get_mut(&attempt) else {
             return false;
@@ -278,14 +278,14 @@
             let Some(record) = self.records.get_mut(&oldest) else {
                 continue;
             };
-            if let Settled::Done(answer) = &record.state {
+            if let AttemptStatus::Done(answer) = &record.state {
                 self.kept_bytes -= answer.weight();
-                record.state = Settled::DoneWithoutAnswer;
+                record.state = AttemptStatus::DoneWithoutAnswer;
             }
         }
     }
 }
 
-fn is_running(state: &Settled) -> bool {
-    matches!(state, Settled::Running)
+fn is_running(state: &AttemptStatus) -> bool {
+    matches!(state, AttemptStatus::Running)
 }
--- a/crates/calls/src/ledger/types.rs
+++ b/crates/calls/src/ledger/types.rs
@@ -49,12 +49,12 @@
     /// The attempt did not run and never will.
     Refused(Refusal),
     /// The attempt arrived before. This copy must not run.
-    Seen(Settled),
+    Seen(AttemptStatus),
 }
 
 /// What the ledger knows about an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Settled {
+pub enum AttemptStatus {
     /// The attempt has not arrived. It may still arrive and run unless it is revoked.
     NeverSeen,
     /// The attempt waits for a slot.
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -62,7 +62,7 @@
 };
 pub use identity::{CREDENTIAL, CredentialError, KeyRing, bearer_key};
 pub use ids::{AttemptId, Incarnation, Time, UpstreamSetId, Wall};
-pub use ledger::{Arrival, Ledger, LedgerConfig, Settled, Ticket};
+pub use ledger::{Arrival, AttemptStatus, Ledger, LedgerConfig, Ticket};
 pub use placement::{Placement, Seen, Wish};
 pub use quarantine::{
     ANSWERED_FOR, Finding, KeptRequest, LIVES, Learned, LifeMark, Quarantine, RecentAnswers,
--- a/crates/calls/src/silence.rs
+++ b/crates/calls/src/silence.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::ids::{AttemptId, Time};
-use crate::ledger::Settled;
+use crate::ledger::AttemptStatus;
 
 /// How patient the watch is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -116,25 +116,26 @@
     pub fn heard(
         &mut self,
         attempt: AttemptId,
-        settled: &Settled,
+        settled: &AttemptStatus,
         now: Time,
     ) -> Option<SilenceAction> {
         let watch = self.watches.get_mut(&attempt)?;
         watch.unanswered = 0;
         let retire = match settled {
-            Settled::Queued | Settled::Running => {
+            AttemptStatus::Queued | AttemptStatus::Running => {
                 watch.unseen = 0;
                 watch.pause = (watch.pause * 2).min(self.cfg.longest_pause);
                 watch.ask_at = now + watch.pause;
                 false
             }
-            Settled::NeverSeen => {
+            AttemptStatus::NeverSeen => {
                 watch.unseen += 1;
                 watch.unseen >= UNSEEN_TO_RETIRE
             }
-            Settled::NotRun | Settled::Done(_) | Settled::DoneWithoutAnswer | Settled::Unknown => {
-                true
-            }
+            AttemptStatus::NotRun
+            | AttemptStatus::Done(_)
+            | AttemptStatus::DoneWithoutAnswer
+            | AttemptStatus::Unknown => true,
         };
         retire.then_some(SilenceAction::Retire(attempt))
     }
--- a/crates/calls/tests/all/ledger.rs
+++ b/crates/calls/tests/all/ledger.rs
@@ -1,7 +1,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stoatstep_calls::{Answer, Arrival, Ledger, LedgerConfig, Reason, Settled, Ticket};
+use stoatstep_calls::{Answer, Arrival, AttemptStatus, Ledger, LedgerConfig, Reason, Ticket};
 
 const SECOND: Duration = Duration::from_secs(1);
 const LIFE: Duration = Duration::from_secs(10);
@@ -37,7 +37,7 @@
 fn late_arrival_after_revoke_does_not_run() {
     let mut ledger = ledger();
     let ticket = ledger.ticket(SECOND);
-    assert_eq!(ledger.revoke(1, ticket, 2 * SECOND), Settled::NotRun);
+    assert_eq!(ledger.revoke(1, ticket, 2 * SECOND), AttemptStatus::NotRun);
     let late = ledger.arrive(1, ticket, 3 * SECOND);
     assert_eq!(reason(&late), Some(Reason::Revoked));
 }
@@ -68,7 +68,10 @@
     assert!(ledger.start(1));
     ledger.done(1, answer(10));
     ledger.tick(SECOND + LIFE);
-    assert_eq!(ledger.revoke(1, ticket, SECOND + LIFE), Settled::Unknown);
+    assert_eq!(
+        ledger.revoke(1, ticket, SECOND + LIFE),
+        AttemptStatus::Unknown
+    );
 }
 
 // The executor restarts while an attempt is running. The new process has no record of
@@ -80,7 +83,7 @@
         stamp: SECOND,
     };
     let mut ledger = ledger();
-    assert_eq!(ledger.revoke(1, ticket, SECOND), Settled::Unknown);
+    assert_eq!(ledger.revoke(1, ticket, SECOND), AttemptStatus::Unknown);
     assert_eq!(
         reason(&ledger.arrive(1, ticket, SECOND)),
         Some(Reason::StaleTicket)
@@ -94,7 +97,7 @@
     let mut ledger = ledger();
     let ticket = ledger.ticket(SECOND);
     ledger.arrive(1, ticket, SECOND);
-    assert_eq!(ledger.revoke(1, ticket, SECOND), Settled::NotRun);
+    assert_eq!(ledger.revoke(1, ticket, SECOND), AttemptStatus::NotRun);
     assert!(!ledger.start(1));
 }
 
@@ -106,9 +109,9 @@
     let ticket = ledger.ticket(SECOND);
     ledger.arrive(1, ticket, SECOND);
     assert!(ledger.start(1));
-    assert_eq!(ledger.revoke(1, ticket, SECOND), Settled::Running);
+    assert_eq!(ledger.revoke(1, ticket, SECOND), AttemptStatus::Running);
     ledger.done(1, answer(10));
-    let done = Settled::Done(answer(10));
+    let done = AttemptStatus::Done(answer(10));
     assert_eq!(ledger.revoke(1, ticket, SECOND), done);
     assert_eq!(ledger.arrive(1, ticket, SECOND), Arrival::Seen(done));
 }
@@ -124,11 +127,11 @@
     }
     let fifth = ledger.arrive(5, ticket, SECOND);
     assert_eq!(reason(&fifth), Some(Reason::MemoryFull));
-    assert_eq!(ledger.revoke(6, ticket, 2 * SECOND), Settled::NotRun);
+    assert_eq!(ledger.revoke(6, ticket, 2 * SECOND), AttemptStatus::NotRun);
     ledger.tick(SECOND);
     let late = ledger.arrive(6, ticket, 3 * SECOND);
     assert_eq!(reason(&late), Some(Reason::StaleTicket));
-    assert_eq!(ledger.revoke(6, ticket, 3 * SECOND), Settled::NotRun);
+    assert_eq!(ledger.revoke(6, ticket, 3 * SECOND), AttemptStatus::NotRun);
 }
 
 // The caller is told "not run, memory full" and may retry. A second copy of the
@@ -165,8 +168,11 @@
         ledger.done(attempt, answer(300));
     }
     let first = ledger.revoke(1, ticket, SECOND);
-    assert_eq!(first, Settled::DoneWithoutAnswer);
-    assert_eq!(ledger.revoke(3, ticket, SECOND), Settled::Done(answer(300)));
+    assert_eq!(first, AttemptStatus::DoneWithoutAnswer);
+    assert_eq!(
+        ledger.revoke(3, ticket, SECOND),
+        AttemptStatus::Done(answer(300))
+    );
 }
 
 // A run takes longer than its ticket is valid. Its record must be kept, so that a
@@ -178,13 +184,16 @@
     ledger.arrive(1, ticket, SECOND);
     assert!(ledger.start(1));
     ledger.tick(SECOND + 2 * LIFE);
-    assert_eq!(ledger.peek(1, ticket, SECOND + 2 * LIFE), Settled::Running);
+    assert_eq!(
+        ledger.peek(1, ticket, SECOND + 2 * LIFE),
+        AttemptStatus::Running
+    );
 }
 
 #[test]
 fn peek_does_not_fence() {
     let mut ledger = ledger();
     let ticket = ledger.ticket(SECOND);
-    assert_eq!(ledger.peek(1, ticket, SECOND), Settled::NeverSeen);
+    assert_eq!(ledger.peek(1, ticket, SECOND), AttemptStatus::NeverSeen);
     assert_eq!(ledger.arrive(1, ticket, SECOND), Arrival::New);
 }
--- a/crates/calls/tests/all/silence.rs
+++ b/crates/calls/tests/all/silence.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use stoatstep_calls::{Settled, Silence, SilenceAction, SilenceConfig};
+use stoatstep_calls::{AttemptStatus, Silence, SilenceAction, SilenceConfig};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -16,9 +16,9 @@
     silence.sent(1, Duration::ZERO);
     assert!(silence.tick(199 * MS).is_empty());
     assert_eq!(silence.tick(200 * MS), [SilenceAction::Ask(1)]);
-    assert_eq!(silence.heard(1, &Settled::NeverSeen, 200 * MS), None);
+    assert_eq!(silence.heard(1, &AttemptStatus::NeverSeen, 200 * MS), None);
     assert_eq!(silence.tick(400 * MS), [SilenceAction::Ask(1)]);
-    let action = silence.heard(1, &Settled::NeverSeen, 400 * MS);
+    let action = silence.heard(1, &AttemptStatus::NeverSeen, 400 * MS);
     assert_eq!(action, Some(SilenceAction::Retire(1)));
 }
 
@@ -31,7 +31,10 @@
     for step in 1..100 {
         for action in silence.tick(200 * MS * step) {
             assert_eq!(action, SilenceAction::Ask(1));
-            assert_eq!(silence.heard(1, &Settled::Running, 200 * MS * step), None);
+            assert_eq!(
+                silence.heard(1, &AttemptStatus::Running, 200 * MS * step),
+                None
+            );
         }
     }
 }
@@ -42,7 +45,7 @@
     let mut silence = silence();
     silence.sent(1, Duration::ZERO);
     silence.tick(200 * MS);
-    let action = silence.heard(1, &Settled::DoneWithoutAnswer, 200 * MS);
+    let action = silence.heard(1, &AttemptStatus::DoneWithoutAnswer, 200 * MS);
     assert_eq!(action, Some(SilenceAction::Retire(1)));
 }
 
--- a/crates/daemon/src/call/executor.rs
+++ b/crates/daemon/src/call/executor.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ntex::http::{Request, Response, StatusCode};
-use stoatstep_calls::{Arrival, AttemptId, Reason, Refusal, Settled};
+use stoatstep_calls::{Arrival, AttemptId, AttemptStatus, Reason, Refusal};
 
 use super::in_flight::InFlight;
 use super::run::{self, Report};
@@ -70,7 +70,7 @@
     match tables.ledger.arrive(attempt.id, attempt.ticket, now) {
         Arrival::New => Ok(()),
         Arrival::Refused(refusal) => Err(RunEnd::Refused(refusal)),
-        Arrival::Seen(Settled::Done(answer)) => Err(RunEnd::Done(answer)),
+        Arrival::Seen(AttemptStatus::Done(answer)) => Err(RunEnd::Done(answer)),
         Arrival::Seen(_) => Err(RunEnd::refused(Reason::LostAnswer)),
     }
 }
--- a/crates/daemon/src/call/run.rs
+++ b/crates/daemon/src/call/run.rs
@@ -7,7 +7,7 @@
 
 use ntex::channel::oneshot;
 use ntex::util::{Either, select};
-use stoatstep_calls::{Answer, AttemptId, Deadline, Outcome, Reason, Refusal, Settled};
+use stoatstep_calls::{Answer, AttemptId, AttemptStatus, Deadline, Outcome, Reason, Refusal};
 
 use super::in_flight::InFlight;
 use super::keyed::{self, Opened};
@@ -104,7 +104,7 @@
     let now = node.calls.clock.now();
     let tables = node.calls.executor.borrow();
     match tables.ledger.peek(attempt.id, attempt.ticket, now) {
-        Settled::Queued | Settled::NotRun => Reason::Revoked,
+        AttemptStatus::Queued | AttemptStatus::NotRun => Reason::Revoked,
         _ => Reason::LostAnswer,
     }
 }
--- a/crates/daemon/src/call/settle.rs
+++ b/crates/daemon/src/call/settle.rs
@@ -7,7 +7,8 @@
 
 use ntex::time::{Millis, sleep};
 use stoatstep_calls::{
-    AttemptId, Deadline, Reason, Refusal, Settled, Silence, SilenceAction, SilenceConfig, Ticket,
+    AttemptId, AttemptStatus, Deadline, Reason, Refusal, Silence, SilenceAction, SilenceConfig,
+    Ticket,
 };
 
 use super::run;
@@ -39,7 +40,7 @@
 }
 
 impl Remote {
-    async fn ask(&self, node: &Rc<Node>, path: &str) -> Option<Settled> {
+    async fn ask(&self, node: &Rc<Node>, path: &str) -> Option<AttemptStatus> {
         let message = WireSettle {
             attempt: self.attempt,
             ticket: self.ticket,
@@ -57,15 +58,15 @@
         let mut unanswered = 0;
         loop {
             match self.ask(node, "/peer/revoke").await {
-                Some(Settled::NotRun) => {
+                Some(AttemptStatus::NotRun) => {
                     return RunEnd::Refused(Refusal::retry(Reason::Revoked, REVOKED_RETRY));
                 }
-                Some(Settled::Done(answer)) => return RunEnd::Done(answer),
-                Some(Settled::DoneWithoutAnswer) => {
+                Some(AttemptStatus::Done(answer)) => return RunEnd::Done(answer),
+                Some(AttemptStatus::DoneWithoutAnswer) => {
                     return RunEnd::refused(Reason::AnswerTooLarge);
                 }
-                Some(Settled::Unknown) => return RunEnd::refused(Reason::LostAnswer),
-                Some(Settled::NeverSeen | Settled::Queued | Settled::Running) => {
+                Some(AttemptStatus::Unknown) => return RunEnd::refused(Reason::LostAnswer),
+                Some(AttemptStatus::NeverSeen | AttemptStatus::Queued | AttemptStatus::Running) => {
                     if deadline.passed(node.calls.clock.now()) {
                         return RunEnd::refused(Reason::TimedOut);
                     }
@@ -139,7 +140,7 @@
     let mut tables = node.calls.executor.borrow_mut();
     let settled = tables.ledger.revoke(message.attempt, message.ticket, now);
     drop(tables);
-    if settled == Settled::NotRun {
+    if settled == AttemptStatus::NotRun {
         // It may wait in the queue, where it would only take a place.
         run::cancel(node, message.attempt);
     }
--- a/crates/daemon/src/call/wire.rs
+++ b/crates/daemon/src/call/wire.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    Answer, AttemptId, Class, Header, HomeAnswer, IdempotencyKey, KeyText, Load, Refusal, Settled,
-    Ticket, UpstreamSetId,
+    Answer, AttemptId, AttemptStatus, Class, Header, HomeAnswer, IdempotencyKey, KeyText, Load,
+    Refusal, Ticket, UpstreamSetId,
 };
 use stoatstep_resource::{CustomerName, ServiceName, UpstreamName, Version};
 
@@ -152,21 +152,21 @@
     Unknown,
 }
 
-impl From<Settled> for WireSettled {
-    fn from(settled: Settled) -> Self {
+impl From<AttemptStatus> for WireSettled {
+    fn from(settled: AttemptStatus) -> Self {
         match settled {
-            Settled::NeverSeen => Self::NeverSeen,
-            Settled::Queued => Self::Queued,
-            Settled::Running => Self::Running,
-            Settled::NotRun => Self::NotRun,
-            Settled::Done(answer) => Self::Done(answer),
-            Settled::DoneWithoutAnswer => Self::DoneWithoutAnswer,
-            Settled::Unknown => Self::Unknown,
+            AttemptStatus::NeverSeen => Self::NeverSeen,
+            AttemptStatus::Queued => Self::Queued,
+            AttemptStatus::Running => Self::Running,
+            AttemptStatus::NotRun => Self::NotRun,
+            AttemptStatus::Done(answer) => Self::Done(answer),
+            AttemptStatus::DoneWithoutAnswer => Self::DoneWithoutAnswer,
+            AttemptStatus::Unknown => Self::Unknown,
         }
     }
 }
 
-impl From<WireSettled> for Settled {
+impl From<WireSettled> for AttemptStatus {
     fn from(settled: WireSettled) -> Self {
         match settled {
             WireSettled::NeverSeen => Self::NeverSeen,
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -21,8 +21,8 @@
 use rand::RngExt;
 use slog::Logger;
 use stoatstep_calls::{
-    Answers, Arrival, AttemptId, Deadline, Incarnation, Ledger, LedgerConfig, Occupancy, Queue,
-    Reason, RecentAnswers, Refusal, Settled, Ticket, Uplink,
+    Answers, Arrival, AttemptId, AttemptStatus, Deadline, Incarnation, Ledger, LedgerConfig,
+    Occupancy, Queue, Reason, RecentAnswers, Refusal, Ticket, Uplink,
 };
 use stoatstep_membership::{Announced, LocalTarget};
 use stoatstep_resource::{RouteName, ServiceName, UpstreamName};
@@ -248,7 +248,7 @@
     match tables.ledger.arrive(attempt.id, attempt.ticket, now) {
         Arrival::New => Ok(()),
         Arrival::Refused(refusal) => Err(End::Refused(refusal)),
-        Arrival::Seen(Settled::Done(answer)) => Err(End::Answered(answer)),
+        Arrival::Seen(AttemptStatus::Done(answer)) => Err(End::Answered(answer)),
         Arrival::Seen(_) => Err(lost()),
     }
 }
@@ -294,7 +294,7 @@
 /// the answer to what runs is waited for.
 pub(crate) async fn settle(node: &Rc<Node>, attempt: AttemptId, ticket: Ticket) -> WireSettled {
     let settled = revoke(node, attempt, ticket);
-    if settled != Settled::Running {
+    if settled != AttemptStatus::Running {
         return settled.into();
     }
     let (tx, rx) = oneshot::channel();
@@ -314,12 +314,12 @@
     run.map(|run| run.waiters.push(waiter)).is_some()
 }
 
-fn revoke(node: &Node, attempt: AttemptId, ticket: Ticket) -> Settled {
+fn revoke(node: &Node, attempt: AttemptId, ticket: Ticket) -> AttemptStatus {
     let now = node.clock.now();
     let mut tables = node.executor.tables.borrow_mut();
     let settled = tables.ledger.revoke(attempt, ticket, now);
     drop(tables);
-    if settled == Settled::NotRun {
+    if settled == AttemptStatus::NotRun {
         // It may wait in the queue, where it would only take a place.
         cancel(node, attempt);
     }
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Deadline, Outcome, Reason, Refusal, Settled};
+use stoatstep_calls::{AttemptStatus, Deadline, Outcome, Reason, Refusal};
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
@@ -105,7 +105,7 @@
     let now = node.clock.now();
     let tables = node.executor.tables.borrow();
     let settled = tables.ledger.peek(attempt.id, attempt.ticket, now);
-    let arrived = !matches!(settled, Settled::Queued | Settled::NotRun);
+    let arrived = !matches!(settled, AttemptStatus::Queued | AttemptStatus::NotRun);
     let reason = if arrived {
         Reason::LostAnswer
     } else {
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -9,7 +9,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    Answer, AttemptId, Finding, Fingerprint, Grant, Header, Occupancy, Refusal, Settled, Ticket,
+    Answer, AttemptId, AttemptStatus, Finding, Fingerprint, Grant, Header, Occupancy, Refusal,
+    Ticket,
 };
 use stoatstep_membership::{GossipReply, GossipRequest, Mark, MemberKey};
 use stoatstep_resource::wire::{DifferenceWire, SnapshotWire};
@@ -291,7 +292,7 @@
     }
 }
 
-/// See [`Settled`]. States that the executor does not give are left out: it
+/// See [`AttemptStatus`]. States that the executor does not give are left out: it
 /// waits until the attempt has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum WireSettled {
@@ -306,16 +307,16 @@
     Unknown,
 }
 
-impl From<Settled> for WireSettled {
-    fn from(settled: Settled) -> Self {
+impl From<AttemptStatus> for WireSettled {
+    fn from(settled: AttemptStatus) -> Self {
         match settled {
-            Settled::NotRun => Self::NotRun,
-            Settled::Done(answer) => Self::Done(answer),
-            Settled::NeverSeen
-            | Settled::Queued
-            | Settled::Running
-            | Settled::DoneWithoutAnswer
-            | Settled::Unknown => Self::Unknown,
+            AttemptStatus::NotRun => Self::NotRun,
+            AttemptStatus::Done(answer) => Self::Done(answer),
+            AttemptStatus::NeverSeen
+            | AttemptStatus::Queued
+            | AttemptStatus::Running
+            | AttemptStatus::DoneWithoutAnswer
+            | AttemptStatus::Unknown => Self::Unknown,
         }
     }
 }
--- a/crates/scenario/src/daemon/attempt.rs
+++ b/crates/scenario/src/daemon/attempt.rs
@@ -4,8 +4,8 @@
 
 use rand::RngExt;
 use stoatstep_calls::{
-    AttemptId, Deadline, Reason, Refusal, Report, Settled, Silence, SilenceAction, SilenceConfig,
-    Ticket,
+    AttemptId, AttemptStatus, Deadline, Reason, Refusal, Report, Silence, SilenceAction,
+    SilenceConfig, Ticket,
 };
 use stoatstep_membership::Time;
 
@@ -120,7 +120,7 @@
 }
 
 impl Remote {
-    async fn ask(&self, node: &Rc<Node>, revoke: bool) -> Option<Settled> {
+    async fn ask(&self, node: &Rc<Node>, revoke: bool) -> Option<AttemptStatus> {
         let Self {
             attempt, ticket, ..
         } = *self;
@@ -139,15 +139,15 @@
         let mut unanswered = 0;
         loop {
             match self.ask(node, true).await {
-                Some(Settled::NotRun) => {
+                Some(AttemptStatus::NotRun) => {
                     return Err(Refusal::retry(Reason::Revoked, FIRST_PAUSE));
                 }
-                Some(Settled::Done(answer)) => return Ok(answer),
-                Some(Settled::DoneWithoutAnswer) => {
+                Some(AttemptStatus::Done(answer)) => return Ok(answer),
+                Some(AttemptStatus::DoneWithoutAnswer) => {
                     return Err(Refusal::permanent(Reason::AnswerTooLarge));
                 }
-                Some(Settled::Unknown) => return Err(Refusal::permanent(Reason::LostAnswer)),
-                Some(Settled::NeverSeen | Settled::Queued | Settled::Running) => {
+                Some(AttemptStatus::Unknown) => return Err(Refusal::permanent(Reason::LostAnswer)),
+                Some(AttemptStatus::NeverSeen | AttemptStatus::Queued | AttemptStatus::Running) => {
                     if deadline.passed(node.now()) {
                         return Err(Refusal::permanent(Reason::TimedOut));
                     }
--- a/crates/scenario/src/daemon/executor.rs
+++ b/crates/scenario/src/daemon/executor.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use stoatstep_calls::{
-    Answer, Arrival, Ask, AttemptId, Deadline, Outcome, Reason, Refusal, Settled, Ticket, Verdict,
+    Answer, Arrival, Ask, AttemptId, AttemptStatus, Deadline, Outcome, Reason, Refusal, Ticket,
+    Verdict,
 };
 use stoatstep_membership::Time;
 
@@ -42,7 +43,7 @@
     match ledger.arrive(attempt.id, attempt.ticket, now) {
         Arrival::New => Ok(()),
         Arrival::Refused(refusal) => Err(Err(refusal)),
-        Arrival::Seen(Settled::Done(answer)) => Err(Ok(answer)),
+        Arrival::Seen(AttemptStatus::Done(answer)) => Err(Ok(answer)),
         Arrival::Seen(_) => Err(Err(Refusal::permanent(Reason::LostAnswer))),
     }
 }
@@ -74,7 +75,7 @@
 fn reason_of_cancelled(node: &Node, attempt: &Attempt) -> Reason {
     let calls = node.calls.borrow();
     match calls.ledger.peek(attempt.id, attempt.ticket, node.now()) {
-        Settled::Queued | Settled::NotRun => Reason::Revoked,
+        AttemptStatus::Queued | AttemptStatus::NotRun => Reason::Revoked,
         _ => Reason::LostAnswer,
     }
 }
@@ -157,14 +158,19 @@
 }
 
 /// Answers a question about an attempt.
-pub(super) fn settle(node: &Node, attempt: AttemptId, ticket: Ticket, revoke: bool) -> Settled {
+pub(super) fn settle(
+    node: &Node,
+    attempt: AttemptId,
+    ticket: Ticket,
+    revoke: bool,
+) -> AttemptStatus {
     let now = node.now();
     let calls = &mut *node.calls.borrow_mut();
     if !revoke {
         return calls.ledger.peek(attempt, ticket, now);
     }
     let settled = calls.ledger.revoke(attempt, ticket, now);
-    if settled == Settled::NotRun {
+    if settled == AttemptStatus::NotRun {
         let run = calls.runs.get_mut(&attempt);
         if let Some(cancel) = run.and_then(|it| it.cancel.take()) {
             cancel.send(());
--- a/crates/spec/src/attempt/entry.rs
+++ b/crates/spec/src/attempt/entry.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use stoatstep_calls::{AttemptId, Settled, Settlement, Ticket, may_retry};
+use stoatstep_calls::{AttemptId, AttemptStatus, Settlement, Ticket, may_retry};
 
 use super::message::{End, id};
 use crate::safeguard::{Safeguard, Safeguards};
@@ -107,16 +107,16 @@
     pub(super) fn settle(
         &mut self,
         number: u8,
-        settled: &Settled,
+        settled: &AttemptStatus,
         allowed: u8,
         safeguards: Safeguards,
     ) {
         let end = match settled {
-            Settled::NotRun => End::NotRun,
-            Settled::Done(answer) => End::Answered(answer.body[0]),
-            Settled::DoneWithoutAnswer | Settled::Unknown => End::Unknown,
+            AttemptStatus::NotRun => End::NotRun,
+            AttemptStatus::Done(answer) => End::Answered(answer.body[0]),
+            AttemptStatus::DoneWithoutAnswer | AttemptStatus::Unknown => End::Unknown,
             // It asks again until the deadline.
-            Settled::NeverSeen | Settled::Queued | Settled::Running => return,
+            AttemptStatus::NeverSeen | AttemptStatus::Queued | AttemptStatus::Running => return,
         };
         self.hear(number, end, allowed, safeguards);
     }
--- a/crates/spec/src/attempt/executor.rs
+++ b/crates/spec/src/attempt/executor.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use stoatstep_calls::{
-    Answer, Arrival, AttemptId, Incarnation, Ledger, LedgerConfig, Settled, Ticket,
+    Answer, Arrival, AttemptId, AttemptStatus, Incarnation, Ledger, LedgerConfig, Ticket,
 };
 
 use super::message::{End, call_of};
@@ -94,7 +94,7 @@
                 self.wait(id, now, true)
             }
             Arrival::Refused(_) => Some(End::NotRun),
-            Arrival::Seen(Settled::Done(answer)) => Some(End::Answered(answer.body[0])),
+            Arrival::Seen(AttemptStatus::Done(answer)) => Some(End::Answered(answer.body[0])),
             Arrival::Seen(_) => Some(End::Unknown),
         }
     }
@@ -121,13 +121,13 @@
         ticket: Ticket,
         now: u8,
         safeguards: Safeguards,
-    ) -> Settled {
+    ) -> AttemptStatus {
         let ticket = self.judged(ticket, now, safeguards);
         if safeguards.has(Safeguard::RevokeFence) {
             return self.ledger.revoke(id, ticket, ticks(now));
         }
         match self.ledger.peek(id, ticket, ticks(now)) {
-            Settled::NeverSeen | Settled::Queued => Settled::NotRun,
+            AttemptStatus::NeverSeen | AttemptStatus::Queued => AttemptStatus::NotRun,
             settled => settled,
         }
     }
