--- a/crates/calls/src/answer.rs
+++ b/crates/calls/src/answer.rs
@@ -47,7 +47,7 @@
 /// Returns whether a header, given in lower case, is hop-by-hop and must not be
 /// forwarded. This includes `content-length`, because each hop writes its own.
 #[must_use]
-pub fn is_of_connection(name: &str) -> bool {
+pub fn is_hop_by_hop(name: &str) -> bool {
     matches!(
         name,
         "connection"
--- a/crates/calls/src/idempotency/home.rs
+++ b/crates/calls/src/idempotency/home.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::{Xxh3, xxh3_64_with_seed};
 
 use super::key::IdempotencyKey;
-use crate::ids::{UpstreamSetId, Wall};
+use crate::ids::{UpstreamSetId, WallTime};
 
 /// Maximum number of earlier sets kept for one service. Older ones are merged into
 /// one set in which every member counts as a previous home. This can only add
@@ -84,7 +84,7 @@
     /// The version that replaced this set.
     ended: Version,
     /// When that version was applied here.
-    ended_at: Wall,
+    ended_at: WallTime,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -97,7 +97,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Confirmed {
     version: Version,
-    at: Wall,
+    at: WallTime,
     /// Whether that executor still has its table of keys. False for one that was
     /// deleted.
     has_table: bool,
@@ -170,7 +170,7 @@
         names: BTreeSet<UpstreamName>,
         version: Version,
         follows: bool,
-        now: Wall,
+        now: WallTime,
     ) {
         let first = !self.services.contains_key(service);
         let sets = self.services.entry(service.clone()).or_default();
@@ -228,7 +228,7 @@
     /// Returns when `version` was applied here, or zero if it is not known to have
     /// changed any set.
     #[must_use]
-    pub fn applied_at(&self, version: Version) -> Wall {
+    pub fn applied_at(&self, version: Version) -> WallTime {
         let earlier = self.services.values().flat_map(|sets| &sets.earlier);
         let of_version = earlier.filter(|it| it.ended == version);
         of_version.map(|it| it.ended_at).max().unwrap_or_default()
@@ -254,7 +254,7 @@
         }
     }
 
-    fn check_earlier(&self, sets: &Sets, key: &IdempotencyKey, created: Wall) -> HomeCheck {
+    fn check_earlier(&self, sets: &Sets, key: &IdempotencyKey, created: WallTime) -> HomeCheck {
         let mut ask = BTreeMap::new();
         for earlier in &sets.earlier {
             for upstream in self.previous_homes(earlier, key) {
@@ -292,14 +292,14 @@
     }
 
     /// Records that a previous home has confirmed that it applied `version`.
-    pub fn confirm(&mut self, upstream: &UpstreamName, version: Version, now: Wall) {
+    pub fn confirm(&mut self, upstream: &UpstreamName, version: Version, now: WallTime) {
         self.record_confirmed(upstream, version, now, true);
     }
 
     /// Records that the upstream was deleted and that no instance of it is known any
     /// more. The operator's deletion is taken as proof that it runs nothing. Keys made
     /// up to now may have run there.
-    pub fn mark_deleted(&mut self, upstream: &UpstreamName, version: Version, now: Wall) {
+    pub fn mark_deleted(&mut self, upstream: &UpstreamName, version: Version, now: WallTime) {
         self.record_confirmed(upstream, version, now, false);
     }
 
@@ -307,7 +307,7 @@
         &mut self,
         upstream: &UpstreamName,
         version: Version,
-        at: Wall,
+        at: WallTime,
         has_table: bool,
     ) {
         let is_known = |it: &Confirmed| it.version >= version;
@@ -323,7 +323,7 @@
     }
 
     /// Drops earlier sets under which no key that is still accepted can have run.
-    pub fn tick(&mut self, now: Wall) {
+    pub fn tick(&mut self, now: WallTime) {
         let keep_for = self.retention + self.skew * 2;
         let confirmed = &self.confirmed;
         let me = &self.me;
--- a/crates/calls/src/idempotency/key.rs
+++ b/crates/calls/src/idempotency/key.rs
@@ -9,7 +9,7 @@
 use uuid::Uuid;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::ids::Wall;
+use crate::ids::WallTime;
 
 /// Maximum length of a key.
 const MAX_LEN: usize = 64;
@@ -25,7 +25,7 @@
         /// The UUID.
         text: SmolStr,
         /// Creation time by the clock of whoever made the key.
-        created: Wall,
+        created: WallTime,
     },
     /// Any other text. Its creation time is unknown.
     Plain(SmolStr),
@@ -49,7 +49,7 @@
 
     /// Returns when the key was made, if it states that.
     #[must_use]
-    pub fn created(&self) -> Option<Wall> {
+    pub fn created(&self) -> Option<WallTime> {
         match self {
             Self::Timed { created, .. } => Some(*created),
             Self::Plain(_) => None,
--- a/crates/calls/src/idempotency/snapshot.rs
+++ b/crates/calls/src/idempotency/snapshot.rs
@@ -8,7 +8,7 @@
 use super::key::IdempotencyKey;
 use crate::answer::Answer;
 use crate::fingerprint::Fingerprint;
-use crate::ids::Wall;
+use crate::ids::WallTime;
 
 /// All records of an [`IdempotencyTable`] whose process has stopped running requests.
 ///
@@ -19,7 +19,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct IdempotencySnapshot {
     /// A key that was made after this time and is not in `intents` never ran.
-    pub since: Wall,
+    pub since: WallTime,
     /// The keys that ran or may have run.
     pub intents: Vec<RememberedKey>,
 }
@@ -32,7 +32,7 @@
     /// Fingerprint of the request that was sent with the key.
     pub fingerprint: Fingerprint,
     /// When the key may be dropped.
-    pub expires: Wall,
+    pub expires: WallTime,
     /// How the run of the request ended.
     pub run: RememberedRun,
 }
--- a/crates/calls/src/idempotency/table/mod.rs
+++ b/crates/calls/src/idempotency/table/mod.rs
@@ -10,7 +10,7 @@
 use super::key::IdempotencyKey;
 use crate::answer::Answer;
 use crate::fingerprint::Fingerprint;
-use crate::ids::{AttemptId, Wall};
+use crate::ids::{AttemptId, WallTime};
 use crate::refusal::{Reason, Refusal};
 
 /// Time after which a caller may retry when the table is full.
@@ -53,7 +53,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Record {
     fingerprint: Fingerprint,
-    expires: Wall,
+    expires: WallTime,
     run: Run,
 }
 
@@ -62,9 +62,9 @@
 pub struct IdempotencyTable {
     cfg: IdempotencyConfig,
     /// The table decides only about keys that were made after this time.
-    since: Wall,
+    since: WallTime,
     records: BTreeMap<IdempotencyKey, Record>,
-    expiry: BTreeMap<Wall, Vec<IdempotencyKey>>,
+    expiry: BTreeMap<WallTime, Vec<IdempotencyKey>>,
     /// Keys whose answers are kept, oldest first.
     answer_order: VecDeque<IdempotencyKey>,
     kept_bytes: usize,
@@ -77,7 +77,7 @@
     /// the start. They were made while this process was running, so no earlier process
     /// can have run them.
     #[must_use]
-    pub fn new(started: Wall, cfg: IdempotencyConfig) -> Self {
+    pub fn new(started: WallTime, cfg: IdempotencyConfig) -> Self {
         Self {
             cfg,
             since: started + cfg.skew,
@@ -121,7 +121,7 @@
         key: &IdempotencyKey,
         fingerprint: Fingerprint,
         attempt: AttemptId,
-        now: Wall,
+        now: WallTime,
     ) -> KeyDecision {
         if let Some(known) = self.lookup(key, fingerprint) {
             return known;
@@ -136,7 +136,7 @@
         KeyDecision::Run
     }
 
-    fn check_age(&self, key: &IdempotencyKey, now: Wall) -> Result<(), Refusal> {
+    fn check_age(&self, key: &IdempotencyKey, now: WallTime) -> Result<(), Refusal> {
         let Some(created) = key.key.created() else {
             return Ok(());
         };
@@ -159,7 +159,7 @@
     ///
     /// At equality, the key may have been made at the moment of this start, by a clock
     /// that is ahead by the maximum skew, and an earlier process may have run it.
-    fn is_authoritative_for(&self, created: Wall) -> bool {
+    fn is_authoritative_for(&self, created: WallTime) -> bool {
         created > self.since
     }
 
@@ -218,7 +218,7 @@
     }
 
     /// Drops keys that are so old that they are not accepted any more.
-    pub fn tick(&mut self, now: Wall) {
+    pub fn tick(&mut self, now: WallTime) {
         while let Some(entry) = self.expiry.first_entry() {
             if *entry.key() > now {
                 break;
@@ -229,7 +229,7 @@
         }
     }
 
-    fn expire(&mut self, key: IdempotencyKey, now: Wall) {
+    fn expire(&mut self, key: IdempotencyKey, now: WallTime) {
         let Some(record) = self.records.get_mut(&key) else {
             return;
         };
@@ -272,7 +272,7 @@
         key: &IdempotencyKey,
         fingerprint: Fingerprint,
         attempt: AttemptId,
-        now: Wall,
+        now: WallTime,
     ) {
         let created = key.key.created().unwrap_or(now);
         let expires = created + self.cfg.retention + self.cfg.skew;
--- a/crates/calls/src/identity.rs
+++ b/crates/calls/src/identity.rs
@@ -6,7 +6,7 @@
 use stoatstep_resource::{Customer, CustomerName, KeyDigest, KeyId, Kind, Resource, State};
 
 /// Name of the header in which callers send their keys.
-pub const CREDENTIAL: &str = "authorization";
+pub const AUTHORIZATION_HEADER: &str = "authorization";
 
 /// Authentication scheme, which is compared without regard to case.
 const SCHEME: &[u8] = b"bearer";
--- a/crates/calls/src/ids.rs
+++ b/crates/calls/src/ids.rs
@@ -18,4 +18,4 @@
 
 /// Reading of the calendar clock: the time since the Unix epoch. Readings of two
 /// machines differ by up to the maximum clock skew, see `docs/design/at-most-once.md`.
-pub type Wall = Duration;
+pub type WallTime = Duration;
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -46,7 +46,7 @@
 mod uplink;
 
 pub use admission::{Admission, AdmissionConfig, Ask, Dispatch, Load, Verdict};
-pub use answer::{Answer, Header, is_of_connection};
+pub use answer::{Answer, Header, is_hop_by_hop};
 pub use answers::Answers;
 pub use candidates::{Among, Candidate, CandidateState, Pick};
 pub use class::{Class, UnknownClass};
@@ -60,8 +60,8 @@
     IdempotencySnapshot, IdempotencyTable, KeyDecision, KeyError, KeyText, KnownMembers,
     RememberedKey, RememberedRun, home_of, upstream_set_id,
 };
-pub use identity::{CREDENTIAL, CredentialError, KeyRing, bearer_key};
-pub use ids::{AttemptId, Incarnation, Time, UpstreamSetId, Wall};
+pub use identity::{AUTHORIZATION_HEADER, CredentialError, KeyRing, bearer_key};
+pub use ids::{AttemptId, Incarnation, Time, UpstreamSetId, WallTime};
 pub use ledger::{Arrival, AttemptStatus, Ledger, LedgerConfig, Ticket};
 pub use placement::{Placement, Seen, Wish};
 pub use quarantine::{
--- a/crates/calls/src/quarantine/kept.rs
+++ b/crates/calls/src/quarantine/kept.rs
@@ -6,7 +6,7 @@
 
 use super::{Finding, LifeMark, Quarantine, Record, quarantine_time};
 use crate::fingerprint::Fingerprint;
-use crate::ids::{Time, Wall};
+use crate::ids::{Time, WallTime};
 
 /// A refused request as it is stored outside the daemons.
 ///
@@ -20,13 +20,13 @@
     /// Target generations that ended while they ran it.
     pub lives: Vec<LifeMark>,
     /// When the last of them ended, by the calendar clock of the daemon that stored this.
-    pub ended: Wall,
+    pub ended: WallTime,
 }
 
 impl KeptRequest {
     /// Returns the record as a finding at the time `now`.
     #[must_use]
-    pub fn finding(&self, now: Wall) -> Finding {
+    pub fn finding(&self, now: WallTime) -> Finding {
         Finding::Ended {
             request: self.request,
             lives: self.lives.clone(),
@@ -36,7 +36,7 @@
 
     /// Returns whether the record has no effect any more and can be deleted.
     #[must_use]
-    pub fn is_over(&self, now: Wall, threshold: usize) -> bool {
+    pub fn is_over(&self, now: WallTime, threshold: usize) -> bool {
         let refused_for = quarantine_time(self.lives.len(), threshold).unwrap_or(Duration::ZERO);
         now > self.ended + refused_for * 2
     }
@@ -45,7 +45,7 @@
 impl Quarantine {
     /// Returns the record to store for a request, or `None` if the request is not refused.
     #[must_use]
-    pub fn kept(&self, request: Fingerprint, now: Time, wall: Wall) -> Option<KeptRequest> {
+    pub fn kept(&self, request: Fingerprint, now: Time, wall: WallTime) -> Option<KeptRequest> {
         self.holds(request, now)?;
         let Some(Record::Suspected(known)) = self.records.get(&request) else {
             return None;
--- a/crates/daemon/src/call/clock.rs
+++ b/crates/daemon/src/call/clock.rs
@@ -2,13 +2,13 @@
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use stoatstep_calls::{Time, Wall};
+use stoatstep_calls::{Time, WallTime};
 
 /// The process's clocks. The calendar clock is read once: a step of it while
 /// the process runs would make keys look older or younger than their records.
 pub(super) struct Clock {
     started: Instant,
-    started_wall: Wall,
+    started_wall: WallTime,
 }
 
 impl Clock {
@@ -24,11 +24,11 @@
         self.started.elapsed()
     }
 
-    pub(super) fn wall(&self) -> Wall {
+    pub(super) fn wall(&self) -> WallTime {
         self.started_wall + self.now()
     }
 
-    pub(super) fn started_wall(&self) -> Wall {
+    pub(super) fn started_wall(&self) -> WallTime {
         self.started_wall
     }
 }
--- a/crates/daemon/src/call/headers.rs
+++ b/crates/daemon/src/call/headers.rs
@@ -1,7 +1,7 @@
 //! Names of the headers that calls carry. See
 //! `docs/contributing/interfaces.md`.
 
-use stoatstep_calls::is_of_connection;
+use stoatstep_calls::is_hop_by_hop;
 
 pub(super) const TENANT: &str = "stoatstep-tenant";
 pub(super) const CLASS: &str = "stoatstep-class";
@@ -28,5 +28,5 @@
 /// neither side can forge them for the other.
 pub(super) fn passes(name: &str) -> bool {
     let is_own = name == IDEMPOTENCY_KEY || name.starts_with(OWN_PREFIX);
-    !is_own && !is_of_connection(name)
+    !is_own && !is_hop_by_hop(name)
 }
--- a/crates/daemon/src/call/request.rs
+++ b/crates/daemon/src/call/request.rs
@@ -10,8 +10,8 @@
 use rand::RngExt;
 use smol_str::{SmolStr, ToSmolStr, format_smolstr};
 use stoatstep_calls::{
-    CREDENTIAL, Class, Deadline, Header, IdempotencyKey, KeyText, Reason, Refusal, ResolvedRoute,
-    bearer_key, upstream_set_id,
+    AUTHORIZATION_HEADER, Class, Deadline, Header, IdempotencyKey, KeyText, Reason, Refusal,
+    ResolvedRoute, bearer_key, upstream_set_id,
 };
 use stoatstep_resource::{CustomerName, ServiceName, TenantLimit};
 
@@ -166,7 +166,7 @@
     route: &ResolvedRoute,
     map: &HeaderMap,
 ) -> Result<Option<CustomerName>, Rejected> {
-    let credentials = map.get_all(CREDENTIAL).map(HeaderValue::as_bytes);
+    let credentials = map.get_all(AUTHORIZATION_HEADER).map(HeaderValue::as_bytes);
     let key = bearer_key(credentials).ok();
     let holder = key.and_then(|it| in_force.keys.holder(&it));
     if holder.is_none() && !route.route.public && !in_force.keys.is_empty() {
@@ -186,7 +186,8 @@
 /// is to get one.
 fn passed(map: &HeaderMap, passes_credential: bool) -> Vec<Header> {
     let all = map.iter();
-    let goes_on = |name: &str| headers::passes(name) && (passes_credential || name != CREDENTIAL);
+    let goes_on =
+        |name: &str| headers::passes(name) && (passes_credential || name != AUTHORIZATION_HEADER);
     let passed = all.filter(|(name, _)| goes_on(name.as_str()));
     let header = passed.map(|(name, value)| Header {
         name: name.as_str().to_smolstr(),
--- a/crates/mesh/src/entry/call.rs
+++ b/crates/mesh/src/entry/call.rs
@@ -10,7 +10,7 @@
 use rand::RngExt;
 use smol_str::{SmolStr, ToSmolStr};
 use stoatstep_calls::{
-    CREDENTIAL, Deadline, Header, Reason, Refusal, ResolvedRoute, Time, is_of_connection,
+    AUTHORIZATION_HEADER, Deadline, Header, Reason, Refusal, ResolvedRoute, Time, is_hop_by_hop,
 };
 use stoatstep_http::{BodyError, read_body};
 use stoatstep_resource::{Quota, Version};
@@ -131,7 +131,7 @@
     let named = text(map, "connection").unwrap_or_default();
     let named = named.to_ascii_lowercase();
     let of_connection =
-        |name: &str| is_of_connection(name) || named.split(',').any(|it| it.trim() == name);
+        |name: &str| is_hop_by_hop(name) || named.split(',').any(|it| it.trim() == name);
     let dialect = &node.cfg.dialect;
     let own = [
         &dialect.request_id,
@@ -140,8 +140,9 @@
         &dialect.expected_upstream,
         &dialect.customer,
     ];
-    let is_own =
-        |name: &str| own.iter().any(|it| *it == name) || name == CREDENTIAL && !passes_credential;
+    let is_own = |name: &str| {
+        own.iter().any(|it| *it == name) || name == AUTHORIZATION_HEADER && !passes_credential
+    };
     let all = map.iter().map(|(name, value)| (name.as_str(), value));
     let passed = all.filter(|(name, _)| !of_connection(name) && !is_own(name));
     let header = passed.map(|(name, value)| Header {
--- a/crates/mesh/src/executor/target.rs
+++ b/crates/mesh/src/executor/target.rs
@@ -15,7 +15,7 @@
 use hyper::{Request, Response, StatusCode, Uri};
 use slog::Logger;
 use smol_str::{SmolStr, ToSmolStr};
-use stoatstep_calls::{Answer, Header, Reason, Refusal, is_of_connection};
+use stoatstep_calls::{Answer, Header, Reason, Refusal, is_hop_by_hop};
 use stoatstep_membership::id_of_life;
 use stoatstep_resource::UpstreamName;
 use stoatstep_telemetry::fields;
@@ -278,7 +278,7 @@
         }
         let passed = headers
             .iter()
-            .filter(|(name, _)| !is_of_connection(name.as_str()));
+            .filter(|(name, _)| !is_hop_by_hop(name.as_str()));
         let headers = passed.map(|(name, value)| Header {
             name: name.as_str().to_smolstr(),
             value: value.as_bytes().to_vec(),
--- a/crates/mesh/src/identity.rs
+++ b/crates/mesh/src/identity.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use ntex::http::header::{HeaderMap, HeaderValue};
-use stoatstep_calls::{CREDENTIAL, Reason, Refusal, ResolvedRoute, bearer_key};
+use stoatstep_calls::{AUTHORIZATION_HEADER, Reason, Refusal, ResolvedRoute, bearer_key};
 use stoatstep_resource::Quota;
 
 use crate::fleet::confirmation;
@@ -46,7 +46,9 @@
     if !is_public && !confirmation::is_recent(node) {
         return Err(Refusal::retry(Reason::Unconfirmed, UNCONFIRMED_RETRY));
     }
-    let credentials = headers.get_all(CREDENTIAL).map(HeaderValue::as_bytes);
+    let credentials = headers
+        .get_all(AUTHORIZATION_HEADER)
+        .map(HeaderValue::as_bytes);
     let key = bearer_key(credentials).ok();
     let holder = key.and_then(|key| Some((key, in_force.keys.holder(&key)?)));
     let Some((key, customer)) = holder else {
--- a/crates/spec/src/intent/home.rs
+++ b/crates/spec/src/intent/home.rs
@@ -5,7 +5,7 @@
 
 use stoatstep_calls::{
     Answer, AttemptId, Fingerprint, HomeAnswer, HomeCheck, HomeHistory, HomeQuery,
-    IdempotencyConfig, IdempotencyKey, IdempotencyTable, KeyDecision, UpstreamSetId, Wall,
+    IdempotencyConfig, IdempotencyKey, IdempotencyTable, KeyDecision, UpstreamSetId, WallTime,
     upstream_set_id,
 };
 use stoatstep_resource::{UpstreamName, Version};
@@ -46,7 +46,7 @@
 impl Executor {
     pub(super) fn new(
         number: usize,
-        started: Wall,
+        started: WallTime,
         version: u8,
         set: BTreeSet<UpstreamName>,
         safeguards: Safeguards,
@@ -67,7 +67,7 @@
     pub(super) fn successor(
         &self,
         number: usize,
-        now: Wall,
+        now: WallTime,
         set: BTreeSet<UpstreamName>,
         safeguards: Safeguards,
     ) -> Self {
@@ -86,7 +86,7 @@
         version: u8,
         set: BTreeSet<UpstreamName>,
         follows: bool,
-        now: Wall,
+        now: WallTime,
     ) {
         self.version = version;
         let service = "floatdesk".into();
@@ -99,7 +99,7 @@
         key: &IdempotencyKey,
         id: AttemptId,
         set: &BTreeSet<UpstreamName>,
-        now: Wall,
+        now: WallTime,
         safeguards: Safeguards,
     ) {
         if self.table.lookup(key, REQUEST).is_some() {
@@ -127,7 +127,7 @@
         key: &IdempotencyKey,
         id: AttemptId,
         set: UpstreamSetId,
-        now: Wall,
+        now: WallTime,
         safeguards: Safeguards,
     ) {
         let now = judged(key, now, safeguards);
@@ -156,7 +156,7 @@
         &mut self,
         key: &IdempotencyKey,
         id: AttemptId,
-        now: Wall,
+        now: WallTime,
         safeguards: Safeguards,
     ) {
         let Some(Taken { set, phase }) = self.taken.remove(&id) else {
@@ -187,7 +187,7 @@
     }
 
     /// The previous home that this attempt asks for is gone for good.
-    pub(super) fn note_gone(&mut self, id: AttemptId, now: Wall) {
+    pub(super) fn note_gone(&mut self, id: AttemptId, now: WallTime) {
         let taken = self.taken.remove(&id);
         if let Some(Phase::Asks(questions)) = taken.map(|it| it.phase) {
             for question in questions {
@@ -232,19 +232,19 @@
         }
     }
 
-    pub(super) fn clean(&mut self, now: Wall) {
+    pub(super) fn clean(&mut self, now: WallTime) {
         self.table.tick(now);
         self.homes.tick(now);
     }
 }
 
-fn table(started: Wall, safeguards: Safeguards) -> IdempotencyTable {
+fn table(started: WallTime, safeguards: Safeguards) -> IdempotencyTable {
     let cfg = IdempotencyConfig::default()
         .skew(ticks(SKEW))
         .retention(ticks(RETENTION));
     let mut authority_from = started;
     if !safeguards.has(Safeguard::AuthoritySince) {
-        authority_from = Wall::ZERO;
+        authority_from = WallTime::ZERO;
     }
     if !safeguards.has(Safeguard::SkewMargin) {
         authority_from = started.saturating_sub(ticks(SKEW));
@@ -253,7 +253,7 @@
 }
 
 /// The time as a table sees it that lacks one of its checks.
-fn judged(key: &IdempotencyKey, now: Wall, safeguards: Safeguards) -> Wall {
+fn judged(key: &IdempotencyKey, now: WallTime, safeguards: Safeguards) -> WallTime {
     let created = key.key.created().unwrap_or(now);
     if !safeguards.has(Safeguard::FutureKeyCheck) {
         return now.max(created);
--- a/crates/spec/src/intent/mod.rs
+++ b/crates/spec/src/intent/mod.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_calls::{AttemptId, IdempotencyKey, KeyText, Wall, home_of};
+use stoatstep_calls::{AttemptId, IdempotencyKey, KeyText, WallTime, home_of};
 use stoatstep_resource::UpstreamName;
 
 use crate::invariant::Invariant;
@@ -225,7 +225,7 @@
 }
 
 /// Reading of a clock that is `ahead`, at tick `now`.
-fn wall(now: u8, ahead: u8) -> Wall {
+fn wall(now: u8, ahead: u8) -> WallTime {
     Duration::from_secs(BEGINNING) + ticks(now + ahead)
 }
 
@@ -234,7 +234,7 @@
 }
 
 /// A key whose home is the second upstream while there are both.
-fn key_that_moves(both: &BTreeSet<UpstreamName>, created: Wall) -> IdempotencyKey {
+fn key_that_moves(both: &BTreeSet<UpstreamName>, created: WallTime) -> IdempotencyKey {
     let keys = (0..).map(|number: u32| IdempotencyKey {
         service: "floatdesk".into(),
         tenant: "elm-school".into(),
--- a/crates/spec/src/intent/successors.rs
+++ b/crates/spec/src/intent/successors.rs
@@ -1,6 +1,6 @@
 //! All that may happen next.
 
-use stoatstep_calls::{AttemptId, Wall};
+use stoatstep_calls::{AttemptId, WallTime};
 
 use super::home::{Executor, Phase, Taken};
 use super::{IntentSpec, IntentState, IntentStep, Removal, UPSTREAMS, wall};
@@ -34,7 +34,7 @@
         next
     }
 
-    fn wall(&self, state: &IntentState, executor: usize) -> Wall {
+    fn wall(&self, state: &IntentState, executor: usize) -> WallTime {
         wall(state.now, self.clock_of(executor))
     }
 
