--- a/crates/calls/src/answer.rs
+++ b/crates/calls/src/answer.rs
@@ -38,7 +38,7 @@
 
     /// Returns approximately how many bytes of memory the answer takes.
     #[must_use]
-    pub fn weight(&self) -> usize {
+    pub fn memory_size(&self) -> usize {
         let header = |it: &Header| it.name.len() + it.value.len() + size_of::<Header>();
         size_of::<Self>() + self.body.len() + self.headers.iter().map(header).sum::<usize>()
     }
--- a/crates/calls/src/answers.rs
+++ b/crates/calls/src/answer_stats.rs
@@ -14,13 +14,13 @@
 
 /// Mean size and run time of the answers of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Answers {
+pub struct AnswerStats {
     mean_bytes: f64,
     samples: u32,
     run: Estimate,
 }
 
-impl Answers {
+impl AnswerStats {
     /// Records an answer with a body of `bytes` bytes after a run time of `run`.
     pub fn record(&mut self, bytes: usize, run: Duration) {
         self.samples = self.samples.saturating_add(1);
--- a/crates/calls/src/idempotency/table/mod.rs
+++ b/crates/calls/src/idempotency/table/mod.rs
@@ -175,7 +175,7 @@
         if !self.runs_under(key, attempt) {
             return;
         }
-        self.kept_bytes += answer.weight();
+        self.kept_bytes += answer.memory_size();
         self.set_run(key, Run::Done(answer));
         self.answer_order.push_back(key.clone());
         self.evict_answers();
@@ -243,7 +243,7 @@
                 self.expiry.entry(record.expires).or_default().push(key);
                 return;
             }
-            Run::Done(answer) => self.kept_bytes -= answer.weight(),
+            Run::Done(answer) => self.kept_bytes -= answer.memory_size(),
             Run::DoneWithoutAnswer | Run::Unknown => {}
         }
         self.records.remove(&key);
@@ -306,7 +306,7 @@
                 continue;
             };
             if let Run::Done(answer) = &record.run {
-                self.kept_bytes -= answer.weight();
+                self.kept_bytes -= answer.memory_size();
                 record.run = Run::DoneWithoutAnswer;
             }
         }
--- a/crates/calls/src/idempotency/table/restore.rs
+++ b/crates/calls/src/idempotency/table/restore.rs
@@ -50,7 +50,7 @@
         self.expiry.entry(expires).or_default().push(key.clone());
         let run = Run::from(run);
         if let Run::Done(answer) = &run {
-            self.kept_bytes += answer.weight();
+            self.kept_bytes += answer.memory_size();
             self.answer_order.push_back(key.clone());
         }
         let record = Record {
--- a/crates/calls/src/ledger/mod.rs
+++ b/crates/calls/src/ledger/mod.rs
@@ -120,11 +120,11 @@
 
     /// Records that the attempt ran, with its complete answer.
     pub fn done(&mut self, attempt: AttemptId, answer: Arc<Answer>) {
-        let weight = answer.weight();
+        let size = answer.memory_size();
         if !self.transition(attempt, AttemptStatus::Done(answer), is_running) {
             return;
         }
-        self.kept_bytes += weight;
+        self.kept_bytes += size;
         self.answer_order.push_back(attempt);
         self.evict_answers();
     }
@@ -195,7 +195,7 @@
             return;
         }
         if let AttemptStatus::Done(answer) = &record.state {
-            self.kept_bytes -= answer.weight();
+            self.kept_bytes -= answer.memory_size();
         }
         self.records.remove(&attempt);
         self.prune_answer_order();
@@ -279,7 +279,7 @@
                 continue;
             };
             if let AttemptStatus::Done(answer) = &record.state {
-                self.kept_bytes -= answer.weight();
+                self.kept_bytes -= answer.memory_size();
                 record.state = AttemptStatus::DoneWithoutAnswer;
             }
         }
--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -21,7 +21,7 @@
 
 mod admission;
 mod answer;
-mod answers;
+mod answer_stats;
 mod candidates;
 mod class;
 mod deadline;
@@ -47,7 +47,7 @@
 
 pub use admission::{Admission, AdmissionConfig, Ask, Dispatch, Load, Verdict};
 pub use answer::{Answer, Header, is_hop_by_hop};
-pub use answers::Answers;
+pub use answer_stats::AnswerStats;
 pub use candidates::{Among, Candidate, CandidateState, Pick};
 pub use class::{Class, UnknownClass};
 pub use deadline::Deadline;
--- a/crates/daemon/src/call/keyed.rs
+++ b/crates/daemon/src/call/keyed.rs
@@ -200,7 +200,7 @@
 
 /// Writes the answer into the claim row, for retries after this process.
 pub(super) fn record(node: &Rc<Node>, attempt: &Attempt, answer: &Answer) {
-    if answer.weight() > MAX_RECORDED {
+    if answer.memory_size() > MAX_RECORDED {
         return;
     }
     let answer = answer.clone();
--- a/crates/daemon/src/call/run.rs
+++ b/crates/daemon/src/call/run.rs
@@ -174,7 +174,7 @@
 fn record_done(tables: &mut tables::ExecutorTables, attempt: &Attempt, answer: &Arc<Answer>) {
     // A stored answer handed out again has not passed through the queue.
     let _ = tables.ledger.start(attempt.id);
-    if answer.weight() > MAX_KEPT {
+    if answer.memory_size() > MAX_KEPT {
         tables.ledger.done_without_answer(attempt.id);
     } else {
         tables.ledger.done(attempt.id, Arc::clone(answer));
@@ -182,7 +182,7 @@
     let Some(key) = &attempt.key else {
         return;
     };
-    if answer.weight() > MAX_KEPT {
+    if answer.memory_size() > MAX_KEPT {
         tables.intents.done_without_answer(key, attempt.id);
     } else {
         tables.intents.done(key, attempt.id, Arc::clone(answer));
--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -19,7 +19,7 @@
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stoatstep_calls::{
-    Answers, Candidate, Outcome, Placement, Refusal, RetryBudget, Throttle, Ticket, Time,
+    AnswerStats, Candidate, Outcome, Placement, Refusal, RetryBudget, Throttle, Ticket, Time,
 };
 use stoatstep_http::drop_body;
 use stoatstep_resource::{RouteName, ServiceName};
@@ -46,7 +46,7 @@
     placement: Placement,
     budgets: BTreeMap<ServiceName, RetryBudget>,
     /// What the answers of each route in use are like.
-    answers: HashMap<RouteName, Answers>,
+    answers: HashMap<RouteName, AnswerStats>,
     /// How the calls of each route in use ended lately.
     throttles: HashMap<RouteName, Throttle>,
     /// The newest ticket of each executor.
--- a/crates/mesh/src/executor/answers.rs
+++ b/crates/mesh/src/executor/answers.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use stoatstep_calls::{Answer, Answers, Reason, Refusal};
+use stoatstep_calls::{Answer, AnswerStats, Reason, Refusal};
 use stoatstep_resource::RouteName;
 
 use super::Tables;
@@ -34,7 +34,7 @@
 pub(super) fn expect(node: &Node, attempt: &Attempt) {
     let tables = node.executor.tables.borrow();
     let answers = tables.answers.get(&attempt.call.route);
-    let bytes = answers.map_or(0.0, Answers::bytes);
+    let bytes = answers.map_or(0.0, AnswerStats::bytes);
     drop(tables);
     node.uplink.expects(attempt.id, bytes);
 }
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -21,7 +21,7 @@
 use rand::RngExt;
 use slog::Logger;
 use stoatstep_calls::{
-    Answers, Arrival, AttemptId, AttemptStatus, Deadline, Incarnation, Ledger, LedgerConfig,
+    AnswerStats, Arrival, AttemptId, AttemptStatus, Deadline, Incarnation, Ledger, LedgerConfig,
     Occupancy, Queue, Reason, RecentAnswers, Refusal, Ticket, Uplink,
 };
 use stoatstep_membership::{Announced, LocalTarget};
@@ -74,7 +74,7 @@
     runs: BTreeMap<AttemptId, Run>,
     upstream: LocalTarget,
     /// What the answers of each route that runs here are like.
-    answers: HashMap<RouteName, Answers>,
+    answers: HashMap<RouteName, AnswerStats>,
     /// How runs ended since the newest order for a roll-out of the service.
     tally: Tally,
     /// The last life of the target that was seen to end.
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -245,7 +245,7 @@
 fn record(tables: &mut Tables, attempt: &Attempt, end: &End) {
     let ledger = &mut tables.ledger;
     match end {
-        End::Answered(answer) if answer.weight() <= MAX_KEPT => {
+        End::Answered(answer) if answer.memory_size() <= MAX_KEPT => {
             ledger.done(attempt.id, std::sync::Arc::clone(answer));
         }
         End::Answered(_) => ledger.done_without_answer(attempt.id),
