--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -14,7 +14,7 @@
 //!   [`Placement`], [`RetryBudget`], [`Backoff`], [`Deadline`] and [`Silence`];
 //! * both use [`Quarantine`];
 //! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IdempotencyTable`],
-//!   [`Drain`] and [`Departure`].
+//!   [`Drain`] and [`Shutdown`].
 //!
 //! The design is explained in `docs/design/calls.md` and
 //! `docs/design/at-most-once.md`.
@@ -25,7 +25,6 @@
 mod candidates;
 mod class;
 mod deadline;
-mod departure;
 mod drain;
 mod estimate;
 mod fingerprint;
@@ -41,6 +40,7 @@
 mod retry;
 mod router;
 mod routes;
+mod shutdown;
 mod silence;
 mod throttle;
 mod uplink;
@@ -51,7 +51,6 @@
 pub use candidates::{Among, Candidate, CandidateState, Pick};
 pub use class::{Class, UnknownClass};
 pub use deadline::Deadline;
-pub use departure::Departure;
 pub use drain::{Drain, DrainStep};
 pub use estimate::Estimate;
 pub use fingerprint::Fingerprint;
@@ -74,6 +73,7 @@
 pub use retry::{Attempts, Backoff, RetryBudget, Settlement, may_retry};
 pub use router::{Report, Router};
 pub use routes::{ResolvedRoute, RouteTable};
+pub use shutdown::Shutdown;
 pub use silence::{Silence, SilenceAction, SilenceConfig};
 pub use throttle::Throttle;
 pub use uplink::Uplink;
--- a/crates/calls/src/departure.rs
+++ b/crates/calls/src/shutdown.rs
@@ -24,12 +24,12 @@
 
 /// Whether a daemon is shutting down, and which calls it still accepts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Departure {
+pub struct Shutdown {
     grace: Duration,
     begun: Option<Time>,
 }
 
-impl Departure {
+impl Shutdown {
     /// Creates the state of a serving daemon that will be killed `grace` after it was
     /// told to stop.
     #[must_use]
@@ -55,7 +55,7 @@
     /// grace period, only calls whose deadlines are before the exit are accepted. The
     /// others are refused as not run, which is certain at that point.
     #[must_use]
-    pub fn takes(&self, expires: Time, now: Time) -> bool {
+    pub fn accepts(&self, expires: Time, now: Time) -> bool {
         let Some(begun) = self.begun else {
             return true;
         };
@@ -64,7 +64,7 @@
 
     /// Returns whether the process may exit while `in_flight` calls are unanswered.
     #[must_use]
-    pub fn may_end(&self, in_flight: u32, now: Time) -> bool {
+    pub fn may_exit(&self, in_flight: u32, now: Time) -> bool {
         let Some(begun) = self.begun else {
             return false;
         };
--- a/crates/calls/tests/all/departure.rs
+++ b/crates/calls/tests/all/departure.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use stoatstep_calls::Departure;
+use stoatstep_calls::Shutdown;
 
 const GRACE: Duration = Duration::from_secs(6);
 const MS: Duration = Duration::from_millis(1);
@@ -9,24 +9,24 @@
     MS * ms
 }
 
-fn begun() -> Departure {
-    let mut departure = Departure::new(GRACE);
-    departure.begin(Duration::ZERO);
-    departure
+fn begun() -> Shutdown {
+    let mut shutdown = Shutdown::new(GRACE);
+    shutdown.begin(Duration::ZERO);
+    shutdown
 }
 
 #[test]
 fn a_serving_daemon_accepts_every_call_and_does_not_exit() {
-    let departure = Departure::new(GRACE);
-    assert!(departure.takes(Duration::from_hours(1), at(0)));
-    assert!(!departure.may_end(0, Duration::from_hours(1)));
+    let shutdown = Shutdown::new(GRACE);
+    assert!(shutdown.accepts(Duration::from_hours(1), at(0)));
+    assert!(!shutdown.may_exit(0, Duration::from_hours(1)));
 }
 
 /// Callers keep using an open connection until they notice that the daemon is not
 /// ready. Refusing calls before that would lose calls that the daemon has time for.
 #[test]
 fn early_in_the_grace_period_calls_are_still_accepted() {
-    assert!(begun().takes(at(20_000), at(2_900)));
+    assert!(begun().accepts(at(20_000), at(2_900)));
 }
 
 /// A call arrives 4.8 s after the shutdown began. The process exits at 5.4 s. If the
@@ -34,26 +34,26 @@
 /// not tell whether it ran. Such a call is refused when it arrives.
 #[test]
 fn late_in_the_grace_period_no_call_is_accepted_that_may_outlive_the_process() {
-    let departure = begun();
-    assert!(!departure.takes(at(4_800 + 1_000), at(4_800)));
-    assert!(departure.takes(at(4_800 + 500), at(4_800)));
+    let shutdown = begun();
+    assert!(!shutdown.accepts(at(4_800 + 1_000), at(4_800)));
+    assert!(shutdown.accepts(at(4_800 + 500), at(4_800)));
 }
 
 #[test]
 fn it_exits_when_idle_after_the_notice_time_or_at_the_end_of_the_grace_period() {
-    let departure = begun();
+    let shutdown = begun();
     assert!(
-        !departure.may_end(0, at(2_000)),
+        !shutdown.may_exit(0, at(2_000)),
         "callers may not have noticed"
     );
-    assert!(departure.may_end(0, at(2_600)));
-    assert!(!departure.may_end(1, at(2_600)));
-    assert!(departure.may_end(1, at(5_400)));
+    assert!(shutdown.may_exit(0, at(2_600)));
+    assert!(!shutdown.may_exit(1, at(2_600)));
+    assert!(shutdown.may_exit(1, at(5_400)));
 }
 
 #[test]
 fn a_second_stop_request_does_not_extend_the_grace_period() {
-    let mut departure = begun();
-    departure.begin(at(5_000));
-    assert!(departure.may_end(1, at(5_400)));
+    let mut shutdown = begun();
+    shutdown.begin(at(5_000));
+    assert!(shutdown.may_exit(1, at(5_400)));
 }
--- a/crates/mesh/src/drain.rs
+++ b/crates/mesh/src/drain.rs
@@ -1,5 +1,5 @@
 //! Graceful stop of this daemon. What it still takes, and when it may end, is
-//! decided by [`Departure`](stoatstep_calls::Departure).
+//! decided by [`Shutdown`](stoatstep_calls::Shutdown).
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -46,7 +46,7 @@
         let departure = node.departure.get();
         // An answer that waits to be written counts like a call that is not answered.
         let unwritten = u32::from(!node.unwritten.is_empty());
-        departure.may_end(node.in_flight.get() + unwritten, node.clock.now())
+        departure.may_exit(node.in_flight.get() + unwritten, node.clock.now())
     };
     while !may_end() {
         tokio::time::sleep(POLL).await;
--- a/crates/mesh/src/entry/call.rs
+++ b/crates/mesh/src/entry/call.rs
@@ -61,7 +61,7 @@
             return Err(Refusal::permanent(Reason::BadRequest));
         };
         let deadline = Deadline::after(time_left(node, req, &route), now);
-        if !node.departure.get().takes(deadline.expires(), now) {
+        if !node.departure.get().accepts(deadline.expires(), now) {
             return Err(Refusal::retry(Reason::Draining, DRAINING_RETRY));
         }
         let caller = identity::identify(node, &in_force, &route, req.headers())?;
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -230,7 +230,7 @@
     let is_meant = present
         .is_some_and(|it| it.upstream == attempt.upstream && it.service == attempt.call.service);
     let expires = Deadline::after(attempt.left, now).expires();
-    if !is_meant || !node.departure.get().takes(expires, now) {
+    if !is_meant || !node.departure.get().accepts(expires, now) {
         let refusal = Refusal::retry(Reason::Draining, DRAINING_RETRY);
         return Err(End::Refused(refusal));
     }
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -23,7 +23,7 @@
 use crate::quota::{self, Quotas};
 use crate::rollout::{self, Rollouts};
 use crate::{drain, fleet::gossip};
-use stoatstep_calls::Departure;
+use stoatstep_calls::Shutdown;
 use stoatstep_http::{Server, Unwritten};
 use stoatstep_membership::{Birth, Heard, Heartbeat};
 use stoatstep_telemetry::fields;
@@ -50,7 +50,7 @@
     pub(crate) in_flight: Cell<u32>,
     /// Answers to callers that have not been written to their ends.
     pub(crate) unwritten: Unwritten,
-    pub(crate) departure: Cell<Departure>,
+    pub(crate) departure: Cell<Shutdown>,
 }
 
 impl Node {
@@ -95,7 +95,7 @@
             quotas: Quotas::default(),
             in_flight: Cell::new(0),
             unwritten: callers.unwritten(),
-            departure: Cell::new(Departure::new(cfg.grace)),
+            departure: Cell::new(Shutdown::new(cfg.grace)),
             cfg,
             log,
             clock,
