--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -64,8 +64,8 @@
 pub use ledger::{Arrival, AttemptStatus, Ledger, LedgerConfig, Ticket};
 pub use placement::{Placement, Seen, Wish};
 pub use quarantine::{
-    ANSWERED_FOR, Finding, KeptRequest, LIVES, Learned, LifeMark, Quarantine, RecentAnswers,
-    life_mark,
+    ANSWER_VALIDITY, CRASH_THRESHOLD, FindingEffect, GenerationHash, Quarantine, QuarantineFinding,
+    QuarantinedRequest, RecentAnswers, generation_hash,
 };
 pub use queue::{Occupancy, Queue, QueueAsk};
 pub use quota::{Bucket, Grant, Purse, Share, Taken};
--- a/crates/calls/src/quarantine.rs
+++ b/crates/calls/src/quarantine.rs
@@ -5,15 +5,15 @@
 //! with everything that the target is running. Limits on attempts and retry budgets cannot
 //! stop that, because they count each repeat as a new call. Requests are therefore
 //! identified by their content, the [`Fingerprint`]. Daemons tell each other what a target
-//! was running when its process ended. A request that [`LIVES`] targets were running when
-//! they ended, and that no target has answered, is refused as not run.
+//! was running when its process ended. A request that [`CRASH_THRESHOLD`] targets were
+//! running when they ended, and that no target has answered, is refused as not run.
 //!
 //! The alternatives are compared in `docs/design/quarantine.md`.
 
 mod finding;
-mod kept;
 mod recent;
 mod record;
+mod stored;
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -24,24 +24,24 @@
 use crate::ids::Time;
 use record::{Record, Suspected};
 
-pub use finding::{Finding, Learned};
-pub use kept::KeptRequest;
+pub use finding::{FindingEffect, QuarantineFinding};
 pub use recent::RecentAnswers;
+pub use stored::QuarantinedRequest;
 
 /// Identifies one generation of a target, that is, one run of its process from start to
 /// end, in the findings that daemons exchange.
-pub type LifeMark = u64;
+pub type GenerationHash = u64;
 
-/// Computes the [`LifeMark`] of the target generation with the id `upstream`.
+/// Computes the [`GenerationHash`] of the target generation with the id `upstream`.
 #[must_use]
-pub fn life_mark(upstream: &str) -> LifeMark {
+pub fn generation_hash(upstream: &str) -> GenerationHash {
     xxh3_64(upstream.as_bytes())
 }
 
 /// Number of target generations that have to crash while they run a request before it is
 /// refused. With two, a harmless request that runs at two targets of a rack when the rack
 /// fails would be refused. With four, each request that does crash targets takes one more.
-pub const LIVES: usize = 3;
+pub const CRASH_THRESHOLD: usize = 3;
 
 /// Maximum number of crashed generations recorded for one request.
 const MAX_CRASHES: usize = 8;
@@ -63,7 +63,7 @@
 /// runs at most targets of a rack when the rack fails, and its recent answers show that it
 /// did not cause the failure. If this were much longer, a request that starts to crash
 /// targets after a change of data would be cleared for as long.
-pub const ANSWERED_FOR: Duration = Duration::from_secs(10);
+pub const ANSWER_VALIDITY: Duration = Duration::from_secs(10);
 
 /// Time for which a change is included in gossip. Every daemon exchanges gossip with a peer
 /// each second, so after this time all members have received it.
@@ -86,15 +86,15 @@
 
 impl Default for Quarantine {
     fn default() -> Self {
-        Self::refusing_after(LIVES)
+        Self::with_threshold(CRASH_THRESHOLD)
     }
 }
 
 impl Quarantine {
     /// Creates a quarantine that refuses a request after `threshold` crashes. The default
-    /// is [`LIVES`].
+    /// is [`CRASH_THRESHOLD`].
     #[must_use]
-    pub fn refusing_after(threshold: usize) -> Self {
+    pub fn with_threshold(threshold: usize) -> Self {
         Self {
             threshold,
             records: HashMap::new(),
@@ -109,7 +109,7 @@
 
     /// Returns how long a request is still refused, or `None` if it may run.
     #[must_use]
-    pub fn holds(&self, request: Fingerprint, now: Time) -> Option<Duration> {
+    pub fn refused_for(&self, request: Fingerprint, now: Time) -> Option<Duration> {
         match self.records.get(&request)? {
             Record::Suspected(it) => it.left(self.threshold, now),
             Record::Answered(_) => None,
@@ -117,15 +117,15 @@
     }
 
     /// Returns all requests that are refused.
-    pub fn held(&self, now: Time) -> impl Iterator<Item = Fingerprint> {
+    pub fn quarantined(&self, now: Time) -> impl Iterator<Item = Fingerprint> {
         let requests = self.records.keys().copied();
-        requests.filter(move |it| self.holds(*it, now).is_some())
+        requests.filter(move |it| self.refused_for(*it, now).is_some())
     }
 
     /// Returns how many target generations are known to have crashed while they ran a
     /// request.
     #[must_use]
-    pub fn lives(&self, request: Fingerprint) -> usize {
+    pub fn crash_count(&self, request: Fingerprint) -> usize {
         match self.records.get(&request) {
             Some(Record::Suspected(it)) => it.crashed.len(),
             Some(Record::Answered(_)) | None => 0,
@@ -134,25 +134,25 @@
 
     /// Returns whether a request is refused, or would be after one more crash.
     #[must_use]
-    pub fn is_near(&self, request: Fingerprint) -> bool {
-        self.lives(request) + 1 >= self.threshold
+    pub fn is_near_threshold(&self, request: Fingerprint) -> bool {
+        self.crash_count(request) + 1 >= self.threshold
     }
 
     /// Applies a finding of this daemon or of a peer, and returns what it changed.
-    pub fn hear(&mut self, finding: &Finding, now: Time) -> Learned {
+    pub fn apply(&mut self, finding: &QuarantineFinding, now: Time) -> FindingEffect {
         match finding {
-            Finding::Ended {
+            QuarantineFinding::Ended {
                 request,
                 lives,
                 ago,
             } => self.record_crashes(*request, lives, *ago, now),
-            Finding::Answered { request, ago } => self.record_answer(*request, *ago, now),
+            QuarantineFinding::Answered { request, ago } => self.record_answer(*request, *ago, now),
         }
     }
 
     /// Returns what is known about a request, in the form in which peers are told.
     #[must_use]
-    pub fn finding(&self, request: Fingerprint, now: Time) -> Option<Finding> {
+    pub fn finding(&self, request: Fingerprint, now: Time) -> Option<QuarantineFinding> {
         let record = self.records.get(&request)?;
         Some(record.finding(request, now))
     }
@@ -160,7 +160,7 @@
     /// Returns the findings for a gossip exchange: those that changed recently, and all
     /// requests that are refused, for daemons that have just started.
     #[must_use]
-    pub fn news(&self, now: Time) -> Vec<Finding> {
+    pub fn gossip(&self, now: Time) -> Vec<QuarantineFinding> {
         let is_gossiped = |it: &Record| match it {
             Record::Suspected(it) => {
                 it.left(self.threshold, now).is_some()
@@ -188,14 +188,16 @@
     fn record_crashes(
         &mut self,
         request: Fingerprint,
-        crashed: &[LifeMark],
+        crashed: &[GenerationHash],
         ago: Duration,
         now: Time,
-    ) -> Learned {
-        let was_held = self.holds(request, now).is_some();
+    ) -> FindingEffect {
+        let was_quarantined = self.refused_for(request, now).is_some();
         match self.records.get(&request) {
             Some(Record::Suspected(_)) => {}
-            Some(answered) if !answered.is_expired(self.threshold, now) => return Learned::Nothing,
+            Some(answered) if !answered.is_expired(self.threshold, now) => {
+                return FindingEffect::Nothing;
+            }
             _ => {
                 self.make_room();
                 let suspected = Suspected::new(ago, now);
@@ -203,34 +205,34 @@
             }
         }
         let Some(Record::Suspected(suspected)) = self.records.get_mut(&request) else {
-            return Learned::Nothing;
+            return FindingEffect::Nothing;
         };
         if !suspected.add(crashed, ago, now) {
-            return Learned::Nothing;
+            return FindingEffect::Nothing;
         }
         match suspected.left(self.threshold, now) {
-            Some(left) if !was_held => Learned::Held(left),
-            _ => Learned::Suspicion,
+            Some(left) if !was_quarantined => FindingEffect::Quarantined(left),
+            _ => FindingEffect::Suspicion,
         }
     }
 
-    fn record_answer(&mut self, request: Fingerprint, ago: Duration, now: Time) -> Learned {
+    fn record_answer(&mut self, request: Fingerprint, ago: Duration, now: Time) -> FindingEffect {
         let at = now.saturating_sub(ago);
-        let was_held = self.holds(request, now).is_some();
+        let was_quarantined = self.refused_for(request, now).is_some();
         match self.records.get_mut(&request) {
             Some(Record::Answered(known)) => {
                 *known = at.max(*known);
-                Learned::Nothing
+                FindingEffect::Nothing
             }
             Some(record) => {
                 *record = Record::Answered(at);
-                Learned::Cleared { was_held }
+                FindingEffect::Cleared { was_quarantined }
             }
             // The crash reports that this answer refutes may arrive after it.
             None => {
                 self.make_room();
                 self.records.insert(request, Record::Answered(at));
-                Learned::Nothing
+                FindingEffect::Nothing
             }
         }
     }
--- a/crates/calls/src/quarantine/recent.rs
+++ b/crates/calls/src/quarantine/recent.rs
@@ -2,12 +2,12 @@
 
 use std::collections::VecDeque;
 
-use super::ANSWERED_FOR;
+use super::ANSWER_VALIDITY;
 use crate::fingerprint::Fingerprint;
 use crate::ids::Time;
 
 /// Maximum number of recorded answers. A target with 18 slots and runs of 0.18 s gives this
-/// many within [`ANSWERED_FOR`].
+/// many within [`ANSWER_VALIDITY`].
 const MAX_ANSWERS: usize = 1024;
 
 /// Requests that the local target of a daemon answered recently.
@@ -22,17 +22,17 @@
 
 impl RecentAnswers {
     /// Records that the target answered a request.
-    pub fn note(&mut self, request: Fingerprint, now: Time) {
+    pub fn record(&mut self, request: Fingerprint, now: Time) {
         if self.answers.len() >= MAX_ANSWERS {
             self.answers.pop_front();
         }
         self.answers.push_back((request, now));
     }
 
-    /// Returns whether the target answered this request within [`ANSWERED_FOR`].
+    /// Returns whether the target answered this request within [`ANSWER_VALIDITY`].
     #[must_use]
-    pub fn has(&self, request: Fingerprint, now: Time) -> bool {
-        let is_recent = |at: Time| now.saturating_sub(at) <= ANSWERED_FOR;
+    pub fn contains(&self, request: Fingerprint, now: Time) -> bool {
+        let is_recent = |at: Time| now.saturating_sub(at) <= ANSWER_VALIDITY;
         let mut newest_first = self.answers.iter().rev();
         newest_first.any(|(it, at)| *it == request && is_recent(*at))
     }
--- a/crates/calls/src/quarantine/record.rs
+++ b/crates/calls/src/quarantine/record.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use super::{ANSWERED_FOR, Finding, LifeMark, MAX_CRASHES, SUSPICION_TTL, quarantine_time};
+use super::{
+    ANSWER_VALIDITY, GenerationHash, MAX_CRASHES, QuarantineFinding, SUSPICION_TTL, quarantine_time,
+};
 use crate::fingerprint::Fingerprint;
 use crate::ids::Time;
 
@@ -16,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct Suspected {
     /// Target generations that ended while they ran the request.
-    pub(super) crashed: Vec<LifeMark>,
+    pub(super) crashed: Vec<GenerationHash>,
     /// When this record last changed.
     pub(super) changed: Time,
     /// Time between the latest crash and `changed`. The crash may have happened before this
@@ -35,7 +37,7 @@
 
     /// Adds generations, the last of which ended `ago` before `now`. Returns whether any of
     /// them is new.
-    pub(super) fn add(&mut self, crashed: &[LifeMark], ago: Duration, now: Time) -> bool {
+    pub(super) fn add(&mut self, crashed: &[GenerationHash], ago: Duration, now: Time) -> bool {
         let before = self.crashed.len();
         for generation in crashed {
             if self.crashed.len() < MAX_CRASHES && !self.crashed.contains(generation) {
@@ -76,7 +78,7 @@
     pub(super) fn is_expired(&self, threshold: usize, now: Time) -> bool {
         match self {
             Self::Suspected(it) => it.is_expired(threshold, now),
-            Self::Answered(at) => now > *at + ANSWERED_FOR,
+            Self::Answered(at) => now > *at + ANSWER_VALIDITY,
         }
     }
 
@@ -90,14 +92,14 @@
     }
 
     /// Returns the record as a finding for peers.
-    pub(super) fn finding(&self, request: Fingerprint, now: Time) -> Finding {
+    pub(super) fn finding(&self, request: Fingerprint, now: Time) -> QuarantineFinding {
         match self {
-            Self::Suspected(it) => Finding::Ended {
+            Self::Suspected(it) => QuarantineFinding::Ended {
                 request,
                 lives: it.crashed.clone(),
                 ago: it.age(now),
             },
-            Self::Answered(at) => Finding::Answered {
+            Self::Answered(at) => QuarantineFinding::Answered {
                 request,
                 ago: now.saturating_sub(*at),
             },
--- a/crates/calls/tests/all/quarantine_load.rs
+++ b/crates/calls/tests/all/quarantine_load.rs
@@ -11,7 +11,9 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stoatstep_calls::{Finding, Fingerprint, LIVES, Quarantine, RecentAnswers, life_mark};
+use stoatstep_calls::{
+    CRASH_THRESHOLD, Fingerprint, Quarantine, QuarantineFinding, RecentAnswers, generation_hash,
+};
 
 const TARGETS: usize = 20;
 const SLOTS: usize = 13;
@@ -57,7 +59,7 @@
 
 const DEFAULT: Variant = Variant {
     name: "standing",
-    threshold: LIVES,
+    threshold: CRASH_THRESHOLD,
     sends_at_once: true,
     retries: true,
     counts_answers: true,
@@ -163,7 +165,7 @@
             generation: 0,
             runs: BTreeMap::new(),
             recent: RecentAnswers::default(),
-            known: Quarantine::refusing_after(variant.threshold),
+            known: Quarantine::with_threshold(variant.threshold),
         };
         Self {
             variant,
@@ -248,28 +250,32 @@
                 }
             }
             Event::AnswerReported(daemon, request) => {
-                let finding = Finding::Answered {
+                let finding = QuarantineFinding::Answered {
                     request: Fingerprint(request),
                     ago: Duration::ZERO,
                 };
-                self.targets[daemon].known.hear(&finding, self.now);
+                self.targets[daemon].known.apply(&finding, self.now);
             }
         }
     }
 
     fn crash_reported(&mut self, daemon: usize, request: u128, generation: u64) {
-        let finding = Finding::Ended {
+        let finding = QuarantineFinding::Ended {
             request: Fingerprint(request),
             lives: vec![generation],
             ago: Duration::ZERO,
         };
-        self.targets[daemon].known.hear(&finding, self.now);
+        self.targets[daemon].known.apply(&finding, self.now);
     }
 
     fn call_arrives(&mut self, call: Call) {
         let request = Fingerprint(call.request);
         let entry = self.rng.random_range(0..TARGETS);
-        if self.targets[entry].known.holds(request, self.now).is_some() {
+        if self.targets[entry]
+            .known
+            .refused_for(request, self.now)
+            .is_some()
+        {
             return self.refused(call);
         }
         let up: Vec<_> = (0..TARGETS).filter(|it| self.targets[*it].is_up).collect();
@@ -280,7 +286,7 @@
             let target = up[self.rng.random_range(0..up.len())];
             if self.targets[target]
                 .known
-                .holds(request, self.now)
+                .refused_for(request, self.now)
                 .is_some()
             {
                 return self.refused(call);
@@ -329,9 +335,9 @@
     }
 
     fn answered(&mut self, target: usize, request: Fingerprint) {
-        self.targets[target].recent.note(request, self.now);
-        if self.targets[target].known.lives(request) > 0 {
-            let is_near = self.targets[target].known.is_near(request);
+        self.targets[target].recent.record(request, self.now);
+        if self.targets[target].known.crash_count(request) > 0 {
+            let is_near = self.targets[target].known.is_near_threshold(request);
             self.handle(Event::AnswerReported(target, request.0));
             for other in 0..TARGETS {
                 let delay = if is_near && self.variant.sends_at_once {
@@ -356,8 +362,9 @@
         let crashed = &mut self.targets[target];
         crashed.is_up = false;
         let runs: Vec<_> = std::mem::take(&mut crashed.runs).into_values().collect();
-        let generation = life_mark(&format!("i-{target}-{}", crashed.generation));
-        let has = |it: &u128| variant.counts_answers && crashed.recent.has(Fingerprint(*it), now);
+        let generation = generation_hash(&format!("i-{target}-{}", crashed.generation));
+        let has =
+            |it: &u128| variant.counts_answers && crashed.recent.contains(Fingerprint(*it), now);
         let ran = runs.iter().map(|it| it.request);
         let suspected: Vec<u128> = ran.filter(|it| !has(it)).collect();
         self.schedule(now + RESTART, Event::TargetRestarts(target));
--- a/crates/mesh/src/executor/ended.rs
+++ b/crates/mesh/src/executor/ended.rs
@@ -75,7 +75,9 @@
 fn unanswered(node: &Node, contents: &[Fingerprint]) -> Vec<Fingerprint> {
     let now = node.clock.now();
     let tables = node.executor.tables.borrow();
-    let unanswered = contents.iter().filter(|it| !tables.recent.has(**it, now));
+    let unanswered = contents
+        .iter()
+        .filter(|it| !tables.recent.contains(**it, now));
     unanswered.copied().collect()
 }
 
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -232,7 +232,7 @@
         judged::count(&mut tables, attempt, report, now);
     }
     if speaks_for_it {
-        tables.recent.note(attempt.call.fingerprint(), now);
+        tables.recent.record(attempt.call.fingerprint(), now);
     }
     record(&mut tables, attempt, &report.end);
     let run = tables.runs.remove(&attempt.id);
--- a/crates/mesh/src/host.rs
+++ b/crates/mesh/src/host.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_calls::{Fingerprint, KeptRequest};
+use stoatstep_calls::{Fingerprint, QuarantinedRequest};
 use stoatstep_membership::Announcement;
 use stoatstep_resource::{InstanceId, ServiceName, State};
 use stoatstep_rollout::{Order, OrderId, Software, Step, UnixTime};
@@ -103,7 +103,7 @@
     /// The instances that announced themselves.
     pub members: Vec<Announcement>,
     /// Requests under which targets ended.
-    pub requests: Vec<KeptRequest>,
+    pub requests: Vec<QuarantinedRequest>,
 }
 
 /// Version of a row at the host; 0 where there is no row.
@@ -163,7 +163,7 @@
     fn roster(&self) -> impl Future<Output = Result<Listed, HostError>>;
 
     /// Keeps a request that is refused.
-    fn keep(&self, request: &KeptRequest) -> impl Future<Output = Result<(), HostError>>;
+    fn keep(&self, request: &QuarantinedRequest) -> impl Future<Output = Result<(), HostError>>;
 
     /// Keeps a request no longer.
     fn drop_kept(&self, request: Fingerprint) -> impl Future<Output = Result<(), HostError>>;
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -43,6 +43,6 @@
 };
 pub use mechanism::{Mechanism, UnknownMechanism};
 pub use node::Mesh;
-pub use stoatstep_calls::{Fingerprint, KeptRequest};
+pub use stoatstep_calls::{Fingerprint, QuarantinedRequest};
 pub use stoatstep_membership::{Birth, Heard, Heartbeat, life_name};
 pub use stoatstep_rollout::{Order, OrderId, Software, UnixTime};
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use stoatstep_calls::{
-    Finding, Fingerprint, KeptRequest, LIVES, Learned, Quarantine, Reason, Refusal, Time, life_mark,
+    CRASH_THRESHOLD, FindingEffect, Fingerprint, Quarantine, QuarantineFinding, QuarantinedRequest,
+    Reason, Refusal, Time, generation_hash,
 };
 use stoatstep_telemetry::fields;
 
@@ -41,8 +42,8 @@
 
 impl Requests {
     /// What peers are told in the regular exchanges.
-    pub(crate) fn news(&self, now: Time) -> Vec<Finding> {
-        self.known.borrow().news(now)
+    pub(crate) fn news(&self, now: Time) -> Vec<QuarantineFinding> {
+        self.known.borrow().gossip(now)
     }
 
     /// Has the host told how a request stands, when it is reached.
@@ -53,7 +54,7 @@
     /// The same for all that are refused.
     pub(crate) fn keep_all(&self, now: Time) {
         let held = self.known.borrow();
-        self.to_keep.borrow_mut().extend(held.held(now));
+        self.to_keep.borrow_mut().extend(held.quarantined(now));
     }
 
     /// The next request of which the host has to be told.
@@ -66,7 +67,7 @@
         let mut known = self.known.borrow_mut();
         known.tick(now);
         let mut own = self.own.borrow_mut();
-        own.retain(|it| known.lives(*it) > 0);
+        own.retain(|it| known.crash_count(*it) > 0);
     }
 }
 
@@ -77,7 +78,7 @@
 pub(crate) fn refusal(node: &Node, call: &CallParts) -> Option<Refusal> {
     let content = watched(node, call)?;
     let known = node.requests.known.borrow();
-    let left = known.holds(content, node.clock.now())?;
+    let left = known.refused_for(content, node.clock.now())?;
     Some(Refusal::retry(Reason::Quarantined, left))
 }
 
@@ -93,7 +94,7 @@
 /// its repeats.
 pub(crate) fn suspected(node: &Node, call: &CallParts) -> Option<Fingerprint> {
     let content = watched(node, call)?;
-    let lives = node.requests.known.borrow().lives(content);
+    let lives = node.requests.known.borrow().crash_count(content);
     (lives > 0).then_some(content)
 }
 
@@ -108,8 +109,8 @@
 /// a request that comes ten times a second takes the rest of its service's targets.
 pub(crate) fn target_ended(node: &Rc<Node>, upstream: &str, requests: &[Fingerprint]) {
     let now = node.clock.now();
-    let lives = vec![life_mark(upstream)];
-    let ended = |request: &Fingerprint| Finding::Ended {
+    let lives = vec![generation_hash(upstream)];
+    let ended = |request: &Fingerprint| QuarantineFinding::Ended {
         request: *request,
         lives: lives.clone(),
         ago: Duration::ZERO,
@@ -130,19 +131,19 @@
 }
 
 /// What the host has to hold of a request; nothing where it is not refused.
-pub(crate) fn kept(node: &Node, request: Fingerprint) -> Option<KeptRequest> {
+pub(crate) fn kept(node: &Node, request: Fingerprint) -> Option<QuarantinedRequest> {
     let known = node.requests.known.borrow();
-    known.kept(request, node.clock.now(), unix_time())
+    known.stored(request, node.clock.now(), unix_time())
 }
 
 /// Takes in what the host holds, as if it had come in this way from a peer, and has deleted
 /// what is over.
-pub(crate) fn hear_kept(node: &Rc<Node>, requests: &[KeptRequest], way: Way) {
+pub(crate) fn hear_kept(node: &Rc<Node>, requests: &[QuarantinedRequest], way: Way) {
     let now = unix_time();
     let mut findings = Vec::new();
     for kept in requests {
         findings.push(kept.finding(now));
-        if kept.is_over(now, LIVES) {
+        if kept.is_expired(now, CRASH_THRESHOLD) {
             node.requests.keep(kept.request);
         }
     }
@@ -159,15 +160,15 @@
         return;
     }
     let request = call.fingerprint();
-    let is_suspected = known.lives(request) > 0;
-    let is_near = known.is_near(request);
-    let is_held = known.holds(request, node.clock.now()).is_some();
+    let is_suspected = known.crash_count(request) > 0;
+    let is_near = known.is_near_threshold(request);
+    let is_held = known.refused_for(request, node.clock.now()).is_some();
     drop(known);
     if !is_suspected {
         return;
     }
     let ago = Duration::ZERO;
-    let finding = Finding::Answered { request, ago };
+    let finding = QuarantineFinding::Answered { request, ago };
     learn(node, &finding);
     if is_held {
         node.requests.keep(request);
@@ -178,7 +179,7 @@
 }
 
 /// Takes in what a peer found, and passes on what is news.
-pub(crate) fn hear(node: &Rc<Node>, findings: &[Finding], way: Way) {
+pub(crate) fn hear(node: &Rc<Node>, findings: &[QuarantineFinding], way: Way) {
     let news = findings.iter().filter(|it| learn(node, it));
     let news: Vec<_> = news.cloned().collect();
     if way == Way::Direct && !news.is_empty() {
@@ -187,16 +188,19 @@
 }
 
 /// Takes in a finding, and says whether it is news.
-fn learn(node: &Node, finding: &Finding) -> bool {
+fn learn(node: &Node, finding: &QuarantineFinding) -> bool {
     let now = node.clock.now();
     let mut known = node.requests.known.borrow_mut();
-    let learned = known.hear(finding, now);
-    let lives = known.lives(finding.request());
+    let learned = known.apply(finding, now);
+    let lives = known.crash_count(finding.request());
     drop(known);
     match learned {
-        Learned::Nothing | Learned::Cleared { was_held: false } => {}
-        Learned::Suspicion => node.journal.count("requests.suspected"),
-        Learned::Held(left) => {
+        FindingEffect::Nothing
+        | FindingEffect::Cleared {
+            was_quarantined: false,
+        } => {}
+        FindingEffect::Suspicion => node.journal.count("requests.suspected"),
+        FindingEffect::Quarantined(left) => {
             // By each of the daemons whose targets ended: any of them may be gone the next
             // moment, and the row is the same.
             if node.requests.own.borrow().contains(&finding.request()) {
@@ -206,9 +210,11 @@
             slog::warn!(node.log, "request quarantined"; fields::CONTENT => %finding.request(),
                 fields::LIVES => lives, fields::FOR_MS => left.as_millis());
         }
-        Learned::Cleared { was_held: true } => {
+        FindingEffect::Cleared {
+            was_quarantined: true,
+        } => {
             slog::warn!(node.log, "quarantine lifted"; fields::CONTENT => %finding.request());
         }
     }
-    learned != Learned::Nothing
+    learned != FindingEffect::Nothing
 }
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    Answer, AttemptId, AttemptStatus, Finding, Fingerprint, Grant, Header, Occupancy, Refusal,
-    Ticket,
+    Answer, AttemptId, AttemptStatus, Fingerprint, Grant, Header, Occupancy, QuarantineFinding,
+    Refusal, Ticket,
 };
 use stoatstep_membership::{GossipReply, GossipRequest, Mark, MemberKey};
 use stoatstep_resource::wire::{DifferenceWire, SnapshotWire};
@@ -59,7 +59,7 @@
     Rollout(Progress),
     /// What is known of requests under which targets end; answered like a ping.
     #[serde(rename = "q")]
-    Findings(Vec<Finding>),
+    Findings(Vec<QuarantineFinding>),
     /// What the receiver has seen of its target since the order.
     #[serde(rename = "e")]
     Evidence(ServiceName, OrderId),
@@ -144,7 +144,7 @@
     /// How far the roll-outs have come that go on.
     pub(crate) rollouts: Vec<Progress>,
     /// About requests under which targets end.
-    pub(crate) findings: Vec<Finding>,
+    pub(crate) findings: Vec<QuarantineFinding>,
 }
 
 /// That a configuration was the host's newest.
