--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -10,7 +10,7 @@
 //! The two sides of a call are the *entry*, the daemon that received it from the
 //! caller, and the *executor*, the daemon on the target's own instance:
 //!
-//! * the entry uses [`RouteTable`], [`KeyRing`], [`Purse`], [`Router`] or
+//! * the entry uses [`RouteTable`], [`KeyRing`], [`TokenCache`], [`Router`] or
 //!   [`Placement`], [`RetryBudget`], [`Backoff`], [`Deadline`] and [`Silence`];
 //! * both use [`Quarantine`];
 //! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IdempotencyTable`],
@@ -68,7 +68,7 @@
     QuarantinedRequest, RecentAnswers, generation_hash,
 };
 pub use queue::{Occupancy, Queue, QueueAsk};
-pub use quota::{Bucket, Grant, Purse, Share, Taken};
+pub use quota::{QuotaShare, TokenBucket, TokenCache, TokenDecision, TokenGrant};
 pub use refusal::{Outcome, Reason, Refusal};
 pub use retry::{Attempts, Backoff, RetryBudget, Settlement, may_retry};
 pub use router::{Report, Router};
--- a/crates/calls/src/quota.rs
+++ b/crates/calls/src/quota.rs
@@ -1,16 +1,16 @@
 //! Fleet-wide quotas of customers, without a coordinator.
 //!
-//! Each availability zone has an equal [`Share`] of a customer's quota. In each zone one
-//! daemon, the customer's *home*, grants this share from a token [`Bucket`]. Entries request
-//! tokens from the home of their own zone and keep unused ones in a [`Purse`]. A zone that
+//! Each availability zone has an equal [`QuotaShare`] of a customer's quota. In each zone one
+//! daemon, the customer's *home*, grants this share from a [`TokenBucket`]. Entries request
+//! tokens from the home of their own zone and keep unused ones in a [`TokenCache`]. A zone that
 //! is partitioned from the others therefore keeps working, and no two homes grant the same
-//! tokens. A home that runs short [borrows](Bucket::lend) from the home of another zone.
+//! tokens. A home that runs short [borrows](TokenBucket::lend) from the home of another zone.
 //!
 //! The bound on granted tokens, and the guarantees under each kind of partition, are derived
 //! in `docs/design/demands.md`.
 
-mod bucket;
-mod purse;
+mod token_bucket;
+mod token_cache;
 
-pub use bucket::{Bucket, Grant, Share};
-pub use purse::{Purse, Taken};
+pub use token_bucket::{QuotaShare, TokenBucket, TokenGrant};
+pub use token_cache::{TokenCache, TokenDecision};
--- a/crates/calls/src/quota/bucket.rs
+++ b/crates/calls/src/quota/token_bucket.rs
@@ -20,14 +20,14 @@
 
 /// A fraction of a quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct QuotaShare {
     /// Tokens added per second.
     pub per_second: f64,
     /// Capacity of the bucket, in tokens.
     pub burst: f64,
 }
 
-impl Share {
+impl QuotaShare {
     /// Computes the share of a quota that has the given `fraction`. The bucket has room for
     /// at least one token; otherwise nothing could ever be granted from it.
     #[must_use]
@@ -40,7 +40,7 @@
 
     /// Rounds `tokens` down to a whole number.
     #[must_use]
-    pub fn whole(tokens: f64) -> u32 {
+    pub fn whole_tokens(tokens: f64) -> u32 {
         // Accumulated rounding errors must not cost a token.
         const ROUNDING_ERROR: f64 = 1e-9;
         let seconds = Duration::try_from_secs_f64(tokens + ROUNDING_ERROR).unwrap_or_default();
@@ -54,7 +54,7 @@
 
 /// A home's answer to an entry that requested tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Grant {
+pub struct TokenGrant {
     /// Number of tokens granted.
     pub tokens: u32,
     /// If fewer tokens were granted than requested, the time after which to ask again.
@@ -66,7 +66,7 @@
 /// A new bucket is empty because an earlier home may have granted all tokens already. Thus
 /// successive homes together grant no more in any period than a single one would.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bucket {
+pub struct TokenBucket {
     tokens: f64,
     /// When the bucket was last refilled.
     refilled_at: Time,
@@ -76,7 +76,7 @@
     borrowed_until: Time,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// Creates an empty bucket that is refilled from `since` on.
     #[must_use]
     pub fn empty(since: Time) -> Self {
@@ -92,12 +92,12 @@
     ///
     /// Refused callers get different retry times, one for each future token, so that they
     /// do not all come back at once to an empty bucket.
-    pub fn grant(&mut self, wanted: u32, share: Share, now: Time) -> Grant {
+    pub fn grant(&mut self, wanted: u32, share: QuotaShare, now: Time) -> TokenGrant {
         self.refill(share, now);
         let tokens = self.take(wanted);
         let refused = wanted - tokens;
         let retry_after = (refused > 0).then(|| self.reserve_retry(refused, share, now));
-        Grant {
+        TokenGrant {
             tokens,
             retry_after,
         }
@@ -106,26 +106,26 @@
     /// Returns whether the home should borrow tokens now. If it waited until the bucket is
     /// empty, calls would be refused until the lender answers.
     #[must_use]
-    pub fn is_low(&self, share: Share) -> bool {
+    pub fn is_low(&self, share: QuotaShare) -> bool {
         self.tokens < share.burst * LOW_FRACTION
     }
 
     /// Grants tokens to the home of another zone, and reserves some for this one.
-    pub fn lend(&mut self, wanted: u32, share: Share, now: Time) -> u32 {
+    pub fn lend(&mut self, wanted: u32, share: QuotaShare, now: Time) -> u32 {
         self.refill(share, now);
         let reserved = share.burst * RESERVED_FRACTION;
-        let free = Share::whole(self.tokens - reserved);
+        let free = QuotaShare::whole_tokens(self.tokens - reserved);
         self.take(wanted.min(free))
     }
 
     /// Adds tokens that another home lent. They may exceed the capacity for a moment, because
     /// the bucket may have been refilled before they arrive.
-    pub fn borrowed(&mut self, tokens: u32, now: Time) {
+    pub fn add_borrowed(&mut self, tokens: u32, now: Time) {
         self.tokens += f64::from(tokens);
         self.borrowed_until = now + BORROWED_TTL;
     }
 
-    fn refill(&mut self, share: Share, now: Time) {
+    fn refill(&mut self, share: QuotaShare, now: Time) {
         let refilled = self.tokens + share.tokens_in(now.saturating_sub(self.refilled_at));
         let capacity = if now < self.borrowed_until {
             share.burst.max(self.tokens)
@@ -137,14 +137,14 @@
     }
 
     fn take(&mut self, wanted: u32) -> u32 {
-        let tokens = wanted.min(Share::whole(self.tokens));
+        let tokens = wanted.min(QuotaShare::whole_tokens(self.tokens));
         self.tokens -= f64::from(tokens);
         tokens
     }
 
     /// Returns when refused callers may retry, and promises them the tokens that arrive by
     /// then.
-    fn reserve_retry(&mut self, refused: u32, share: Share, now: Time) -> Duration {
+    fn reserve_retry(&mut self, refused: u32, share: QuotaShare, now: Time) -> Duration {
         let seconds = f64::from(refused) / share.per_second;
         let wait = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_AFTER);
         let until = self.promised_until.max(now) + wait.min(MAX_RETRY_AFTER);
--- a/crates/calls/src/quota/purse.rs
+++ b/crates/calls/src/quota/token_cache.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use super::Share;
+use super::QuotaShare;
 use crate::ids::Time;
 
 /// Time for which a granted token may be used. A longer lease would lose more unused tokens
@@ -17,7 +17,7 @@
 
 /// Result of taking a token for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
+pub enum TokenDecision {
     /// The call has a token.
     Token,
     /// The home has to be asked for a token.
@@ -29,7 +29,7 @@
 
 /// Tokens of one customer at one entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Purse {
+pub struct TokenCache {
     tokens: u32,
     expires: Time,
     refused_until: Time,
@@ -40,30 +40,30 @@
     last_call: Time,
 }
 
-impl Purse {
+impl TokenCache {
     /// Takes a token for a call.
-    pub fn take(&mut self, now: Time) -> Taken {
+    pub fn take(&mut self, now: Time) -> TokenDecision {
         self.count_call(now);
         if self.tokens > 0 && now < self.expires {
             self.tokens -= 1;
-            return Taken::Token;
+            return TokenDecision::Token;
         }
         if now < self.refused_until {
-            return Taken::Refused(self.available_at.saturating_sub(now));
+            return TokenDecision::Refused(self.available_at.saturating_sub(now));
         }
-        Taken::Ask
+        TokenDecision::Ask
     }
 
     /// Returns how many tokens to request while `waiting` calls wait for one. The number
     /// includes tokens that are expected to be used before they expire.
     #[must_use]
-    pub fn wanted(&self, waiting: u32) -> u32 {
+    pub fn tokens_to_request(&self, waiting: u32) -> u32 {
         let expected = self.calls * LEASE.as_secs_f64() / DECAY_TIME.as_secs_f64();
-        waiting.saturating_add(Share::whole(expected))
+        waiting.saturating_add(QuotaShare::whole_tokens(expected))
     }
 
     /// Adds granted tokens that no call is waiting for.
-    pub fn keep(&mut self, tokens: u32, now: Time) {
+    pub fn add(&mut self, tokens: u32, now: Time) {
         if now >= self.expires {
             self.tokens = 0;
         }
--- a/crates/calls/tests/all/quota.rs
+++ b/crates/calls/tests/all/quota.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stoatstep_calls::{Bucket, Purse, Share, Taken, Time};
+use stoatstep_calls::{QuotaShare, Time, TokenBucket, TokenCache, TokenDecision};
 use stoatstep_resource::Quota;
 
 const ZONES: usize = 4;
@@ -87,8 +87,8 @@
 struct Simulation {
     play: Play,
     rng: Xoshiro256PlusPlus,
-    purses: HashMap<usize, Purse>,
-    buckets: HashMap<usize, Bucket>,
+    caches: HashMap<usize, TokenCache>,
+    buckets: HashMap<usize, TokenBucket>,
     next_borrow: HashMap<usize, Time>,
     grants: Vec<Time>,
     outcome: Outcome,
@@ -129,13 +129,13 @@
     fn call(&mut self, now: Time) {
         self.outcome.calls += 1.0;
         let entry = self.draw_entry();
-        let mut purse = self.purses.remove(&entry).unwrap_or_default();
-        let is_served = match purse.take(now) {
-            Taken::Token => true,
-            Taken::Refused(_) => false,
-            Taken::Ask => self.ask(&mut purse, entry, now),
+        let mut cache = self.caches.remove(&entry).unwrap_or_default();
+        let is_served = match cache.take(now) {
+            TokenDecision::Token => true,
+            TokenDecision::Refused(_) => false,
+            TokenDecision::Ask => self.ask(&mut cache, entry, now),
         };
-        self.purses.insert(entry, purse);
+        self.caches.insert(entry, cache);
         if is_served {
             self.grants.push(now);
         } else {
@@ -143,7 +143,7 @@
         }
     }
 
-    fn ask(&mut self, purse: &mut Purse, entry: usize, now: Time) -> bool {
+    fn ask(&mut self, cache: &mut TokenCache, entry: usize, now: Time) -> bool {
         let (bucket, fraction) = self.bucket_of(entry, now);
         if self.play.way != Way::EvenShares {
             self.outcome.messages += 2.0;
@@ -151,37 +151,37 @@
         if self.play.way == Way::OneHome && Self::zone(entry) != bucket {
             self.outcome.messages_between_zones += 2.0;
         }
-        let share = Share::new(QUOTA, fraction);
+        let share = QuotaShare::new(QUOTA, fraction);
         // An entry that has a share of its own does not request tokens in advance.
         let wanted = if self.play.way == Way::EvenShares {
             1
         } else {
-            purse.wanted(1)
+            cache.tokens_to_request(1)
         };
         let granted = self.bucket(bucket).grant(wanted, share, now);
         if let Some(retry_after) = granted.retry_after {
-            purse.refused(retry_after, now);
+            cache.refused(retry_after, now);
         }
         if self.play.way == Way::Borrowing && self.bucket(bucket).is_low(share) {
             self.borrow(bucket, share, now);
         }
-        purse.keep(granted.tokens.saturating_sub(1), now);
+        cache.add(granted.tokens.saturating_sub(1), now);
         granted.tokens > 0
     }
 
-    fn bucket(&mut self, bucket: usize) -> &mut Bucket {
+    fn bucket(&mut self, bucket: usize) -> &mut TokenBucket {
         self.buckets
             .get_mut(&bucket)
             .expect("all buckets exist from the start")
     }
 
-    fn borrow(&mut self, borrower: usize, share: Share, now: Time) {
+    fn borrow(&mut self, borrower: usize, share: QuotaShare, now: Time) {
         let next = self.next_borrow.entry(borrower).or_default();
         if now < *next {
             return;
         }
         *next = now + BORROW_INTERVAL;
-        let wanted = Share::whole(share.per_second * 0.5).max(1);
+        let wanted = QuotaShare::whole_tokens(share.per_second * 0.5).max(1);
         for lender in 0..ZONES {
             let is_reachable = !self.is_cut(now) || lender != 0 && borrower != 0;
             if lender == borrower || !is_reachable {
@@ -189,13 +189,13 @@
             }
             self.outcome.messages_between_zones += 2.0;
             let lent = self.bucket(lender).lend(wanted, share, now);
-            self.bucket(borrower).borrowed(lent, now);
+            self.bucket(borrower).add_borrowed(lent, now);
         }
     }
 
     fn replace_homes(&mut self, now: Time) {
         for bucket in self.buckets.values_mut() {
-            *bucket = Bucket::empty(now);
+            *bucket = TokenBucket::empty(now);
         }
     }
 }
@@ -208,20 +208,22 @@
     let mut simulation = Simulation {
         play,
         rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-        purses: HashMap::new(),
+        caches: HashMap::new(),
         buckets: HashMap::new(),
         next_borrow: HashMap::new(),
         grants: Vec::new(),
         outcome: Outcome::default(),
     };
     for bucket in 0..play.entries.max(ZONES) {
-        simulation.buckets.insert(bucket, Bucket::empty(Time::ZERO));
+        simulation
+            .buckets
+            .insert(bucket, TokenBucket::empty(Time::ZERO));
     }
     if play.way == Way::OneHome {
         // The second home, which the partitioned zone chooses when the partition begins.
         simulation
             .buckets
-            .insert(1, Bucket::empty(WARM_UP + LENGTH / 3));
+            .insert(1, TokenBucket::empty(WARM_UP + LENGTH / 3));
     }
     let mut now = WARM_UP;
     let mut are_replaced = false;
@@ -349,8 +351,8 @@
 /// Guards against refused callers that all retry at the same time and are refused again.
 #[test]
 fn refused_callers_get_different_retry_times() {
-    let share = Share::new(QUOTA, 1.0);
-    let mut bucket = Bucket::empty(Time::ZERO);
+    let share = QuotaShare::new(QUOTA, 1.0);
+    let mut bucket = TokenBucket::empty(Time::ZERO);
     let mut last = Duration::ZERO;
     for _ in 0..20 {
         let granted = bucket.grant(1, share, Time::ZERO);
@@ -364,10 +366,10 @@
 /// tokens again.
 #[test]
 fn a_token_expires() {
-    let mut purse = Purse::default();
-    purse.keep(3, Time::ZERO);
-    assert_eq!(purse.take(Duration::from_millis(100)), Taken::Token);
-    assert_eq!(purse.take(Duration::from_secs(1)), Taken::Ask);
+    let mut cache = TokenCache::default();
+    cache.add(3, Time::ZERO);
+    assert_eq!(cache.take(Duration::from_millis(100)), TokenDecision::Token);
+    assert_eq!(cache.take(Duration::from_secs(1)), TokenDecision::Ask);
 }
 
 proptest! {
@@ -376,14 +378,14 @@
     fn homes_that_follow_each_other_grant_one_quota(
         gaps_ms in proptest::collection::vec((0_u64..400, 0_u32..40, any::<bool>()), 1..80),
     ) {
-        let share = Share::new(QUOTA, 1.0);
-        let mut bucket = Bucket::empty(Time::ZERO);
+        let share = QuotaShare::new(QUOTA, 1.0);
+        let mut bucket = TokenBucket::empty(Time::ZERO);
         let mut now = Time::ZERO;
         let mut granted = 0.0;
         for (gap, wanted, is_replaced) in gaps_ms {
             now += Duration::from_millis(gap);
             if is_replaced {
-                bucket = Bucket::empty(now);
+                bucket = TokenBucket::empty(now);
             }
             granted += f64::from(bucket.grant(wanted, share, now).tokens);
             let allowed = share.per_second * now.as_secs_f64() + share.burst;
--- a/crates/mesh/src/entry/quota.rs
+++ b/crates/mesh/src/entry/quota.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Reason, Refusal, Taken};
+use stoatstep_calls::{Reason, Refusal, TokenDecision};
 use stoatstep_resource::CustomerName;
 
 use super::call::Call;
@@ -36,9 +36,9 @@
     };
     let customer = &identity.customer;
     let verdict = match node.quotas.take(customer, node.clock.now()) {
-        Taken::Token => Verdict::Granted,
-        Taken::Refused(pause) => Verdict::Refused(pause),
-        Taken::Ask => quota::wait(node, customer).await,
+        TokenDecision::Token => Verdict::Granted,
+        TokenDecision::Refused(pause) => Verdict::Refused(pause),
+        TokenDecision::Ask => quota::wait(node, customer).await,
     };
     match verdict {
         Verdict::Granted => Ok(Charge(Some(customer.clone()))),
--- a/crates/mesh/src/quota.rs
+++ b/crates/mesh/src/quota.rs
@@ -1,6 +1,6 @@
 //! Quotas of customers, as one daemon takes part in holding them: as an entry that asks
 //! for tokens, and as the home of some customers that grants them. What is decided is in
-//! [`Purse`] and [`Bucket`].
+//! [`TokenCache`] and [`TokenBucket`].
 
 mod home;
 
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Bucket, Grant, Purse, Share, Taken, Time};
+use stoatstep_calls::{QuotaShare, Time, TokenBucket, TokenCache, TokenDecision, TokenGrant};
 use stoatstep_resource::CustomerName;
 use tokio::sync::oneshot;
 
@@ -46,20 +46,20 @@
 
 /// Calls of one customer at this entry, and the tokens for them.
 struct Desk {
-    purse: Purse,
+    purse: TokenCache,
     waiting: VecDeque<oneshot::Sender<Verdict>>,
     is_asking: bool,
     /// What may be used while the home does not answer.
-    reserve: Bucket,
+    reserve: TokenBucket,
 }
 
 impl Desk {
     fn new(now: Time) -> Self {
         Self {
-            purse: Purse::default(),
+            purse: TokenCache::default(),
             waiting: VecDeque::new(),
             is_asking: false,
-            reserve: Bucket::empty(now),
+            reserve: TokenBucket::empty(now),
         }
     }
 
@@ -73,7 +73,7 @@
                 tokens -= 1;
             }
         }
-        self.purse.keep(tokens, now);
+        self.purse.add(tokens, now);
     }
 
     fn end_all(&mut self, verdict: Verdict) {
@@ -85,7 +85,7 @@
 
 impl Quotas {
     /// Takes a token for a call of this customer.
-    pub(crate) fn take(&self, customer: &CustomerName, now: Time) -> Taken {
+    pub(crate) fn take(&self, customer: &CustomerName, now: Time) -> TokenDecision {
         let mut desks = self.desks.borrow_mut();
         let desk = desks.entry(customer.clone());
         desk.or_insert_with(|| Desk::new(now)).purse.take(now)
@@ -138,17 +138,18 @@
     desk.waiting.retain(|it| !it.is_closed());
     let waiting = u32::try_from(desk.waiting.len()).unwrap_or(u32::MAX);
     desk.is_asking = waiting > 0;
-    desk.is_asking.then(|| desk.purse.wanted(waiting))
+    desk.is_asking
+        .then(|| desk.purse.tokens_to_request(waiting))
 }
 
-async fn ask(node: &Node, addr: SocketAddr, ask: Ask) -> Option<Grant> {
+async fn ask(node: &Node, addr: SocketAddr, ask: Ask) -> Option<TokenGrant> {
     match node.links.ask_within(addr, ask, ANSWER_BOUND).await {
-        Ok(Reply::Tokens(granted)) => granted.map(Grant::from),
+        Ok(Reply::Tokens(granted)) => granted.map(TokenGrant::from),
         Ok(_) | Err(_) => None,
     }
 }
 
-fn settle(node: &Node, customer: &str, granted: Option<Grant>) {
+fn settle(node: &Node, customer: &str, granted: Option<TokenGrant>) {
     let now = node.clock.now();
     let reserve = granted.is_none().then(|| reserve(node, customer)).flatten();
     let mut desks = node.quotas.desks.borrow_mut();
@@ -171,12 +172,12 @@
 }
 
 /// What this entry may use on its own.
-fn reserve(node: &Node, customer: &str) -> Option<Share> {
+fn reserve(node: &Node, customer: &str) -> Option<QuotaShare> {
     let in_force = node.fleet.in_force()?;
     let quota = in_force.keys.customer(customer)?.quota?;
     let entries = node.quotas.homes.members().max(1);
     let of = home::share_of_zone(node) * RESERVE / count(entries);
-    Some(Share::new(quota, of))
+    Some(QuotaShare::new(quota, of))
 }
 
 /// Forgets customers that have not called for a while.
--- a/crates/mesh/src/quota/home.rs
+++ b/crates/mesh/src/quota/home.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Bucket, Grant, Share, Time};
+use stoatstep_calls::{QuotaShare, Time, TokenBucket, TokenGrant};
 use stoatstep_distribution::{first_of, seed_of};
 use stoatstep_membership::{Member, MemberKey};
 use stoatstep_resource::{CustomerName, Quota, ZoneName};
@@ -52,7 +52,7 @@
 
 /// The quota of one customer.
 struct Held {
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// When it is next worth asking other zones.
     borrows_from: Time,
 }
@@ -107,11 +107,11 @@
 }
 
 /// Grants tokens; nothing where this daemon is not the customer's home.
-pub(crate) fn grant(node: &Rc<Node>, customer: &CustomerName, wanted: u32) -> Option<Grant> {
+pub(crate) fn grant(node: &Rc<Node>, customer: &CustomerName, wanted: u32) -> Option<TokenGrant> {
     let (share, quota) = own_share(node, customer)?;
     let Some(quota) = quota else {
         // There is no limit any more; the entry will know in a moment.
-        return Some(Grant {
+        return Some(TokenGrant {
             tokens: wanted,
             retry_after: None,
         });
@@ -131,19 +131,19 @@
 }
 
 /// Grants tokens to the home of another zone.
-pub(crate) fn lend(node: &Node, customer: &CustomerName, wanted: u32) -> Option<Grant> {
+pub(crate) fn lend(node: &Node, customer: &CustomerName, wanted: u32) -> Option<TokenGrant> {
     let (share, quota) = own_share(node, customer)?;
     quota?;
     let now = node.clock.now();
     let tokens = with_held(node, customer, |it| it.bucket.lend(wanted, share, now));
-    Some(Grant {
+    Some(TokenGrant {
         tokens,
         retry_after: None,
     })
 }
 
 /// What this daemon may grant as the customer's home, and the whole quota.
-fn own_share(node: &Node, customer: &str) -> Option<(Share, Option<Quota>)> {
+fn own_share(node: &Node, customer: &str) -> Option<(QuotaShare, Option<Quota>)> {
     if place_of(node, customer) != Some(Place::Here) {
         return None;
     }
@@ -153,7 +153,7 @@
         per_minute: 0,
         burst: 0,
     };
-    let share = Share::new(quota.unwrap_or(whole), share_of_zone(node));
+    let share = QuotaShare::new(quota.unwrap_or(whole), share_of_zone(node));
     Some((share, quota))
 }
 
@@ -173,13 +173,13 @@
     let homes = &node.quotas.homes;
     let mut held = homes.held.borrow_mut();
     let held = held.entry(customer.clone()).or_insert_with(|| Held {
-        bucket: Bucket::empty(homes.since.get()),
+        bucket: TokenBucket::empty(homes.since.get()),
         borrows_from: Time::ZERO,
     });
     act(held)
 }
 
-fn note_short(node: &Node, customer: &str, (wanted, granted): (u32, Grant), quota: Quota) {
+fn note_short(node: &Node, customer: &str, (wanted, granted): (u32, TokenGrant), quota: Quota) {
     node.journal.count("quota.short");
     if let Some(left_out) = node.journal.admits("quota", node.clock.now()) {
         slog::info!(node.log, "quota used up"; fields::CUSTOMER => customer,
@@ -189,7 +189,7 @@
 }
 
 /// Asks the homes of the other zones for what they do not use.
-fn borrow(node: &Rc<Node>, customer: &CustomerName, share: Share) {
+fn borrow(node: &Rc<Node>, customer: &CustomerName, share: QuotaShare) {
     let now = node.clock.now();
     let is_due = with_held(node, customer, |it| {
         let is_due = now >= it.borrows_from;
@@ -202,7 +202,7 @@
         return;
     }
     let ahead = share.per_second * BORROW_AHEAD.as_secs_f64();
-    let wanted = Share::whole(ahead).max(1);
+    let wanted = QuotaShare::whole_tokens(ahead).max(1);
     for addr in homes_elsewhere(node, customer) {
         let (node, customer) = (Rc::clone(node), customer.clone());
         ntex::rt::spawn(async move {
@@ -213,7 +213,7 @@
             let now = node.clock.now();
             let mut held = node.quotas.homes.held.borrow_mut();
             if let Some(held) = held.get_mut(&customer) {
-                held.bucket.borrowed(lent.tokens, now);
+                held.bucket.add_borrowed(lent.tokens, now);
             }
         });
     }
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    Answer, AttemptId, AttemptStatus, Fingerprint, Grant, Header, Occupancy, QuarantineFinding,
-    Refusal, Ticket,
+    Answer, AttemptId, AttemptStatus, Fingerprint, Header, Occupancy, QuarantineFinding, Refusal,
+    Ticket, TokenGrant,
 };
 use stoatstep_membership::{GossipReply, GossipRequest, Mark, MemberKey};
 use stoatstep_resource::wire::{DifferenceWire, SnapshotWire};
@@ -155,15 +155,15 @@
     pub(crate) age: Duration,
 }
 
-/// See [`Grant`].
+/// See [`TokenGrant`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct GrantWire {
     tokens: u32,
     retry_after: Option<Duration>,
 }
 
-impl From<Grant> for GrantWire {
-    fn from(grant: Grant) -> Self {
+impl From<TokenGrant> for GrantWire {
+    fn from(grant: TokenGrant) -> Self {
         Self {
             tokens: grant.tokens,
             retry_after: grant.retry_after,
@@ -171,7 +171,7 @@
     }
 }
 
-impl From<GrantWire> for Grant {
+impl From<GrantWire> for TokenGrant {
     fn from(wire: GrantWire) -> Self {
         Self {
             tokens: wire.tokens,
