--- a/crates/calls/src/idempotency/mod.rs
+++ b/crates/calls/src/idempotency/mod.rs
@@ -2,10 +2,11 @@
 //!
 //! Each key has one home: the executor that rendezvous hashing selects among the
 //! configured upstreams of the service ([`home_of`]). Only the home runs a request
-//! with this key, after looking the key up in its table ([`IdempotencyTable`]). The table
-//! decides about keys that state their creation time only if they were made after
-//! its process started. After a change of the set of upstreams, the previous home
-//! has to confirm first ([`HomeHistory`]). See `docs/design/at-most-once.md`.
+//! with this key, after looking the key up in its table ([`IdempotencyTable`]). For keys
+//! that state their creation time, the table decides only if they were made after its
+//! process started or if it was restored from the previous process. After a change of
+//! the set of upstreams, the previous home has to confirm first ([`HomeHistory`]). See
+//! `docs/design/at-most-once.md`.
 
 mod config;
 mod home;
--- a/crates/calls/src/quarantine.rs
+++ b/crates/calls/src/quarantine.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Returns what is known about a request, in the form in which peers are told.
+    /// Returns what is known about a request as a finding for peers.
     #[must_use]
     pub fn finding(&self, request: Fingerprint, now: Time) -> Option<QuarantineFinding> {
         let record = self.records.get(&request)?;
--- a/crates/calls/src/quarantine/stored.rs
+++ b/crates/calls/src/quarantine/stored.rs
@@ -37,8 +37,9 @@
     /// Returns whether the record has no effect any more and can be deleted.
     #[must_use]
     pub fn is_expired(&self, now: WallTime, threshold: usize) -> bool {
-        let refused_for = quarantine_time(self.lives.len(), threshold).unwrap_or(Duration::ZERO);
-        now > self.ended + refused_for * 2
+        let quarantined_for =
+            quarantine_time(self.lives.len(), threshold).unwrap_or(Duration::ZERO);
+        now > self.ended + quarantined_for * 2
     }
 }
 
--- a/crates/calls/tests/all/quarantine.rs
+++ b/crates/calls/tests/all/quarantine.rs
@@ -44,8 +44,8 @@
     let known = after(CRASH_THRESHOLD - 1, s(1));
     assert_eq!(known.refused_for(LETHAL, s(1)), None);
     let mut known = after(CRASH_THRESHOLD - 1, s(1));
-    let learned = known.apply(&ended(LETHAL, "i-9"), s(2));
-    assert_eq!(learned, FindingEffect::Quarantined(s(600)));
+    let effect = known.apply(&ended(LETHAL, "i-9"), s(2));
+    assert_eq!(effect, FindingEffect::Quarantined(s(600)));
     assert_eq!(known.refused_for(LETHAL, s(62)), Some(s(540)));
     assert_eq!(known.refused_for(HARMLESS, s(2)), None);
 }
@@ -68,9 +68,9 @@
 #[test]
 fn an_answer_clears_a_request_that_ran_beside_a_lethal_one() {
     let mut known = after(CRASH_THRESHOLD - 1, s(1));
-    let learned = known.apply(&answered(LETHAL), s(2));
+    let effect = known.apply(&answered(LETHAL), s(2));
     assert_eq!(
-        learned,
+        effect,
         FindingEffect::Cleared {
             was_quarantined: false
         }
@@ -111,8 +111,8 @@
     let mut known = after(CRASH_THRESHOLD, s(1));
     assert_eq!(known.refused_for(LETHAL, s(601)), None);
     known.tick(s(700));
-    let learned = known.apply(&ended(LETHAL, "i-9"), s(700));
-    assert_eq!(learned, FindingEffect::Quarantined(s(1200)));
+    let effect = known.apply(&ended(LETHAL, "i-9"), s(700));
+    assert_eq!(effect, FindingEffect::Quarantined(s(1200)));
     known.tick(s(700 + 2401));
     assert!(known.is_empty());
 }
@@ -122,9 +122,9 @@
 #[test]
 fn a_daemon_that_starts_later_learns_what_is_refused() {
     let known = after(CRASH_THRESHOLD, s(1));
-    let news = known.gossip(s(301));
+    let gossip = known.gossip(s(301));
     let mut started = Quarantine::default();
-    for finding in &news {
+    for finding in &gossip {
         started.apply(finding, s(350));
     }
     assert_eq!(started.refused_for(LETHAL, s(350)), Some(s(300)));
