--- a/crates/calls/src/lib.rs
+++ b/crates/calls/src/lib.rs
@@ -1,35 +1,36 @@
-//! Decisions about calls: which upstream takes an attempt, what the executor
-//! admits, what may be tried again, and what is known about an attempt whose
-//! answer went missing.
+//! Decisions about calls: which upstream an attempt is sent to, what the executor
+//! admits, what may be retried, and what is known about an attempt whose answer was
+//! lost.
 //!
-//! Nothing here opens a socket, reads a clock or starts a thread. State lies in
-//! tables, time and randomness come in as arguments, and so the same code runs
-//! in the daemon, under scripted scenarios with virtual time, and under the
+//! Nothing in this crate opens a socket, reads a clock or starts a thread. All state
+//! is in plain tables, and time and randomness are passed as arguments. The same code
+//! therefore runs in the daemon, in scripted scenarios with virtual time, and in the
 //! model checker.
 //!
-//! The two sides of a call are the *entry* (the daemon that took it from the
-//! caller) and the *executor* (the daemon on the target's own instance):
+//! The two sides of a call are the *entry*, the daemon that received it from the
+//! caller, and the *executor*, the daemon on the target's own instance:
 //!
-//! * the entry uses [`RouteTable`], [`KeyRing`], [`Purse`], [`Router`] or [`Placement`], [`RetryBudget`], [`Backoff`], [`Deadline`] and
-//!   [`SilenceDetector`];
+//! * the entry uses [`RouteTable`], [`KeyRing`], [`TokenCache`], [`Router`] or
+//!   [`Placement`], [`RetryBudget`], [`Backoff`], [`Deadline`] and [`SilenceDetector`];
 //! * both use [`Quarantine`];
-//! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IntentTable`], [`Drain`] and [`Departure`].
+//! * the executor uses [`Admission`] or [`Queue`], [`Ledger`], [`IdempotencyTable`],
+//!   [`Drain`] and [`Shutdown`].
 //!
-//! The reasons are in `docs/design/calls.md` and `docs/design/at-most-once.md`.
+//! The design is explained in `docs/design/calls.md` and
+//! `docs/design/at-most-once.md`.
 
 mod admission;
 mod answer;
-mod answers;
+mod answer_stats;
 mod candidates;
 mod class;
 mod deadline;
-mod departure;
 mod drain;
 mod estimate;
 mod fingerprint;
+mod idempotency;
 mod identity;
 mod ids;
-mod intent;
 mod ledger;
 mod placement;
 mod quarantine;
@@ -39,6 +40,7 @@
 mod retry;
 mod router;
 mod routes;
+mod shutdown;
 mod silence;
 mod throttle;
 mod uplink;
@@ -46,33 +48,34 @@
 pub use admission::{
     Admission, AdmissionConfig, AdmissionDecision, AdmissionRequest, Dispatch, Load,
 };
-pub use answer::{Answer, Header, is_of_connection};
-pub use answers::Answers;
+pub use answer::{Answer, Header, is_hop_by_hop};
+pub use answer_stats::AnswerStats;
 pub use candidates::{Candidate, CandidateState, Pick, TargetFilter};
 pub use class::{Class, UnknownClass};
 pub use deadline::Deadline;
-pub use departure::Departure;
 pub use drain::{Drain, DrainStep};
 pub use estimate::Estimate;
 pub use fingerprint::Fingerprint;
-pub use identity::{CREDENTIAL, CredentialError, KeyRing, bearer_key};
-pub use ids::{AttemptId, Incarnation, SetId, Time, Wall};
-pub use intent::{
-    Begin, Handover, Home, HomeAnswer, HomeSets, IntentConfig, IntentKey, IntentMemory,
-    IntentTable, KeyError, KeyText, KnownMembers, Remembered, RememberedRun, home_of, set_id,
+pub use idempotency::{
+    HomeAnswer, HomeCheck, HomeHistory, HomeQuery, IdempotencyConfig, IdempotencyKey,
+    IdempotencySnapshot, IdempotencyTable, KeyDecision, KeyError, KeyText, KnownMembers,
+    RememberedKey, RememberedRun, home_of, upstream_set_id,
 };
-pub use ledger::{Arrival, Ledger, LedgerConfig, Settled, Ticket};
+pub use identity::{AUTHORIZATION_HEADER, CredentialError, KeyRing, bearer_key};
+pub use ids::{AttemptId, Incarnation, Time, UpstreamSetId, WallTime};
+pub use ledger::{Arrival, AttemptStatus, Ledger, LedgerConfig, Ticket};
 pub use placement::{AttemptFeedback, Placement, PlacementRequest};
 pub use quarantine::{
-    ANSWERED_FOR, Finding, KeptRequest, LIVES, Learned, LifeMark, Quarantine, RecentAnswers,
-    life_mark,
+    ANSWER_VALIDITY, CRASH_THRESHOLD, FindingEffect, GenerationHash, Quarantine, QuarantineFinding,
+    QuarantinedRequest, RecentAnswers, generation_hash,
 };
 pub use queue::{Occupancy, Queue, QueueRequest};
-pub use quota::{Bucket, Grant, Purse, Share, Taken};
+pub use quota::{QuotaShare, TokenBucket, TokenCache, TokenDecision, TokenGrant};
 pub use refusal::{Outcome, Reason, Refusal};
 pub use retry::{Backoff, RefusedAttempts, RetryBudget, UnansweredOutcome, may_retry};
 pub use router::{Report, Router};
 pub use routes::{ResolvedRoute, RouteTable};
+pub use shutdown::Shutdown;
 pub use silence::{SilenceAction, SilenceConfig, SilenceDetector};
 pub use throttle::Throttle;
 pub use uplink::Uplink;
--- /dev/null
+++ b/crates/calls/src/quota/token_bucket.rs
@@ -0,0 +1,154 @@
+//! The token bucket of a customer at its home.
+
+use std::time::Duration;
+
+use stoatstep_resource::Quota;
+
+use crate::ids::Time;
+
+/// Maximum retry delay that a refused caller is given.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
+
+/// Time for which borrowed tokens may exceed the bucket's capacity.
+const BORROWED_TTL: Duration = Duration::from_secs(1);
+
+/// Fraction of a full bucket below which its home borrows tokens.
+const LOW_FRACTION: f64 = 0.25;
+
+/// Fraction of a full bucket that its home does not lend.
+const RESERVED_FRACTION: f64 = 0.5;
+
+/// A fraction of a quota.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct QuotaShare {
+    /// Tokens added per second.
+    pub per_second: f64,
+    /// Capacity of the bucket, in tokens.
+    pub burst: f64,
+}
+
+impl QuotaShare {
+    /// Computes the share of a quota that has the given `fraction`. The bucket has room for
+    /// at least one token; otherwise nothing could ever be granted from it.
+    #[must_use]
+    pub fn new(quota: Quota, fraction: f64) -> Self {
+        Self {
+            per_second: quota.per_second() * fraction,
+            burst: (f64::from(quota.burst) * fraction).max(1.0),
+        }
+    }
+
+    /// Rounds `tokens` down to a whole number.
+    #[must_use]
+    pub fn whole_tokens(tokens: f64) -> u32 {
+        // Accumulated rounding errors must not cost a token.
+        const ROUNDING_ERROR: f64 = 1e-9;
+        let seconds = Duration::try_from_secs_f64(tokens + ROUNDING_ERROR).unwrap_or_default();
+        u32::try_from(seconds.as_secs()).unwrap_or(u32::MAX)
+    }
+
+    fn tokens_in(&self, time: Duration) -> f64 {
+        self.per_second * time.as_secs_f64()
+    }
+}
+
+/// A home's answer to an entry that requested tokens.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct TokenGrant {
+    /// Number of tokens granted.
+    pub tokens: u32,
+    /// If fewer tokens were granted than requested, the time after which to ask again.
+    pub retry_after: Option<Duration>,
+}
+
+/// The token bucket of one customer at its home.
+///
+/// A new bucket is empty because an earlier home may have granted all tokens already. Thus
+/// successive homes together grant no more in any period than a single one would.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct TokenBucket {
+    tokens: f64,
+    /// When the bucket was last refilled.
+    refilled_at: Time,
+    /// Refused callers have been told to retry for tokens that arrive until this time.
+    promised_until: Time,
+    /// Until this time the bucket may hold more tokens than its capacity.
+    borrowed_until: Time,
+}
+
+impl TokenBucket {
+    /// Creates an empty bucket that is refilled from `since` on.
+    #[must_use]
+    pub fn empty(since: Time) -> Self {
+        Self {
+            tokens: 0.0,
+            refilled_at: since,
+            promised_until: since,
+            borrowed_until: Time::ZERO,
+        }
+    }
+
+    /// Grants up to `wanted` tokens, as far as there are any.
+    ///
+    /// Refused callers get different retry times, one for each future token, so that they
+    /// do not all come back at once to an empty bucket.
+    pub fn grant(&mut self, wanted: u32, share: QuotaShare, now: Time) -> TokenGrant {
+        self.refill(share, now);
+        let tokens = self.take(wanted);
+        let refused = wanted - tokens;
+        let retry_after = (refused > 0).then(|| self.reserve_retry(refused, share, now));
+        TokenGrant {
+            tokens,
+            retry_after,
+        }
+    }
+
+    /// Returns whether the home should borrow tokens now. If it waited until the bucket is
+    /// empty, calls would be refused until the lender answers.
+    #[must_use]
+    pub fn is_low(&self, share: QuotaShare) -> bool {
+        self.tokens < share.burst * LOW_FRACTION
+    }
+
+    /// Grants tokens to the home of another zone, and reserves some for this one.
+    pub fn lend(&mut self, wanted: u32, share: QuotaShare, now: Time) -> u32 {
+        self.refill(share, now);
+        let reserved = share.burst * RESERVED_FRACTION;
+        let free = QuotaShare::whole_tokens(self.tokens - reserved);
+        self.take(wanted.min(free))
+    }
+
+    /// Adds tokens that another home lent. They may exceed the capacity for a moment, because
+    /// the bucket may have been refilled before they arrive.
+    pub fn add_borrowed(&mut self, tokens: u32, now: Time) {
+        self.tokens += f64::from(tokens);
+        self.borrowed_until = now + BORROWED_TTL;
+    }
+
+    fn refill(&mut self, share: QuotaShare, now: Time) {
+        let refilled = self.tokens + share.tokens_in(now.saturating_sub(self.refilled_at));
+        let capacity = if now < self.borrowed_until {
+            share.burst.max(self.tokens)
+        } else {
+            share.burst
+        };
+        self.tokens = refilled.min(capacity);
+        self.refilled_at = self.refilled_at.max(now);
+    }
+
+    fn take(&mut self, wanted: u32) -> u32 {
+        let tokens = wanted.min(QuotaShare::whole_tokens(self.tokens));
+        self.tokens -= f64::from(tokens);
+        tokens
+    }
+
+    /// Returns when refused callers may retry, and promises them the tokens that arrive by
+    /// then.
+    fn reserve_retry(&mut self, refused: u32, share: QuotaShare, now: Time) -> Duration {
+        let seconds = f64::from(refused) / share.per_second;
+        let wait = Duration::try_from_secs_f64(seconds).unwrap_or(MAX_RETRY_AFTER);
+        let until = self.promised_until.max(now) + wait.min(MAX_RETRY_AFTER);
+        self.promised_until = until.min(now + MAX_RETRY_AFTER);
+        self.promised_until.saturating_sub(now)
+    }
+}
--- a/crates/calls/src/silence.rs
+++ b/crates/calls/src/silence.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use crate::ids::{AttemptId, Time};
-use crate::ledger::Settled;
+use crate::ledger::AttemptStatus;
 
 /// Timing of the queries, and the number after which an attempt is abandoned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -116,25 +116,26 @@
     pub fn ledger_answered(
         &mut self,
         attempt: AttemptId,
-        settled: &Settled,
+        settled: &AttemptStatus,
         now: Time,
     ) -> Option<SilenceAction> {
         let watch = self.watches.get_mut(&attempt)?;
         watch.unanswered = 0;
         let retire = match settled {
-            Settled::Queued | Settled::Running => {
+            AttemptStatus::Queued | AttemptStatus::Running => {
                 watch.never_seen = 0;
                 watch.interval = (watch.interval * 2).min(self.cfg.max_interval);
                 watch.query_at = now + watch.interval;
                 false
             }
-            Settled::NeverSeen => {
+            AttemptStatus::NeverSeen => {
                 watch.never_seen += 1;
                 watch.never_seen >= NEVER_SEEN_TO_RETIRE
             }
-            Settled::NotRun | Settled::Done(_) | Settled::DoneWithoutAnswer | Settled::Unknown => {
-                true
-            }
+            AttemptStatus::NotRun
+            | AttemptStatus::Done(_)
+            | AttemptStatus::DoneWithoutAnswer
+            | AttemptStatus::Unknown => true,
         };
         retire.then_some(SilenceAction::Retire(attempt))
     }
--- a/crates/calls/tests/all/homes.rs
+++ b/crates/calls/tests/all/homes.rs
@@ -2,7 +2,9 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_calls::{Handover, Home, HomeSets, IntentKey, home_of, set_id};
+use stoatstep_calls::{
+    HomeCheck, HomeHistory, HomeQuery, IdempotencyKey, home_of, upstream_set_id,
+};
 
 use crate::intent::timed_key;
 
@@ -15,15 +17,15 @@
     names.iter().copied().map(SmolStr::from).collect()
 }
 
-/// Homes of upstream `b` that has seen nothing but its start.
-fn started(names: &[&str]) -> HomeSets {
-    let mut homes = HomeSets::new("b".into(), SKEW, RETENTION);
-    homes.note(&"floatdesk".into(), set(names), 1, true, NOW);
+/// The history of upstream `b` right after it started.
+fn started(names: &[&str]) -> HomeHistory {
+    let mut homes = HomeHistory::new("b".into(), SKEW, RETENTION);
+    homes.apply_set(&"floatdesk".into(), set(names), 1, true, NOW);
     homes
 }
 
-fn key_with_homes(created: Duration, homes: &[(&[&str], &str)]) -> IntentKey {
-    let fits = |key: &IntentKey| {
+fn key_with_homes(created: Duration, homes: &[(&[&str], &str)]) -> IdempotencyKey {
+    let fits = |key: &IdempotencyKey| {
         let at = |names: &[&str]| home_of(&set(names), key).cloned();
         homes
             .iter()
@@ -34,140 +36,150 @@
         .expect("some key has these homes")
 }
 
-fn ask(names: &[&str], version: u64) -> Home {
-    let question = |name: &&str| Handover {
+fn ask(names: &[&str], version: u64) -> HomeCheck {
+    let question = |name: &&str| HomeQuery {
         upstream: SmolStr::from(*name),
         version,
     };
-    Home::Ask(names.iter().map(question).collect())
+    HomeCheck::Ask(names.iter().map(question).collect())
 }
 
-// An upstream is added while the old home lags. An entry that lags too still
-// sends the key to the old home; the new home must not run it as well before
-// the old one has stopped taking it.
+// An upstream is added while the previous home lags behind. A lagging entry still sends
+// the key there. The new home must not run the key before the previous one has
+// confirmed that it no longer accepts it.
 #[test]
 fn new_home_waits_for_the_previous_one() {
     let mut homes = started(&["a"]);
     homes.confirm(&"a".into(), 1, NOW);
-    homes.note(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
-    let id = set_id(&set(&["a", "b"]));
+    homes.apply_set(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
+    let id = upstream_set_id(&set(&["a", "b"]));
     let fresh = key_with_homes(NOW + 5 * SKEW, &[(&["a", "b"], "b")]);
     assert_eq!(homes.check(&fresh, id), ask(&["a"], 2));
     homes.confirm(&"a".into(), 1, NOW + SKEW);
     assert_eq!(homes.check(&fresh, id), ask(&["a"], 2));
     homes.confirm(&"a".into(), 2, NOW + SKEW);
-    assert_eq!(homes.check(&fresh, id), Home::Mine);
+    assert_eq!(homes.check(&fresh, id), HomeCheck::Mine);
 }
 
-// The claim ran at the old home, its answer was lost, and the caller's retry
-// goes to the new home. The confirmation alone says nothing about this key.
+// A claim ran at the previous home, its answer was lost, and the retry goes to the new
+// home. The key is older than the confirmation, so the previous home must be asked.
 #[test]
 fn key_from_before_the_confirmation_is_asked_for() {
     let mut homes = started(&["a"]);
-    homes.note(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
+    homes.apply_set(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
     homes.confirm(&"a".into(), 2, NOW);
     let old = key_with_homes(NOW + SKEW / 2, &[(&["a", "b"], "b")]);
-    let id = set_id(&set(&["a", "b"]));
+    let id = upstream_set_id(&set(&["a", "b"]));
     assert_eq!(homes.check(&old, id), ask(&["a"], 2));
 }
 
-// A daemon restarts in the middle of a change: it cannot know which set came
-// before its first one, so any other member may be a home that lags.
+// A daemon restarts during a change. It does not know the sets before its first one, so
+// any other member may be a previous home that lags behind.
 #[test]
 fn started_daemon_asks_every_member() {
     let names = &["a", "b", "c"];
     let homes = started(names);
     let key = key_with_homes(NOW + 5 * SKEW, &[(names, "b")]);
-    assert_eq!(homes.check(&key, set_id(&set(names))), ask(&["a", "c"], 1));
+    assert_eq!(
+        homes.check(&key, upstream_set_id(&set(names))),
+        ask(&["a", "c"], 1)
+    );
 }
 
-// Versions were skipped: the set in between may have had another home.
+// Versions were skipped. A set of a skipped version may have had another home.
 #[test]
 fn skipped_versions_ask_every_member() {
     let mut homes = started(&["a"]);
     homes.confirm(&"a".into(), 1, NOW);
     let names = &["a", "b"];
-    homes.note(&"floatdesk".into(), set(names), 9, false, NOW);
+    homes.apply_set(&"floatdesk".into(), set(names), 9, false, NOW);
     let key = key_with_homes(NOW + 5 * SKEW, &[(names, "b")]);
-    assert_eq!(homes.check(&key, set_id(&set(names))), ask(&["a"], 9));
+    assert_eq!(
+        homes.check(&key, upstream_set_id(&set(names))),
+        ask(&["a"], 9)
+    );
 }
 
-// An instance is destroyed and its upstream deleted. Keys made before may have
-// run there; later ones run on the operator's word.
+// An instance is destroyed and its upstream deleted. Keys made before may have run
+// there. Later ones may run, because the operator's deletion is proof enough.
 #[test]
 fn keys_of_a_destroyed_home_are_unsettled() {
     let mut homes = started(&["a", "b"]);
     homes.confirm(&"a".into(), 1, NOW);
-    homes.note(&"floatdesk".into(), set(&["b"]), 2, true, NOW);
-    homes.gone(&"a".into(), 2, NOW);
-    let id = set_id(&set(&["b"]));
+    homes.apply_set(&"floatdesk".into(), set(&["b"]), 2, true, NOW);
+    homes.mark_deleted(&"a".into(), 2, NOW);
+    let id = upstream_set_id(&set(&["b"]));
     let old = key_with_homes(EARLIER, &[(&["a", "b"], "a")]);
-    assert_eq!(homes.check(&old, id), Home::Unsettled);
+    assert_eq!(homes.check(&old, id), HomeCheck::Unsettled);
     let new = key_with_homes(NOW + 2 * SKEW, &[(&["a", "b"], "a")]);
-    assert_eq!(homes.check(&new, id), Home::Mine);
+    assert_eq!(homes.check(&new, id), HomeCheck::Mine);
 }
 
 #[test]
 fn entry_with_another_set_is_refused() {
     let homes = started(&["a", "b"]);
     let key = key_with_homes(NOW, &[(&["a", "b"], "b")]);
-    let other = set_id(&set(&["a", "b", "c"]));
-    assert_eq!(homes.check(&key, other), Home::StaleConfig);
+    let other = upstream_set_id(&set(&["a", "b", "c"]));
+    assert_eq!(homes.check(&key, other), HomeCheck::StaleConfig);
     let key = key_with_homes(NOW, &[(&["a", "b"], "a")]);
-    assert_eq!(homes.check(&key, set_id(&set(&["a", "b"]))), Home::NotMine);
+    assert_eq!(
+        homes.check(&key, upstream_set_id(&set(&["a", "b"]))),
+        HomeCheck::NotMine
+    );
 }
 
-// Earlier sets are dropped only when no key that is still accepted can have run
-// under them, and never while a member has not confirmed.
+// An earlier set is dropped only once no key that is still accepted can have run under
+// it, and never before all its members have confirmed.
 #[test]
 fn unconfirmed_sets_are_kept() {
     let mut homes = started(&["a", "b"]);
     let hour = Duration::from_hours(1);
     homes.tick(NOW + hour);
-    let id = set_id(&set(&["a", "b"]));
+    let id = upstream_set_id(&set(&["a", "b"]));
     let key = key_with_homes(NOW + hour, &[(&["a", "b"], "b")]);
     assert_eq!(homes.check(&key, id), ask(&["a"], 1));
     homes.confirm(&"a".into(), 1, NOW);
     homes.tick(NOW + hour);
     let old = key_with_homes(EARLIER, &[(&["a", "b"], "b")]);
-    assert_eq!(homes.check(&old, id), Home::Mine);
+    assert_eq!(homes.check(&old, id), HomeCheck::Mine);
 }
 
-// Version 2 adds b, which takes a claim, and version 3 takes it away again. This
-// home restarts at 3 and has never heard of b. An entry that lags sends the claim
-// to b, which lags too and asks this home; another entry sends it here. Were b
-// told "never", both would run it.
+// Version 2 adds b and version 3 removes it again. This home restarts at version 3 and
+// does not know of b. A lagging entry sends a claim to b, which also lags behind and
+// asks this home; another entry sends the claim here. If b were told "never", both
+// would run it.
 #[test]
-fn who_is_not_the_home_gets_no_promise() {
-    let mut homes = HomeSets::new("a".into(), SKEW, RETENTION);
-    homes.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
+fn only_the_current_home_is_told_that_a_key_never_ran() {
+    let mut homes = HomeHistory::new("a".into(), SKEW, RETENTION);
+    homes.apply_set(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
     let key = key_with_homes(NOW + 5 * SKEW, &[(&["a", "b"], "b")]);
     assert!(!homes.is_home(&key, &"b".into()));
     assert!(homes.is_home(&key, &"a".into()));
 }
 
-// A claim ran at b, whose upstream was then deleted. This home is restarted as
-// planned and takes over the memory of keys, so it would take the claim for new.
-// What its former process knew of b makes it ask, and in the end say "unknown".
+// A claim ran at b, whose upstream was then deleted. This home is restarted as planned
+// and restores the table of keys, so without more it would treat the claim as new. The
+// members that the previous process knew include b, so b is asked, and after its
+// deletion the key is unsettled.
 #[test]
-fn planned_restart_remembers_who_was_a_home() {
-    let mut former = HomeSets::new("a".into(), SKEW, RETENTION);
-    former.note(&"floatdesk".into(), set(&["a"]), 1, true, EARLIER);
-    former.note(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
-    former.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
+fn planned_restart_restores_previous_homes() {
+    let mut previous = HomeHistory::new("a".into(), SKEW, RETENTION);
+    previous.apply_set(&"floatdesk".into(), set(&["a"]), 1, true, EARLIER);
+    previous.apply_set(&"floatdesk".into(), set(&["a", "b"]), 2, true, NOW);
+    previous.apply_set(&"floatdesk".into(), set(&["a"]), 3, true, NOW);
     let key = key_with_homes(NOW, &[(&["a", "b"], "b")]);
-    let id = set_id(&set(&["a"]));
-    for noted_first in [false, true] {
-        let mut homes = HomeSets::new("a".into(), SKEW, RETENTION);
-        if !noted_first {
-            homes.resume(former.known());
+    let id = upstream_set_id(&set(&["a"]));
+    for applied_first in [false, true] {
+        let mut homes = HomeHistory::new("a".into(), SKEW, RETENTION);
+        if !applied_first {
+            homes.restore(previous.known_members());
         }
-        homes.note(&"floatdesk".into(), set(&["a"]), 3, true, NOW + SKEW);
-        if noted_first {
-            homes.resume(former.known());
+        homes.apply_set(&"floatdesk".into(), set(&["a"]), 3, true, NOW + SKEW);
+        if applied_first {
+            homes.restore(previous.known_members());
         }
         assert_eq!(homes.check(&key, id), ask(&["b"], 3));
-        homes.gone(&"b".into(), 3, NOW + 2 * SKEW);
-        assert_eq!(homes.check(&key, id), Home::Unsettled);
+        homes.mark_deleted(&"b".into(), 3, NOW + 2 * SKEW);
+        assert_eq!(homes.check(&key, id), HomeCheck::Unsettled);
     }
 }
--- a/crates/calls/tests/all/silence.rs
+++ b/crates/calls/tests/all/silence.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use stoatstep_calls::{Settled, SilenceAction, SilenceConfig, SilenceDetector};
+use stoatstep_calls::{AttemptStatus, SilenceAction, SilenceConfig, SilenceDetector};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -17,11 +17,11 @@
     assert!(detector.tick(199 * MS).is_empty());
     assert_eq!(detector.tick(200 * MS), [SilenceAction::Ask(1)]);
     assert_eq!(
-        detector.ledger_answered(1, &Settled::NeverSeen, 200 * MS),
+        detector.ledger_answered(1, &AttemptStatus::NeverSeen, 200 * MS),
         None
     );
     assert_eq!(detector.tick(400 * MS), [SilenceAction::Ask(1)]);
-    let action = detector.ledger_answered(1, &Settled::NeverSeen, 400 * MS);
+    let action = detector.ledger_answered(1, &AttemptStatus::NeverSeen, 400 * MS);
     assert_eq!(action, Some(SilenceAction::Retire(1)));
 }
 
@@ -35,7 +35,7 @@
         for action in detector.tick(200 * MS * step) {
             assert_eq!(action, SilenceAction::Ask(1));
             assert_eq!(
-                detector.ledger_answered(1, &Settled::Running, 200 * MS * step),
+                detector.ledger_answered(1, &AttemptStatus::Running, 200 * MS * step),
                 None
             );
         }
@@ -48,7 +48,7 @@
     let mut detector = detector();
     detector.sent(1, Duration::ZERO);
     detector.tick(200 * MS);
-    let action = detector.ledger_answered(1, &Settled::DoneWithoutAnswer, 200 * MS);
+    let action = detector.ledger_answered(1, &AttemptStatus::DoneWithoutAnswer, 200 * MS);
     assert_eq!(action, Some(SilenceAction::Retire(1)));
 }
 
--- a/crates/daemon/src/call/handover.rs
+++ b/crates/daemon/src/call/handover.rs
@@ -13,7 +13,7 @@
 use rand::RngExt;
 use serde::{Deserialize, Serialize};
 use smol_str::{SmolStr, format_smolstr};
-use stoatstep_calls::{Incarnation, IntentMemory, KnownMembers};
+use stoatstep_calls::{IdempotencySnapshot, Incarnation, KnownMembers};
 use stoatstep_platform::{
     CommitAnswer, CommitRequest, Condition, Platform, PlatformError, ReadRequest, Row,
     TableRevision, Write,
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 struct MemoryObject {
     birth: Incarnation,
-    memory: IntentMemory,
+    memory: IdempotencySnapshot,
     members: KnownMembers,
 }
 
@@ -124,8 +124,8 @@
     let tables = node.calls.executor.borrow();
     Some(MemoryObject {
         birth,
-        memory: tables.intents.memory()?,
-        members: tables.homes.known(),
+        memory: tables.intents.snapshot()?,
+        members: tables.homes.known_members(),
     })
 }
 
@@ -174,8 +174,8 @@
     }
     let keys = object.memory.intents.len();
     let mut tables = node.calls.executor.borrow_mut();
-    tables.homes.resume(object.members);
-    tables.intents.resume(object.memory);
+    tables.homes.restore(object.members);
+    tables.intents.restore(object.memory);
     slog::info!(node.log, "memory of keys taken over"; "keys" => keys);
 }
 
--- a/crates/daemon/src/call/request.rs
+++ b/crates/daemon/src/call/request.rs
@@ -10,8 +10,8 @@
 use rand::RngExt;
 use smol_str::{SmolStr, ToSmolStr, format_smolstr};
 use stoatstep_calls::{
-    CREDENTIAL, Class, Deadline, Header, IntentKey, KeyText, Reason, Refusal, ResolvedRoute,
-    bearer_key, set_id,
+    AUTHORIZATION_HEADER, Class, Deadline, Header, IdempotencyKey, KeyText, Reason, Refusal,
+    ResolvedRoute, bearer_key, upstream_set_id,
 };
 use stoatstep_resource::{CustomerName, ServiceName, TenantLimit};
 
@@ -73,7 +73,7 @@
     pub(super) route: Arc<ResolvedRoute>,
     pub(super) deadline: Deadline,
     /// The key, where the call may run only once.
-    pub(super) key: Option<IntentKey>,
+    pub(super) key: Option<IdempotencyKey>,
     pub(super) parts: Rc<WireCall>,
 }
 
@@ -106,7 +106,7 @@
             None => node.calls.entry.borrow_mut().rng.random(),
         };
         let service = route.service(draw).clone();
-        let key = key.map(|key| IntentKey {
+        let key = key.map(|key| IdempotencyKey {
             service: service.clone(),
             tenant: head.tenant.clone(),
             key,
@@ -144,7 +144,7 @@
         depth: head.depth,
         idempotent,
         key: key.map(|key| key.text().clone()),
-        set: set_id(&names.iter().cloned().collect()),
+        set: upstream_set_id(&names.iter().cloned().collect()),
         weight: limit.map_or(DEFAULT_WEIGHT, |it| it.weight),
         concurrency: limit.and_then(|it| it.concurrency),
         request_id: head.request_id,
@@ -166,7 +166,7 @@
     route: &ResolvedRoute,
     map: &HeaderMap,
 ) -> Result<Option<CustomerName>, Rejected> {
-    let credentials = map.get_all(CREDENTIAL).map(HeaderValue::as_bytes);
+    let credentials = map.get_all(AUTHORIZATION_HEADER).map(HeaderValue::as_bytes);
     let key = bearer_key(credentials).ok();
     let holder = key.and_then(|it| in_force.keys.holder(&it));
     if holder.is_none() && !route.route.public && !in_force.keys.is_empty() {
@@ -186,7 +186,8 @@
 /// is to get one.
 fn passed(map: &HeaderMap, passes_credential: bool) -> Vec<Header> {
     let all = map.iter();
-    let goes_on = |name: &str| headers::passes(name) && (passes_credential || name != CREDENTIAL);
+    let goes_on =
+        |name: &str| headers::passes(name) && (passes_credential || name != AUTHORIZATION_HEADER);
     let passed = all.filter(|(name, _)| goes_on(name.as_str()));
     let header = passed.map(|(name, value)| Header {
         name: name.as_str().to_smolstr(),
--- a/crates/daemon/src/call/tables.rs
+++ b/crates/daemon/src/call/tables.rs
@@ -6,8 +6,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stoatstep_calls::{
-    Admission, AdmissionConfig, AttemptId, HomeSets, Incarnation, IntentConfig, IntentTable,
-    Ledger, LedgerConfig, Refusal, RetryBudget, Router,
+    Admission, AdmissionConfig, AttemptId, HomeHistory, IdempotencyConfig, IdempotencyTable,
+    Incarnation, Ledger, LedgerConfig, Refusal, RetryBudget, Router,
 };
 use stoatstep_resource::{ServiceName, Version};
 
@@ -53,8 +53,8 @@
 pub(super) struct ExecutorTables {
     pub(super) ledger: Ledger,
     pub(super) admission: Admission,
-    pub(super) intents: IntentTable,
-    pub(super) homes: HomeSets,
+    pub(super) intents: IdempotencyTable,
+    pub(super) homes: HomeHistory,
     pub(super) noted: Option<Version>,
     pub(super) waiting: BTreeMap<AttemptId, oneshot::Sender<Result<(), Refusal>>>,
     pub(super) runs: BTreeMap<AttemptId, Run>,
@@ -64,12 +64,12 @@
     pub(super) fn new(cfg: &Config, clock: &Clock) -> Self {
         let incarnation: Incarnation = rand::rng().random();
         let admission = AdmissionConfig::for_slots(SLOTS_UNKNOWN);
-        let intents = IntentConfig::default().skew(SKEW).retention(RETENTION);
+        let intents = IdempotencyConfig::default().skew(SKEW).retention(RETENTION);
         Self {
             ledger: Ledger::new(incarnation, LedgerConfig::default()),
             admission: Admission::new(admission),
-            intents: IntentTable::new(clock.started_wall(), intents),
-            homes: HomeSets::new(cfg.upstream.clone(), SKEW, RETENTION),
+            intents: IdempotencyTable::new(clock.started_wall(), intents),
+            homes: HomeHistory::new(cfg.upstream.clone(), SKEW, RETENTION),
             noted: None,
             waiting: BTreeMap::new(),
             runs: BTreeMap::new(),
--- a/crates/daemon/src/call/wire.rs
+++ b/crates/daemon/src/call/wire.rs
@@ -12,8 +12,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    Answer, AttemptId, Class, Header, HomeAnswer, IntentKey, KeyText, Load, Refusal, SetId,
-    Settled, Ticket,
+    Answer, AttemptId, AttemptStatus, Class, Header, HomeAnswer, IdempotencyKey, KeyText, Load,
+    Refusal, Ticket, UpstreamSetId,
 };
 use stoatstep_resource::{CustomerName, ServiceName, UpstreamName, Version};
 
@@ -33,7 +33,7 @@
     /// Text of the idempotency key, only where it matters.
     pub(super) key: Option<SmolStr>,
     /// The set of upstreams under which the entry chose the key's home.
-    pub(super) set: SetId,
+    pub(super) set: UpstreamSetId,
     pub(super) weight: u32,
     pub(super) concurrency: Option<u32>,
     pub(super) request_id: SmolStr,
@@ -56,7 +56,7 @@
     pub(super) ticket: Ticket,
     pub(super) left: Duration,
     pub(super) method: Method,
-    pub(super) key: Option<IntentKey>,
+    pub(super) key: Option<IdempotencyKey>,
     /// Whether its claim row may have been written.
     pub(super) claimed: Cell<bool>,
     pub(super) call: Rc<WireCall>,
@@ -96,7 +96,7 @@
             .as_ref()
             .map(|text| KeyText::try_from(text.as_str()));
         let key = key.transpose().map_err(|_| WireError::Key)?;
-        let key = key.map(|key| IntentKey {
+        let key = key.map(|key| IdempotencyKey {
             service: call.service.clone(),
             tenant: call.tenant.clone(),
             key,
@@ -152,21 +152,21 @@
     Unknown,
 }
 
-impl From<Settled> for WireSettled {
-    fn from(settled: Settled) -> Self {
+impl From<AttemptStatus> for WireSettled {
+    fn from(settled: AttemptStatus) -> Self {
         match settled {
-            Settled::NeverSeen => Self::NeverSeen,
-            Settled::Queued => Self::Queued,
-            Settled::Running => Self::Running,
-            Settled::NotRun => Self::NotRun,
-            Settled::Done(answer) => Self::Done(answer),
-            Settled::DoneWithoutAnswer => Self::DoneWithoutAnswer,
-            Settled::Unknown => Self::Unknown,
+            AttemptStatus::NeverSeen => Self::NeverSeen,
+            AttemptStatus::Queued => Self::Queued,
+            AttemptStatus::Running => Self::Running,
+            AttemptStatus::NotRun => Self::NotRun,
+            AttemptStatus::Done(answer) => Self::Done(answer),
+            AttemptStatus::DoneWithoutAnswer => Self::DoneWithoutAnswer,
+            AttemptStatus::Unknown => Self::Unknown,
         }
     }
 }
 
-impl From<WireSettled> for Settled {
+impl From<WireSettled> for AttemptStatus {
     fn from(settled: WireSettled) -> Self {
         match settled {
             WireSettled::NeverSeen => Self::NeverSeen,
@@ -183,7 +183,7 @@
 /// `POST /peer/home`: a new home asks the previous one about a key.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct WireHome {
-    pub(super) key: IntentKey,
+    pub(super) key: IdempotencyKey,
     /// The new home.
     pub(super) asker: UpstreamName,
 }
--- a/crates/mesh/src/drain.rs
+++ b/crates/mesh/src/drain.rs
@@ -1,4 +1,4 @@
-//! Graceful stop of this daemon. [`Departure`](stoatstep_calls::Departure) decides what it still
+//! Graceful stop of this daemon. [`Shutdown`](stoatstep_calls::Shutdown) decides what it still
 //! accepts, and when it may end.
 
 use std::rc::Rc;
@@ -46,7 +46,7 @@
         let departure = node.departure.get();
         // An answer that is not yet written counts like an unanswered call.
         let unwritten = u32::from(!node.unwritten.is_empty());
-        departure.may_end(node.in_flight.get() + unwritten, node.clock.now())
+        departure.may_exit(node.in_flight.get() + unwritten, node.clock.now())
     };
     while !may_end() {
         tokio::time::sleep(POLL).await;
--- a/crates/mesh/src/entry/attempt.rs
+++ b/crates/mesh/src/entry/attempt.rs
@@ -73,7 +73,9 @@
     let mut guard = OutstandingGuard::new(node, call, upstream);
     let (outcome, occupancy) = attempt(node, call, upstream, place).await;
     guard.feedback = match feedback(&outcome) {
-        AttemptFeedback::Failed if !node.cfg.is_enabled(Mechanism::Ejection) => AttemptFeedback::Nothing,
+        AttemptFeedback::Failed if !node.cfg.is_enabled(Mechanism::Ejection) => {
+            AttemptFeedback::Nothing
+        }
         feedback => feedback,
     };
     guard.occupancy = occupancy;
--- a/crates/mesh/src/entry/call.rs
+++ b/crates/mesh/src/entry/call.rs
@@ -10,7 +10,7 @@
 use rand::RngExt;
 use smol_str::{SmolStr, ToSmolStr};
 use stoatstep_calls::{
-    CREDENTIAL, Deadline, Header, Reason, Refusal, ResolvedRoute, Time, is_of_connection,
+    AUTHORIZATION_HEADER, Deadline, Header, Reason, Refusal, ResolvedRoute, Time, is_hop_by_hop,
 };
 use stoatstep_http::{BodyError, read_body};
 use stoatstep_resource::{Quota, Version};
@@ -62,7 +62,7 @@
             return Err(Refusal::permanent(Reason::BadRequest));
         };
         let deadline = Deadline::after(effective_timeout(node, req, &route), now);
-        if !node.departure.get().takes(deadline.expires(), now) {
+        if !node.departure.get().accepts(deadline.expires(), now) {
             return Err(Refusal::retry(Reason::Draining, DRAINING_RETRY));
         }
         let caller = identity::identify(node, &in_force, &route, req.headers())?;
@@ -133,7 +133,7 @@
     let named = header_text(map, "connection").unwrap_or_default();
     let named = named.to_ascii_lowercase();
     let of_connection =
-        |name: &str| is_of_connection(name) || named.split(',').any(|it| it.trim() == name);
+        |name: &str| is_hop_by_hop(name) || named.split(',').any(|it| it.trim() == name);
     let header_names = &node.cfg.header_names;
     let own = [
         &header_names.request_id,
@@ -142,8 +142,9 @@
         &header_names.expected_upstream,
         &header_names.customer,
     ];
-    let is_set_by_daemon =
-        |name: &str| own.iter().any(|it| *it == name) || name == CREDENTIAL && !forwards_credential;
+    let is_set_by_daemon = |name: &str| {
+        own.iter().any(|it| *it == name) || name == AUTHORIZATION_HEADER && !forwards_credential
+    };
     let all = map.iter().map(|(name, value)| (name.as_str(), value));
     let forwarded = all.filter(|(name, _)| !of_connection(name) && !is_set_by_daemon(name));
     let header = forwarded.map(|(name, value)| Header {
--- a/crates/mesh/src/entry/mod.rs
+++ b/crates/mesh/src/entry/mod.rs
@@ -19,7 +19,7 @@
 use rand::SeedableRng;
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stoatstep_calls::{
-    Answers, Candidate, Outcome, Placement, Refusal, RetryBudget, Throttle, Ticket, Time,
+    AnswerStats, Candidate, Outcome, Placement, Refusal, RetryBudget, Throttle, Ticket, Time,
 };
 use stoatstep_http::drop_body;
 use stoatstep_resource::{RouteName, ServiceName};
@@ -47,7 +47,7 @@
     placement: Placement,
     budgets: BTreeMap<ServiceName, RetryBudget>,
     /// Sizes and run times of the answers of each route in use.
-    answers: HashMap<RouteName, Answers>,
+    answers: HashMap<RouteName, AnswerStats>,
     /// Recent failures and successes of each route in use.
     throttles: HashMap<RouteName, Throttle>,
     /// The newest ticket that each executor issued.
--- a/crates/mesh/src/entry/quota.rs
+++ b/crates/mesh/src/entry/quota.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Reason, Refusal, Taken};
+use stoatstep_calls::{Reason, Refusal, TokenDecision};
 use stoatstep_resource::CustomerName;
 
 use super::call::Call;
@@ -37,9 +37,9 @@
     };
     let customer = &identity.customer;
     let verdict = match node.quotas.take(customer, node.clock.now()) {
-        Taken::Token => TokenOutcome::Granted,
-        Taken::Refused(delay) => TokenOutcome::Refused(delay),
-        Taken::Ask => quota::wait(node, customer).await,
+        TokenDecision::Token => TokenOutcome::Granted,
+        TokenDecision::Refused(delay) => TokenOutcome::Refused(delay),
+        TokenDecision::Ask => quota::wait(node, customer).await,
     };
     match verdict {
         TokenOutcome::Granted => Ok(Charge(Some(customer.clone()))),
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -21,8 +21,8 @@
 use rand::RngExt;
 use slog::Logger;
 use stoatstep_calls::{
-    Answers, Arrival, AttemptId, Deadline, Incarnation, Ledger, LedgerConfig, Occupancy, Queue,
-    Reason, RecentAnswers, Refusal, Settled, Ticket, Uplink,
+    AnswerStats, Arrival, AttemptId, AttemptStatus, Deadline, Incarnation, Ledger, LedgerConfig,
+    Occupancy, Queue, Reason, RecentAnswers, Refusal, Ticket, Uplink,
 };
 use stoatstep_membership::{Announced, LocalTarget};
 use stoatstep_resource::{RouteName, ServiceName, UpstreamName};
@@ -79,7 +79,7 @@
     /// What the target's heartbeats and answers say about it.
     local_target: LocalTarget,
     /// Sizes and run times of the answers of each route that runs here.
-    answers: HashMap<RouteName, Answers>,
+    answers: HashMap<RouteName, AnswerStats>,
     /// How runs ended since the newest roll-out order of the target's service.
     tally: Tally,
     /// The last generation of the target whose process was seen to end.
@@ -243,7 +243,7 @@
     let is_right_target = present
         .is_some_and(|it| it.upstream == attempt.upstream && it.service == attempt.call.service);
     let expires = Deadline::after(attempt.left, now).expires();
-    if !is_right_target || !node.departure.get().takes(expires, now) {
+    if !is_right_target || !node.departure.get().accepts(expires, now) {
         let refusal = Refusal::retry(Reason::Draining, DRAINING_RETRY);
         return Err(End::Refused(refusal));
     }
@@ -261,7 +261,7 @@
     match tables.ledger.arrive(attempt.id, attempt.ticket, now) {
         Arrival::New => Ok(()),
         Arrival::Refused(refusal) => Err(End::Refused(refusal)),
-        Arrival::Seen(Settled::Done(answer)) => Err(End::Answered(answer)),
+        Arrival::Seen(AttemptStatus::Done(answer)) => Err(End::Answered(answer)),
         Arrival::Seen(_) => Err(lost_answer()),
     }
 }
@@ -307,7 +307,7 @@
 /// revoked; if it runs, its end is waited for.
 pub(crate) async fn settle(node: &Rc<Node>, attempt: AttemptId, ticket: Ticket) -> WireSettled {
     let settled = revoke(node, attempt, ticket);
-    if settled != Settled::Running {
+    if settled != AttemptStatus::Running {
         return settled.into();
     }
     let (tx, rx) = oneshot::channel();
@@ -327,12 +327,12 @@
     run.map(|run| run.waiters.push(waiter)).is_some()
 }
 
-fn revoke(node: &Node, attempt: AttemptId, ticket: Ticket) -> Settled {
+fn revoke(node: &Node, attempt: AttemptId, ticket: Ticket) -> AttemptStatus {
     let now = node.clock.now();
     let mut tables = node.executor.tables.borrow_mut();
     let settled = tables.ledger.revoke(attempt, ticket, now);
     drop(tables);
-    if settled == Settled::NotRun {
+    if settled == AttemptStatus::NotRun {
         // It may still occupy a place in the queue.
         cancel(node, attempt);
     }
--- a/crates/mesh/src/executor/process_exit.rs
+++ b/crates/mesh/src/executor/process_exit.rs
@@ -79,7 +79,7 @@
     let tables = node.executor.tables.borrow();
     let unanswered = fingerprints
         .iter()
-        .filter(|it| !tables.recent.has(**it, now));
+        .filter(|it| !tables.recent.contains(**it, now));
     unanswered.copied().collect()
 }
 
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Deadline, Outcome, Reason, Refusal, Settled};
+use stoatstep_calls::{AttemptStatus, Deadline, Outcome, Reason, Refusal};
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
@@ -109,7 +109,7 @@
     let now = node.clock.now();
     let tables = node.executor.tables.borrow();
     let settled = tables.ledger.peek(attempt.id, attempt.ticket, now);
-    let arrived = !matches!(settled, Settled::Queued | Settled::NotRun);
+    let arrived = !matches!(settled, AttemptStatus::Queued | AttemptStatus::NotRun);
     let reason = if arrived {
         Reason::LostAnswer
     } else {
@@ -240,7 +240,7 @@
         rollout_tally::record_run(&mut tables, attempt, outcome, now);
     }
     if is_success {
-        tables.recent.note(attempt.call.fingerprint(), now);
+        tables.recent.record(attempt.call.fingerprint(), now);
     }
     record_in_ledger(&mut tables, attempt, &outcome.end);
     let run = tables.runs.remove(&attempt.id);
@@ -253,7 +253,7 @@
 fn record_in_ledger(tables: &mut Tables, attempt: &Attempt, end: &End) {
     let ledger = &mut tables.ledger;
     match end {
-        End::Answered(answer) if answer.weight() <= MAX_KEPT_ANSWER => {
+        End::Answered(answer) if answer.memory_size() <= MAX_KEPT_ANSWER => {
             ledger.done(attempt.id, std::sync::Arc::clone(answer));
         }
         End::Answered(_) => ledger.done_without_answer(attempt.id),
--- a/crates/mesh/src/fleet_store.rs
+++ b/crates/mesh/src/fleet_store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_calls::{Fingerprint, KeptRequest};
+use stoatstep_calls::{Fingerprint, QuarantinedRequest};
 use stoatstep_membership::Announcement;
 use stoatstep_resource::{InstanceId, ServiceName, State};
 use stoatstep_rollout::{Order, OrderId, Software, Step, UnixTime};
@@ -103,7 +103,7 @@
     /// Instances that have announced themselves.
     pub members: Vec<Announcement>,
     /// Quarantined requests: those that were running when targets ended.
-    pub requests: Vec<KeptRequest>,
+    pub requests: Vec<QuarantinedRequest>,
 }
 
 /// Version of a row at the store; 0 if there is no row.
@@ -165,7 +165,7 @@
     /// Stores a request that is refused.
     fn store_request(
         &self,
-        request: &KeptRequest,
+        request: &QuarantinedRequest,
     ) -> impl Future<Output = Result<(), FleetStoreError>>;
 
     /// Deletes a stored request.
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -7,7 +7,8 @@
 use std::time::Duration;
 
 use stoatstep_calls::{
-    Finding, Fingerprint, KeptRequest, LIVES, Learned, Quarantine, Reason, Refusal, Time, life_mark,
+    CRASH_THRESHOLD, FindingEffect, Fingerprint, Quarantine, QuarantineFinding, QuarantinedRequest,
+    Reason, Refusal, Time, generation_hash,
 };
 use stoatstep_telemetry::fields;
 
@@ -41,8 +42,8 @@
 
 impl QuarantineState {
     /// Findings to send in the regular exchanges.
-    pub(crate) fn updates(&self, now: Time) -> Vec<Finding> {
-        self.known.borrow().news(now)
+    pub(crate) fn updates(&self, now: Time) -> Vec<QuarantineFinding> {
+        self.known.borrow().gossip(now)
     }
 
     /// Schedules the state of a request to be written to the store.
@@ -53,7 +54,7 @@
     /// Schedules all quarantined requests to be written to the store.
     pub(crate) fn schedule_store_all(&self, now: Time) {
         let held = self.known.borrow();
-        self.to_store.borrow_mut().extend(held.held(now));
+        self.to_store.borrow_mut().extend(held.quarantined(now));
     }
 
     /// Takes the next request whose state has to be written to the store.
@@ -66,7 +67,7 @@
         let mut known = self.known.borrow_mut();
         known.tick(now);
         let mut interrupted = self.interrupted.borrow_mut();
-        interrupted.retain(|it| known.lives(*it) > 0);
+        interrupted.retain(|it| known.crash_count(*it) > 0);
     }
 }
 
@@ -77,7 +78,7 @@
 pub(crate) fn refusal(node: &Node, call: &CallParts) -> Option<Refusal> {
     let content = tracked_fingerprint(node, call)?;
     let known = node.quarantine.known.borrow();
-    let left = known.holds(content, node.clock.now())?;
+    let left = known.refused_for(content, node.clock.now())?;
     Some(Refusal::retry(Reason::Quarantined, left))
 }
 
@@ -93,7 +94,7 @@
 /// together with all its copies.
 pub(crate) fn suspected(node: &Node, call: &CallParts) -> Option<Fingerprint> {
     let content = tracked_fingerprint(node, call)?;
-    let lives = node.quarantine.known.borrow().lives(content);
+    let lives = node.quarantine.known.borrow().crash_count(content);
     (lives > 0).then_some(content)
 }
 
@@ -108,8 +109,8 @@
 /// request that is sent ten times a second ends the remaining targets of its service.
 pub(crate) fn target_ended(node: &Rc<Node>, upstream: &str, requests: &[Fingerprint]) {
     let now = node.clock.now();
-    let lives = vec![life_mark(upstream)];
-    let ended = |request: &Fingerprint| Finding::Ended {
+    let lives = vec![generation_hash(upstream)];
+    let ended = |request: &Fingerprint| QuarantineFinding::Ended {
         request: *request,
         lives: lives.clone(),
         ago: Duration::ZERO,
@@ -130,19 +131,19 @@
 }
 
 /// The row of a request for the store; `None` if the request is not quarantined.
-pub(crate) fn stored(node: &Node, request: Fingerprint) -> Option<KeptRequest> {
+pub(crate) fn stored(node: &Node, request: Fingerprint) -> Option<QuarantinedRequest> {
     let known = node.quarantine.known.borrow();
-    known.kept(request, node.clock.now(), unix_time())
+    known.stored(request, node.clock.now(), unix_time())
 }
 
 /// Applies the requests held in the store as if they had come from a peer by `delivery`, and
 /// schedules expired ones for deletion.
-pub(crate) fn apply_stored(node: &Rc<Node>, requests: &[KeptRequest], delivery: Delivery) {
+pub(crate) fn apply_stored(node: &Rc<Node>, requests: &[QuarantinedRequest], delivery: Delivery) {
     let now = unix_time();
     let mut findings = Vec::new();
     for kept in requests {
         findings.push(kept.finding(now));
-        if kept.is_over(now, LIVES) {
+        if kept.is_expired(now, CRASH_THRESHOLD) {
             node.quarantine.schedule_store(kept.request);
         }
     }
@@ -159,15 +160,15 @@
         return;
     }
     let request = call.fingerprint();
-    let is_suspected = known.lives(request) > 0;
-    let is_near = known.is_near(request);
-    let is_held = known.holds(request, node.clock.now()).is_some();
+    let is_suspected = known.crash_count(request) > 0;
+    let is_near = known.is_near_threshold(request);
+    let is_held = known.refused_for(request, node.clock.now()).is_some();
     drop(known);
     if !is_suspected {
         return;
     }
     let ago = Duration::ZERO;
-    let finding = Finding::Answered { request, ago };
+    let finding = QuarantineFinding::Answered { request, ago };
     apply(node, &finding);
     if is_held {
         node.quarantine.schedule_store(request);
@@ -178,7 +179,7 @@
 }
 
 /// Applies findings of a peer, and forwards those that are new.
-pub(crate) fn apply_findings(node: &Rc<Node>, findings: &[Finding], delivery: Delivery) {
+pub(crate) fn apply_findings(node: &Rc<Node>, findings: &[QuarantineFinding], delivery: Delivery) {
     let new_findings = findings.iter().filter(|it| apply(node, it));
     let new_findings: Vec<_> = new_findings.cloned().collect();
     if delivery == Delivery::Direct && !new_findings.is_empty() {
@@ -187,16 +188,19 @@
 }
 
 /// Applies a finding, and returns whether it is new.
-fn apply(node: &Node, finding: &Finding) -> bool {
+fn apply(node: &Node, finding: &QuarantineFinding) -> bool {
     let now = node.clock.now();
     let mut known = node.quarantine.known.borrow_mut();
-    let learned = known.hear(finding, now);
-    let lives = known.lives(finding.request());
+    let learned = known.apply(finding, now);
+    let lives = known.crash_count(finding.request());
     drop(known);
     match learned {
-        Learned::Nothing | Learned::Cleared { was_held: false } => {}
-        Learned::Suspicion => node.journal.count("requests.suspected"),
-        Learned::Held(left) => {
+        FindingEffect::Nothing
+        | FindingEffect::Cleared {
+            was_quarantined: false,
+        } => {}
+        FindingEffect::Suspicion => node.journal.count("requests.suspected"),
+        FindingEffect::Quarantined(left) => {
             // Every daemon whose target ended writes the row: any of them may fail at any moment,
             // and the row is the same.
             if node
@@ -211,9 +215,11 @@
             slog::warn!(node.log, "request quarantined"; fields::CONTENT => %finding.request(),
                 fields::LIVES => lives, fields::FOR_MS => left.as_millis());
         }
-        Learned::Cleared { was_held: true } => {
+        FindingEffect::Cleared {
+            was_quarantined: true,
+        } => {
             slog::warn!(node.log, "quarantine lifted"; fields::CONTENT => %finding.request());
         }
     }
-    learned != Learned::Nothing
+    learned != FindingEffect::Nothing
 }
--- a/crates/mesh/src/quota.rs
+++ b/crates/mesh/src/quota.rs
@@ -1,5 +1,5 @@
 //! Enforcement of customers' quotas: an entry asks for tokens, and the home of a customer, a daemon
-//! chosen in each zone, grants them. The decisions are made by [`Purse`] and [`Bucket`].
+//! chosen in each zone, grants them. The decisions are made by [`TokenCache`] and [`TokenBucket`].
 
 mod home;
 
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Bucket, Grant, Purse, Share, Taken, Time};
+use stoatstep_calls::{QuotaShare, Time, TokenBucket, TokenCache, TokenDecision, TokenGrant};
 use stoatstep_resource::CustomerName;
 use tokio::sync::oneshot;
 
@@ -45,20 +45,20 @@
 
 /// The calls of one customer at this entry that wait for tokens, and the tokens in stock.
 struct CustomerQueue {
-    purse: Purse,
+    purse: TokenCache,
     waiting: VecDeque<oneshot::Sender<TokenOutcome>>,
     is_request_open: bool,
     /// Tokens that may be used while the home does not answer.
-    reserve: Bucket,
+    reserve: TokenBucket,
 }
 
 impl CustomerQueue {
     fn new(now: Time) -> Self {
         Self {
-            purse: Purse::default(),
+            purse: TokenCache::default(),
             waiting: VecDeque::new(),
             is_request_open: false,
-            reserve: Bucket::empty(now),
+            reserve: TokenBucket::empty(now),
         }
     }
 
@@ -72,7 +72,7 @@
                 tokens -= 1;
             }
         }
-        self.purse.keep(tokens, now);
+        self.purse.add(tokens, now);
     }
 
     fn finish_all(&mut self, outcome: TokenOutcome) {
@@ -84,7 +84,7 @@
 
 impl Quotas {
     /// Takes a token for a call of this customer.
-    pub(crate) fn take(&self, customer: &CustomerName, now: Time) -> Taken {
+    pub(crate) fn take(&self, customer: &CustomerName, now: Time) -> TokenDecision {
         let mut queues = self.queues.borrow_mut();
         let queue = queues.entry(customer.clone());
         queue
@@ -147,17 +147,19 @@
     queue.waiting.retain(|it| !it.is_closed());
     let waiting = u32::try_from(queue.waiting.len()).unwrap_or(u32::MAX);
     queue.is_request_open = waiting > 0;
-    queue.is_request_open.then(|| queue.purse.wanted(waiting))
+    queue
+        .is_request_open
+        .then(|| queue.purse.tokens_to_request(waiting))
 }
 
-async fn ask(node: &Node, addr: SocketAddr, ask: Ask) -> Option<Grant> {
+async fn ask(node: &Node, addr: SocketAddr, ask: Ask) -> Option<TokenGrant> {
     match node.links.ask_within(addr, ask, ANSWER_TIMEOUT).await {
-        Ok(Reply::Tokens(granted)) => granted.map(Grant::from),
+        Ok(Reply::Tokens(granted)) => granted.map(TokenGrant::from),
         Ok(_) | Err(_) => None,
     }
 }
 
-fn apply_grant(node: &Node, customer: &str, granted: Option<Grant>) {
+fn apply_grant(node: &Node, customer: &str, granted: Option<TokenGrant>) {
     let now = node.clock.now();
     let reserve = granted
         .is_none()
@@ -183,12 +185,12 @@
 }
 
 /// The share of the quota that this entry may use while the home does not answer.
-fn reserve_share(node: &Node, customer: &str) -> Option<Share> {
+fn reserve_share(node: &Node, customer: &str) -> Option<QuotaShare> {
     let in_force = node.fleet.in_force()?;
     let quota = in_force.keys.customer(customer)?.quota?;
     let entries = node.quotas.homes.members().max(1);
     let of = home::share_of_zone(node) * RESERVE_FRACTION / to_f64(entries);
-    Some(Share::new(quota, of))
+    Some(QuotaShare::new(quota, of))
 }
 
 /// Removes customers that have not called for a while.
--- a/crates/mesh/src/quota/home.rs
+++ b/crates/mesh/src/quota/home.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_calls::{Bucket, Grant, Share, Time};
+use stoatstep_calls::{QuotaShare, Time, TokenBucket, TokenGrant};
 use stoatstep_distribution::{first_of, seed_of};
 use stoatstep_membership::{Member, MemberKey};
 use stoatstep_resource::{CustomerName, Quota, ZoneName};
@@ -52,7 +52,7 @@
 
 /// Quota state of one customer.
 struct CustomerBucket {
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Earliest time of the next request to the other zones.
     next_borrow: Time,
 }
@@ -106,11 +106,11 @@
 }
 
 /// Grants tokens; `None` if this daemon is not the customer's home.
-pub(crate) fn grant(node: &Rc<Node>, customer: &CustomerName, wanted: u32) -> Option<Grant> {
+pub(crate) fn grant(node: &Rc<Node>, customer: &CustomerName, wanted: u32) -> Option<TokenGrant> {
     let (share, quota) = own_share(node, customer)?;
     let Some(quota) = quota else {
         // The limit was removed, and the entry will learn of it shortly.
-        return Some(Grant {
+        return Some(TokenGrant {
             tokens: wanted,
             retry_after: None,
         });
@@ -130,19 +130,19 @@
 }
 
 /// Grants tokens to the home of another zone.
-pub(crate) fn lend(node: &Node, customer: &CustomerName, wanted: u32) -> Option<Grant> {
+pub(crate) fn lend(node: &Node, customer: &CustomerName, wanted: u32) -> Option<TokenGrant> {
     let (share, quota) = own_share(node, customer)?;
     quota?;
     let now = node.clock.now();
     let tokens = with_bucket(node, customer, |it| it.bucket.lend(wanted, share, now));
-    Some(Grant {
+    Some(TokenGrant {
         tokens,
         retry_after: None,
     })
 }
 
 /// The share that this daemon may grant as the customer's home, and the whole quota.
-fn own_share(node: &Node, customer: &str) -> Option<(Share, Option<Quota>)> {
+fn own_share(node: &Node, customer: &str) -> Option<(QuotaShare, Option<Quota>)> {
     if location_of(node, customer) != Some(Location::Here) {
         return None;
     }
@@ -152,7 +152,7 @@
         per_minute: 0,
         burst: 0,
     };
-    let share = Share::new(quota.unwrap_or(no_quota), share_of_zone(node));
+    let share = QuotaShare::new(quota.unwrap_or(no_quota), share_of_zone(node));
     Some((share, quota))
 }
 
@@ -178,13 +178,13 @@
     let bucket = buckets
         .entry(customer.clone())
         .or_insert_with(|| CustomerBucket {
-            bucket: Bucket::empty(homes.changed_at.get()),
+            bucket: TokenBucket::empty(homes.changed_at.get()),
             next_borrow: Time::ZERO,
         });
     act(bucket)
 }
 
-fn log_shortage(node: &Node, customer: &str, (wanted, granted): (u32, Grant), quota: Quota) {
+fn log_shortage(node: &Node, customer: &str, (wanted, granted): (u32, TokenGrant), quota: Quota) {
     node.journal.count("quota.short");
     if let Some(left_out) = node.journal.admits("quota", node.clock.now()) {
         slog::info!(node.log, "quota used up"; fields::CUSTOMER => customer,
@@ -194,7 +194,7 @@
 }
 
 /// Asks the customer's homes in the other zones for unused tokens.
-fn borrow(node: &Rc<Node>, customer: &CustomerName, share: Share) {
+fn borrow(node: &Rc<Node>, customer: &CustomerName, share: QuotaShare) {
     let now = node.clock.now();
     let is_due = with_bucket(node, customer, |it| {
         let is_due = now >= it.next_borrow;
@@ -207,7 +207,7 @@
         return;
     }
     let tokens_ahead = share.per_second * BORROW_PERIOD.as_secs_f64();
-    let wanted = Share::whole(tokens_ahead).max(1);
+    let wanted = QuotaShare::whole_tokens(tokens_ahead).max(1);
     for addr in homes_in_other_zones(node, customer) {
         let (node, customer) = (Rc::clone(node), customer.clone());
         ntex::rt::spawn(async move {
@@ -218,7 +218,7 @@
             let now = node.clock.now();
             let mut buckets = node.quotas.homes.buckets.borrow_mut();
             if let Some(held) = buckets.get_mut(&customer) {
-                held.bucket.borrowed(lent.tokens, now);
+                held.bucket.add_borrowed(lent.tokens, now);
             }
         });
     }
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -9,7 +9,8 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    Answer, AttemptId, Finding, Fingerprint, Grant, Header, Occupancy, Refusal, Settled, Ticket,
+    Answer, AttemptId, AttemptStatus, Fingerprint, Header, Occupancy, QuarantineFinding, Refusal,
+    Ticket, TokenGrant,
 };
 use stoatstep_membership::{GossipReply, GossipRequest, Mark, MemberKey};
 use stoatstep_resource::wire::{DifferenceWire, SnapshotWire};
@@ -58,7 +59,7 @@
     Rollout(Progress),
     /// Reports findings about requests under which targets end; answered like a ping.
     #[serde(rename = "q")]
-    Findings(Vec<Finding>),
+    Findings(Vec<QuarantineFinding>),
     /// Asks for the receiver's evidence about its target since the order.
     #[serde(rename = "e")]
     Evidence(ServiceName, OrderId),
@@ -143,7 +144,7 @@
     /// Progress of the active roll-outs.
     pub(crate) rollouts: Vec<Progress>,
     /// Findings about requests under which targets end.
-    pub(crate) findings: Vec<Finding>,
+    pub(crate) findings: Vec<QuarantineFinding>,
 }
 
 /// Confirmation that a configuration was the store's newest.
@@ -154,15 +155,15 @@
     pub(crate) age: Duration,
 }
 
-/// Wire form of [`Grant`].
+/// Wire form of [`TokenGrant`].
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub(crate) struct GrantWire {
     tokens: u32,
     retry_after: Option<Duration>,
 }
 
-impl From<Grant> for GrantWire {
-    fn from(grant: Grant) -> Self {
+impl From<TokenGrant> for GrantWire {
+    fn from(grant: TokenGrant) -> Self {
         Self {
             tokens: grant.tokens,
             retry_after: grant.retry_after,
@@ -170,7 +171,7 @@
     }
 }
 
-impl From<GrantWire> for Grant {
+impl From<GrantWire> for TokenGrant {
     fn from(wire: GrantWire) -> Self {
         Self {
             tokens: wire.tokens,
@@ -290,7 +291,7 @@
     }
 }
 
-/// Wire form of [`Settled`]. States that the executor does not report are left out: it waits until
+/// Wire form of [`AttemptStatus`]. States that the executor does not report are left out: it waits until
 /// the attempt has ended.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum WireSettled {
@@ -305,16 +306,16 @@
     Unknown,
 }
 
-impl From<Settled> for WireSettled {
-    fn from(settled: Settled) -> Self {
+impl From<AttemptStatus> for WireSettled {
+    fn from(settled: AttemptStatus) -> Self {
         match settled {
-            Settled::NotRun => Self::NotRun,
-            Settled::Done(answer) => Self::Done(answer),
-            Settled::NeverSeen
-            | Settled::Queued
-            | Settled::Running
-            | Settled::DoneWithoutAnswer
-            | Settled::Unknown => Self::Unknown,
+            AttemptStatus::NotRun => Self::NotRun,
+            AttemptStatus::Done(answer) => Self::Done(answer),
+            AttemptStatus::NeverSeen
+            | AttemptStatus::Queued
+            | AttemptStatus::Running
+            | AttemptStatus::DoneWithoutAnswer
+            | AttemptStatus::Unknown => Self::Unknown,
         }
     }
 }
--- a/crates/scenario/src/daemon/calls.rs
+++ b/crates/scenario/src/daemon/calls.rs
@@ -9,8 +9,8 @@
 use smol_str::SmolStr;
 use stoatstep_calls::{
     Admission, AdmissionConfig, Answer, AttemptId, Candidate, CandidateState, Dispatch, Drain,
-    DrainStep, HomeSets, Incarnation, IntentConfig, IntentTable, Ledger, LedgerConfig, Reason,
-    Refusal, RetryBudget, Router, Ticket,
+    DrainStep, HomeHistory, IdempotencyConfig, IdempotencyTable, Incarnation, Ledger, LedgerConfig,
+    Reason, Refusal, RetryBudget, Router, Ticket,
 };
 use stoatstep_membership::{MemberState, Time};
 use stoatstep_platform::TableRevision;
@@ -48,8 +48,8 @@
     pub(super) tickets: BTreeMap<Index, Ticket>,
     pub(super) ledger: Ledger,
     pub(super) admission: Admission,
-    pub(super) intents: IntentTable,
-    pub(super) homes: HomeSets,
+    pub(super) intents: IdempotencyTable,
+    pub(super) homes: HomeHistory,
     pub(super) noted: Option<Version>,
     pub(super) waiting: BTreeMap<AttemptId, Sender<Result<(), Refusal>>>,
     pub(super) runs: BTreeMap<AttemptId, Run>,
@@ -70,7 +70,7 @@
     ) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
         let incarnation: Incarnation = rng.random();
-        let intents = IntentConfig::default().skew(SKEW).retention(RETENTION);
+        let intents = IdempotencyConfig::default().skew(SKEW).retention(RETENTION);
         let has_authority_from = if world.is_without(Safeguard::RestartAuthority) {
             Time::ZERO
         } else {
@@ -83,8 +83,8 @@
             tickets: BTreeMap::new(),
             ledger: Ledger::new(incarnation, LedgerConfig::default()),
             admission: Admission::new(AdmissionConfig::for_slots(1)),
-            intents: IntentTable::new(has_authority_from, intents),
-            homes: HomeSets::new(upstream.clone(), SKEW, RETENTION),
+            intents: IdempotencyTable::new(has_authority_from, intents),
+            homes: HomeHistory::new(upstream.clone(), SKEW, RETENTION),
             noted: None,
             waiting: BTreeMap::new(),
             runs: BTreeMap::new(),
@@ -210,7 +210,9 @@
     let wall = node.wall();
     let calls = &mut *node.calls.borrow_mut();
     for (service, names) in sets(&state) {
-        calls.homes.note(&service, names, version, follows, wall);
+        calls
+            .homes
+            .apply_set(&service, names, version, follows, wall);
     }
     calls.noted = Some(version);
     if let Some(upstream) = upstream(&state, &node.upstream) {
--- a/crates/scenario/src/daemon/entry.rs
+++ b/crates/scenario/src/daemon/entry.rs
@@ -5,8 +5,9 @@
 
 use smol_str::SmolStr;
 use stoatstep_calls::{
-    AttemptId, Backoff, Class, Deadline, IntentKey, KeyText, Load, Outcome, Reason, Refusal,
-    RefusedAttempts, Report, SetId, Ticket, UnansweredOutcome, home_of, may_retry, set_id,
+    AttemptId, Backoff, Class, Deadline, IdempotencyKey, KeyText, Load, Outcome, Reason, Refusal,
+    RefusedAttempts, Report, Ticket, UnansweredOutcome, UpstreamSetId, home_of, may_retry,
+    upstream_set_id,
 };
 use stoatstep_membership::Time;
 use stoatstep_resource::{CustomerName, Kind, Resource, ServiceName, State, UpstreamName};
@@ -44,8 +45,8 @@
 pub(super) struct Carried {
     pub(super) call: Call,
     pub(super) service: ServiceName,
-    pub(super) key: Option<IntentKey>,
-    pub(super) set: SetId,
+    pub(super) key: Option<IdempotencyKey>,
+    pub(super) set: UpstreamSetId,
     names: BTreeSet<UpstreamName>,
     pub(super) deadline: Deadline,
 }
@@ -82,12 +83,12 @@
     let names = set_of(&state, &service);
     let carried = Rc::new(Carried {
         deadline: Deadline::after(call.left, node.now()),
-        key: call.key.clone().map(|key| IntentKey {
+        key: call.key.clone().map(|key| IdempotencyKey {
             service: service.clone(),
             tenant: call.tenant.clone(),
             key,
         }),
-        set: set_id(&names),
+        set: upstream_set_id(&names),
         names,
         service,
         call,
--- a/crates/scenario/src/daemon/handover.rs
+++ b/crates/scenario/src/daemon/handover.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use smol_str::{SmolStr, format_smolstr};
-use stoatstep_calls::{Incarnation, IntentMemory, KnownMembers};
+use stoatstep_calls::{IdempotencySnapshot, Incarnation, KnownMembers};
 use stoatstep_membership::Time;
 use stoatstep_platform::{
     CommitAnswer, CommitRequest, Condition, Platform, PlatformError, ReadRequest, TableRevision,
@@ -20,7 +20,7 @@
 type HomeRow = (Incarnation, bool);
 
 /// Whose memory it is, and the memory.
-type MemoryObject = (Incarnation, IntentMemory, KnownMembers);
+type MemoryObject = (Incarnation, IdempotencySnapshot, KnownMembers);
 
 /// Takes the row, and with it the predecessor's memory.
 pub(super) async fn take(node: Rc<Node>) {
@@ -82,8 +82,11 @@
 fn memory(node: &Node) -> Option<(TableRevision, MemoryObject)> {
     let birth = birth(node);
     let calls = node.calls.borrow();
-    let memory = calls.intents.memory()?;
-    Some((calls.home_row?, (birth, memory, calls.homes.known())))
+    let memory = calls.intents.snapshot()?;
+    Some((
+        calls.home_row?,
+        (birth, memory, calls.homes.known_members()),
+    ))
 }
 
 async fn resume(node: &Node, birth: Incarnation) {
@@ -102,8 +105,8 @@
         return;
     };
     let calls = &mut *node.calls.borrow_mut();
-    calls.homes.resume(members);
-    calls.intents.resume(memory);
+    calls.homes.restore(members);
+    calls.intents.restore(memory);
 }
 
 async fn write(
--- a/crates/spec/src/intent/home.rs
+++ b/crates/spec/src/intent/home.rs
@@ -4,8 +4,9 @@
 use std::sync::Arc;
 
 use stoatstep_calls::{
-    Answer, AttemptId, Begin, Fingerprint, Handover, Home, HomeAnswer, HomeSets, IntentConfig,
-    IntentKey, IntentTable, SetId, Wall, set_id,
+    Answer, AttemptId, Fingerprint, HomeAnswer, HomeCheck, HomeHistory, HomeQuery,
+    IdempotencyConfig, IdempotencyKey, IdempotencyTable, KeyDecision, UpstreamSetId, WallTime,
+    upstream_set_id,
 };
 use stoatstep_resource::{UpstreamName, Version};
 
@@ -19,9 +20,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
     /// Previous homes are to be asked, one after the other.
-    Asks(Vec<Handover>),
+    Asks(Vec<HomeQuery>),
     /// An answer to the last question is on its way.
-    Hears(Vec<Handover>, Version, HomeAnswer),
+    Hears(Vec<HomeQuery>, Version, HomeAnswer),
     /// The key is taken, and the attempt waits for a slot.
     Waits,
     /// The target has it.
@@ -30,14 +31,14 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Taken {
-    set: SetId,
+    set: UpstreamSetId,
     pub(super) phase: Phase,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Executor {
-    table: IntentTable,
-    homes: HomeSets,
+    table: IdempotencyTable,
+    homes: HomeHistory,
     pub(super) version: u8,
     pub(super) taken: BTreeMap<AttemptId, Taken>,
 }
@@ -45,13 +46,13 @@
 impl Executor {
     pub(super) fn new(
         number: usize,
-        started: Wall,
+        started: WallTime,
         version: u8,
         set: BTreeSet<UpstreamName>,
         safeguards: Safeguards,
     ) -> Self {
         let me = UPSTREAMS[number].into();
-        let homes = HomeSets::new(me, ticks(SKEW), ticks(RETENTION));
+        let homes = HomeHistory::new(me, ticks(SKEW), ticks(RETENTION));
         let mut executor = Self {
             table: table(started, safeguards),
             homes,
@@ -66,15 +67,15 @@
     pub(super) fn successor(
         &self,
         number: usize,
-        now: Wall,
+        now: WallTime,
         set: BTreeSet<UpstreamName>,
         safeguards: Safeguards,
     ) -> Self {
         let mut next = Self::new(number, now, self.version, set, safeguards);
-        if let Some(memory) = self.table.memory() {
-            next.table.resume(memory);
+        if let Some(memory) = self.table.snapshot() {
+            next.table.restore(memory);
             if safeguards.has(Safeguard::MembersHandedOver) {
-                next.homes.resume(self.homes.known());
+                next.homes.restore(self.homes.known_members());
             }
         }
         next
@@ -85,51 +86,52 @@
         version: u8,
         set: BTreeSet<UpstreamName>,
         follows: bool,
-        now: Wall,
+        now: WallTime,
     ) {
         self.version = version;
         let service = "floatdesk".into();
-        self.homes.note(&service, set, version.into(), follows, now);
+        self.homes
+            .apply_set(&service, set, version.into(), follows, now);
     }
 
     pub(super) fn arrive(
         &mut self,
-        key: &IntentKey,
+        key: &IdempotencyKey,
         id: AttemptId,
         set: &BTreeSet<UpstreamName>,
-        now: Wall,
+        now: WallTime,
         safeguards: Safeguards,
     ) {
-        if self.table.recall(key, REQUEST).is_some() {
+        if self.table.lookup(key, REQUEST).is_some() {
             return;
         }
-        let mut set = set_id(set);
+        let mut set = upstream_set_id(set);
         if !safeguards.has(Safeguard::SetIdCheck) {
             set = self.homes.current_id(&key.service).unwrap_or(set);
         }
         match self.homes.check(key, set) {
-            Home::Mine => self.begin(key, id, set, now, safeguards),
-            Home::Ask(_) if !safeguards.has(Safeguard::HomeConfirm) => {
+            HomeCheck::Mine => self.begin(key, id, set, now, safeguards),
+            HomeCheck::Ask(_) if !safeguards.has(Safeguard::HomeConfirm) => {
                 self.begin(key, id, set, now, safeguards);
             }
-            Home::Ask(questions) => {
+            HomeCheck::Ask(questions) => {
                 let phase = Phase::Asks(questions);
                 self.taken.insert(id, Taken { set, phase });
             }
-            Home::Unsettled | Home::StaleConfig | Home::NotMine => {}
+            HomeCheck::Unsettled | HomeCheck::StaleConfig | HomeCheck::NotMine => {}
         }
     }
 
     fn begin(
         &mut self,
-        key: &IntentKey,
+        key: &IdempotencyKey,
         id: AttemptId,
-        set: SetId,
-        now: Wall,
+        set: UpstreamSetId,
+        now: WallTime,
         safeguards: Safeguards,
     ) {
         let now = judged(key, now, safeguards);
-        if self.table.begin(key, REQUEST, id, now) == Begin::Run {
+        if self.table.begin(key, REQUEST, id, now) == KeyDecision::Run {
             let phase = Phase::Waits;
             self.taken.insert(id, Taken { set, phase });
         }
@@ -138,7 +140,7 @@
     /// What this executor says to a new home.
     pub(super) fn answer(
         &self,
-        key: &IntentKey,
+        key: &IdempotencyKey,
         asker: &UpstreamName,
         safeguards: Safeguards,
     ) -> (Version, HomeAnswer) {
@@ -146,15 +148,15 @@
         if checks && !self.homes.is_home(key, asker) {
             return (0, HomeAnswer::Running);
         }
-        (self.version.into(), self.table.hand_over(key))
+        (self.version.into(), self.table.status_for_new_home(key))
     }
 
     /// The answer of a previous home came in.
     pub(super) fn hear(
         &mut self,
-        key: &IntentKey,
+        key: &IdempotencyKey,
         id: AttemptId,
-        now: Wall,
+        now: WallTime,
         safeguards: Safeguards,
     ) {
         let Some(Taken { set, phase }) = self.taken.remove(&id) else {
@@ -185,11 +187,12 @@
     }
 
     /// The previous home that this attempt asks for is gone for good.
-    pub(super) fn note_gone(&mut self, id: AttemptId, now: Wall) {
+    pub(super) fn note_gone(&mut self, id: AttemptId, now: WallTime) {
         let taken = self.taken.remove(&id);
         if let Some(Phase::Asks(questions)) = taken.map(|it| it.phase) {
             for question in questions {
-                self.homes.gone(&question.upstream, question.version, now);
+                self.homes
+                    .mark_deleted(&question.upstream, question.version, now);
             }
         }
     }
@@ -205,12 +208,12 @@
         }
     }
 
-    pub(super) fn refuse(&mut self, key: &IntentKey, id: AttemptId) {
+    pub(super) fn refuse(&mut self, key: &IdempotencyKey, id: AttemptId) {
         self.taken.remove(&id);
         self.table.release(key, id);
     }
 
-    pub(super) fn finish(&mut self, key: &IntentKey, id: AttemptId) {
+    pub(super) fn finish(&mut self, key: &IdempotencyKey, id: AttemptId) {
         self.taken.remove(&id);
         let answer = Answer {
             status: 201,
@@ -220,7 +223,7 @@
         self.table.done(key, id, Arc::new(answer));
     }
 
-    pub(super) fn lose(&mut self, key: &IntentKey, id: AttemptId, safeguards: Safeguards) {
+    pub(super) fn lose(&mut self, key: &IdempotencyKey, id: AttemptId, safeguards: Safeguards) {
         self.taken.remove(&id);
         if safeguards.has(Safeguard::LostKeyKept) {
             self.table.lost(key, id);
@@ -229,28 +232,28 @@
         }
     }
 
-    pub(super) fn clean(&mut self, now: Wall) {
+    pub(super) fn clean(&mut self, now: WallTime) {
         self.table.tick(now);
         self.homes.tick(now);
     }
 }
 
-fn table(started: Wall, safeguards: Safeguards) -> IntentTable {
-    let cfg = IntentConfig::default()
+fn table(started: WallTime, safeguards: Safeguards) -> IdempotencyTable {
+    let cfg = IdempotencyConfig::default()
         .skew(ticks(SKEW))
         .retention(ticks(RETENTION));
     let mut authority_from = started;
     if !safeguards.has(Safeguard::AuthoritySince) {
-        authority_from = Wall::ZERO;
+        authority_from = WallTime::ZERO;
     }
     if !safeguards.has(Safeguard::SkewMargin) {
         authority_from = started.saturating_sub(ticks(SKEW));
     }
-    IntentTable::new(authority_from, cfg)
+    IdempotencyTable::new(authority_from, cfg)
 }
 
 /// The time as a table sees it that lacks one of its checks.
-fn judged(key: &IntentKey, now: Wall, safeguards: Safeguards) -> Wall {
+fn judged(key: &IdempotencyKey, now: WallTime, safeguards: Safeguards) -> WallTime {
     let created = key.key.created().unwrap_or(now);
     if !safeguards.has(Safeguard::FutureKeyCheck) {
         return now.max(created);
