--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -1,4 +1,4 @@
-//! What goes into the state machine and what it wants done.
+//! Inputs of the membership state machine and the actions it requests.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,10 +8,10 @@
 use crate::member::{Announced, Incarnation, MemberKey};
 use crate::wire::{Exchange, Mark, Row, ZoneDigest};
 
-/// Something that happened.
+/// An event that the state machine processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// Time went on. Expected about four times a second.
+    /// Time has passed. Expected about four times a second.
     Tick,
     /// A peer answered an [`Action::Exchange`].
     Replied {
@@ -25,100 +25,106 @@
         /// The peer.
         peer: MemberKey,
     },
-    /// A helper's answer to an [`Action::AskHelper`], or that there was none.
+    /// The result of an [`Action::AskHelper`], or its timeout.
     Helped {
-        /// The member that the helper was to probe.
+        /// The member that the peer was asked to probe.
         target: MemberKey,
-        /// Whether the helper reached it.
+        /// Whether the peer reached it.
         reached: bool,
     },
-    /// A peer's answer to an [`Action::PullTable`].
+    /// A peer answered an [`Action::PullTable`].
     TablePulled {
-        /// The rows of the zones that differed.
+        /// The rows of the zones whose digests differed.
         rows: Vec<Row>,
     },
-    /// Announcement rows read from the platform.
+    /// Announcement rows were read from the platform.
     Announced {
         /// Rows of the roster.
         rows: Vec<Row>,
     },
-    /// This daemon begins a graceful stop.
+    /// This daemon begins a graceful shutdown.
     Leave,
-    /// This daemon holds another configuration.
+    /// This daemon switched to another configuration.
     Holds(Mark),
     /// This daemon read the platform's head.
     HeadRead,
-    /// The target beside this daemon announced something else than before.
+    /// The local target's announcement changed.
     TargetAnnounced(Option<Announced>),
 }
 
-/// Something that the machine wants done.
+/// Work that the state machine requests from its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send this message and feed back the answer or its absence.
+    /// Send this message and feed back the reply as [`Input::Replied`], or its
+    /// absence as [`Input::Unreached`].
     Exchange {
         /// The peer.
         peer: MemberKey,
-        /// Where it listens.
+        /// Address on which the peer listens.
         addr: SocketAddr,
-        /// What to say.
+        /// The message to send.
         message: Exchange,
     },
-    /// Ask a peer to probe a member, and feed back what it says.
+    /// Ask a peer to probe a member on this daemon's behalf, and feed back the
+    /// result as [`Input::Helped`].
     AskHelper {
-        /// Where the helper listens.
+        /// Address on which the peer listens.
         addr: SocketAddr,
         /// The member that missed a probe.
         target: MemberKey,
     },
     /// Ask a peer for its rows of the zones whose digests differ.
     PullTable {
-        /// Where the peer listens.
+        /// Address on which the peer listens.
         addr: SocketAddr,
-        /// Digests of this table.
+        /// Digests of this daemon's table.
         zones: Vec<ZoneDigest>,
     },
-    /// A peer said what configuration it holds.
+    /// A peer reported which configuration it holds.
     PeerHolds {
         /// The peer.
         peer: MemberKey,
-        /// Where it listens.
+        /// Address on which the peer listens.
         addr: SocketAddr,
-        /// What it holds.
+        /// The configuration that the peer holds.
         mark: Mark,
-        /// Highest version that it saw this instance report.
+        /// Highest version that the peer has seen this instance report.
         floor: u64,
-        /// Whether it said so in answer to this daemon. A request may have
-        /// waited in a socket while the process was frozen, and tell of then.
+        /// Whether the report came in a reply to this daemon. A request may have
+        /// waited in a socket while this process was frozen, and be out of date.
         answered: bool,
     },
     /// A member joined, changed state or moved: routing tables may be stale.
     Changed(MemberKey),
-    /// A member of the own zone was dead for long and is forgotten. Nobody else
-    /// takes away what it left behind, such as its announcement row.
+    /// A member of this daemon's zone was dead for [`Config::forget_after`] and was
+    /// removed from the table. Only daemons of its own zone clean up what it left
+    /// behind, such as its announcement row.
+    ///
+    /// [`Config::forget_after`]: crate::Config::forget_after
     Forgotten {
         /// Id of the instance.
         instance: SmolStr,
         /// Its last incarnation.
         incarnation: Incarnation,
     },
-    /// Probes to this zone began or ceased to succeed. Local knowledge only.
+    /// Probes to this zone started to succeed or to fail. This is local knowledge
+    /// and is not gossiped.
     ZoneReachable {
         /// The zone.
         zone: SmolStr,
-        /// Whether it can be reached from here.
+        /// Whether the zone is reachable from this daemon.
         reachable: bool,
     },
-    /// The process was frozen: queues, views and leases are stale.
+    /// The process was frozen: its queues, views and leases are stale.
     Woke {
-        /// How long it was frozen.
+        /// How long the process was frozen.
         gap: Duration,
     },
-    /// A peer remembers that this life of the target beside this daemon drains.
+    /// A peer remembers that this generation of the local target is draining.
     TargetDrained(SmolStr),
-    /// A newer process runs under this instance's id: this one must stop.
+    /// A newer process runs under this instance's id, so this process must stop.
     Superseded {
-        /// The other one's birth.
+        /// Starting incarnation of the newer process.
         birth: Incarnation,
     },
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Settings of [`crate::Membership`]. The defaults are those of the daemon.
+/// Settings of [`crate::Membership`]. The daemon runs with the defaults.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Config {
     pub(crate) probe_interval: Duration,
@@ -33,71 +33,72 @@
 }
 
 impl Config {
-    /// Time between two probes. Default 1 s. Longer saves bytes at rest and
-    /// finds failures later, both in proportion.
+    /// Sets the time between two probes. Default 1 s. Idle traffic is inversely
+    /// proportional to it, and the time to detect a failure is proportional to it.
     #[must_use]
     pub fn probe_interval(mut self, interval: Duration) -> Self {
         self.probe_interval = interval;
         self
     }
 
-    /// Every which probe goes to another zone. Default 4. A smaller number
-    /// spreads news between zones faster and probes own-zone peers less often.
+    /// Sends every n-th probe to another zone. Default 4. A smaller number
+    /// spreads updates between zones faster and probes own-zone peers less often.
     #[must_use]
     pub fn other_zone_every(mut self, every: u32) -> Self {
         self.other_zone_every = every.max(1);
         self
     }
 
-    /// Peers that are asked to probe a member that missed one. Default 3. More
-    /// of them make a false suspicion less likely.
+    /// Sets how many peers are asked for an indirect probe of a member that missed
+    /// a probe. Default 3. More of them make a false suspicion less likely.
     #[must_use]
     pub fn helpers(mut self, helpers: usize) -> Self {
         self.helpers = helpers;
         self
     }
 
-    /// Time that a suspect has to refute. Default 5 s.
+    /// Sets the time that a suspect has to refute the suspicion. Default 5 s.
     #[must_use]
     pub fn suspect_timeout(mut self, timeout: Duration) -> Self {
         self.suspect_timeout = timeout;
         self
     }
 
-    /// Time for which the dead stay in the table. Default 600 s. Their
-    /// addresses are probed now and then until it ends.
+    /// Sets the time for which dead members stay in the table. Default 600 s.
+    /// Their addresses are still probed occasionally until it ends.
     #[must_use]
     pub fn forget_after(mut self, after: Duration) -> Self {
         self.forget_after = after;
         self
     }
 
-    /// First interval between probes of a dead member's address; it doubles up
-    /// to a minute. Default 5 s.
+    /// Sets the first interval between probes of a dead member's address, which
+    /// doubles up to a minute. Default 5 s.
     #[must_use]
     pub fn dead_probe_interval(mut self, interval: Duration) -> Self {
         self.dead_probe_interval = interval;
         self
     }
 
-    /// Gap between two ticks from which the process counts as frozen. Default
-    /// 3 s, well above a tick's usual delay and below the suspect timeout.
+    /// Sets the gap between two ticks from which the process counts as frozen.
+    /// Default 3 s, well above a tick's usual delay and below the suspect timeout.
     #[must_use]
     pub fn freeze_bound(mut self, bound: Duration) -> Self {
         self.freeze_bound = bound;
         self
     }
 
-    /// Shortest time between two pulls of a peer's table. Default 5 s. It
-    /// bounds what lasting disagreement can cost.
+    /// Sets the shortest time between two pulls of a peer's table. Default 5 s.
+    /// It bounds the traffic that tables cause which never come to agree.
     #[must_use]
     pub fn pull_interval(mut self, interval: Duration) -> Self {
         self.pull_interval = interval;
         self
     }
 
-    /// Peers that fresh news is sent to at each of its first ticks, besides the
-    /// regular probes. Default 3. Zero leaves all news to the probes.
+    /// Sets how many peers a fresh update is sent to on each of its first ticks,
+    /// in addition to the regular probes. Default 3. With zero, updates travel on
+    /// probes only.
     #[must_use]
     pub fn eager_peers(mut self, peers: usize) -> Self {
         self.eager_peers = peers;
--- a/crates/membership/src/guard.rs
+++ b/crates/membership/src/guard.rs
@@ -1,4 +1,4 @@
-//! Telling "they are gone" from "I am cut off".
+//! Distinguishes failed peers from a failure of this daemon's own network.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,13 +7,14 @@
 
 use crate::member::{MemberKey, Time};
 
-/// Outcomes older than this say nothing about now.
+/// Age after which a probe's outcome is discarded.
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Failures at distinct own-zone peers below which nothing is concluded.
+/// Number of own-zone peers that must have failed before this daemon can count as
+/// isolated.
 const MIN_FAILED: usize = 3;
 
-/// Failures in a row at distinct members from which a zone is unreachable.
+/// Consecutive failures from which a zone counts as unreachable.
 const ZONE_FAILURES: u32 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,14 +25,14 @@
     reached: bool,
 }
 
-/// Watches this daemon's own probes.
+/// Tracks the outcomes of this daemon's own probes to detect that it is isolated.
 ///
-/// Without it a daemon that loses its network declares its whole zone dead,
-/// and spreads that word the moment it is back: every table drains at once.
-/// A daemon whose own-zone probes mostly fail while no other zone answers is
-/// itself the common cause, so it keeps quiet. What remains is a zone that
-/// really lost most of its members and all links to other zones: its dead stay
-/// in the tables as unreached, which costs retries but drains nothing.
+/// Without this check, a daemon that loses its network declares its whole zone
+/// dead and spreads that as soon as it reconnects, which empties every table. If
+/// most own-zone probes fail while no other zone answers, the common cause is this
+/// daemon, so it declares nobody suspect or dead. The same outcomes arise when a
+/// zone really lost most of its members and all links to other zones: its dead
+/// members then stay in the tables as unreached, which costs retries only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Guard {
     outcomes: VecDeque<Outcome>,
@@ -39,8 +40,8 @@
 }
 
 impl Guard {
-    /// Notes the outcome of one contact; returns a change of the zone's
-    /// reachability.
+    /// Records the outcome of one contact. Returns the zone's new reachability if
+    /// it changed.
     pub(crate) fn note(
         &mut self,
         now: Time,
@@ -79,7 +80,7 @@
         self.outcomes.retain(|it| it.at + WINDOW >= now);
     }
 
-    /// Whether this daemon is more likely cut off than its peers are dead.
+    /// Whether this daemon is more likely isolated than its peers are dead.
     pub(crate) fn cut_off(&self) -> bool {
         let own = || self.outcomes.iter().filter(|it| it.own_zone);
         let failed = own().filter(|it| !it.reached).count();
--- a/crates/membership/src/hearing.rs
+++ b/crates/membership/src/hearing.rs
@@ -1,4 +1,4 @@
-//! Taking in what peers say, and what their silence means.
+//! Processing of messages and tables that arrive from peers and of platform rows.
 
 use crate::action::Action;
 use crate::machine::{Comparison, Membership};
@@ -6,41 +6,43 @@
 use crate::table::{Entry, Merge};
 use crate::wire::{Exchange, Row, Word};
 
-/// Exchanges in a row with another table digest before a table is pulled: news
-/// on its way makes digests differ for a moment, and that heals by itself.
+/// Consecutive digest mismatches before a table is pulled. Updates in flight make
+/// digests differ for a moment, which resolves without a pull.
 const MISMATCHES_BEFORE_PULL: u32 = 3;
 
-/// The same while this daemon itself has news to pass on.
+/// Consecutive digest mismatches before a table is pulled while this daemon still has
+/// updates to spread.
 const MISMATCHES_WITH_NEWS: u32 = 8;
 
-/// Time for which tables of other zones have differed from this one's until it pulls one
-/// although others of its zone do so on its behalf: they most likely can't.
+/// Time for which the digests of other zones' daemons must differ before a daemon that is
+/// no relay pulls a table from them itself: its zone's relays most likely can't.
 const FAR_PATIENCE: Time = Time::from_secs(12);
 
-/// Daemons of a zone that pull the tables of other zones for it. Two, so that the death of
-/// one goes unnoticed. When every daemon pulled for itself, a start of 300 at once took
-/// 31 MB between zones (the example `start_at_size`).
+/// Daemons of a zone that pull tables from other zones on behalf of their zone. There are
+/// two, so that the death of one has no effect. When every daemon pulled for itself, a
+/// simultaneous start of 300 took 31 MB between zones (the example `start_at_size`).
 const RELAYS: usize = 2;
 
-/// Contacts after which an instance that did not answer is no relay. Rows of instances that
-/// are gone for good would else leave a zone without one until they are forgotten.
+/// Unanswered contacts after which an unconfirmed instance no longer counts as a relay.
+/// Otherwise rows of instances that are gone for good would leave a zone without relays
+/// until they are forgotten.
 const RELAY_TRIES: u32 = 2;
 
-/// Age of the process until which it pulls tables at the first mismatch: in a
-/// herd of restarts the first peers that it meets know as little as it does.
+/// Age of the process below which it pulls a table at the first mismatch: after a mass
+/// restart, the first peers that it reaches know as little as it does.
 const SETTLING: Time = Time::from_secs(10);
 
-/// Rows and words that one message may carry; the rest is ignored, so that a
-/// broken peer cannot make this daemon work without bound.
+/// Rows, and state updates, that are processed of one message. The rest is ignored, so
+/// that a faulty peer cannot cause unbounded work.
 const MAX_NEWS: usize = 64;
 
-/// Rows that a pulled table may carry.
+/// Rows that are processed of one pulled table or one read of the roster.
 const MAX_TABLE: usize = 4096;
 
 impl Membership {
     pub(crate) fn replied(&mut self, now: Time, peer: MemberKey, reply: Exchange) {
         if reply.from != peer {
-            // Another instance took over the address: the expected one is gone.
+            // Another instance has taken over the address, so the expected one is gone.
             self.unreached(now, peer);
             return;
         }
@@ -62,7 +64,7 @@
         }
     }
 
-    /// Takes in a message, be it a request or an answer.
+    /// Processes a message from a peer. `answered` tells a reply from a request.
     pub(crate) fn hear(&mut self, now: Time, from: MemberKey, message: Exchange, answered: bool) {
         let (own, rows): (Vec<_>, Vec<_>) = message
             .rows
@@ -78,9 +80,9 @@
         entry.version = entry.version.max(message.mark.version);
         let addr = entry.member.peer;
         if message.incarnation < entry.member.incarnation {
-            // The sender is an older life of this instance, or has not heard of
-            // its latest state. Its view may be from before a freeze: taking
-            // its words would bring back what the fleet has overruled.
+            // The sender is a former process of its instance, or is behind the fleet's
+            // state of itself. Its view may be from before a freeze: applying its updates
+            // would bring back states that the fleet has overridden.
             return;
         }
         for row in rows {
@@ -123,8 +125,8 @@
             self.hear_of_self(&member);
             return;
         }
-        // A death of someone unknown here is no news, and taking it up would let
-        // the dead go round between tables that forget them at different times.
+        // A dead member that is unknown here is not added: tables forget the dead at
+        // different times and would otherwise reintroduce them to each other for ever.
         if self.table.get(key).is_none() && !member.is_present() {
             return;
         }
@@ -144,10 +146,10 @@
         }
     }
 
-    /// A row about this instance: of this process, of an earlier one, or of a
-    /// newer one that runs while this one was frozen. A process that met nobody
-    /// yet can't be the older one: it started just now, by a clock that went
-    /// back.
+    /// Processes a row about this instance, which may describe this process, a former
+    /// one, or a newer one that was started while this one was frozen. If the row shows
+    /// a higher birth but this process has not met a peer yet, this process is not the
+    /// older one: it has just started, with a wall clock that went back.
     fn hear_of_self(&mut self, row: &Member) {
         let birth = self.own().member.birth;
         if row.birth > birth && self.has_met {
@@ -162,8 +164,9 @@
         self.refute(row.incarnation, state);
     }
 
-    /// Answers a word that overrules this daemon's own by one that overrules it
-    /// in turn. A leaving daemon stays leaving, under the higher incarnation.
+    /// Refutes an update that overrides this daemon's own state, by raising its
+    /// incarnation above that of the update. A leaving daemon stays leaving under the
+    /// higher incarnation.
     fn refute(&mut self, incarnation: u64, state: MemberState) {
         if (incarnation, state) <= self.own().rank() {
             return;
@@ -184,16 +187,16 @@
         self.spread(me);
     }
 
-    /// Notes that a peer's request showed the same table as this one, before
-    /// anything that it carried was taken in. A reply tells nothing of the kind,
-    /// since whoever gives it has just taken in this daemon's own news.
+    /// Counts a matching digest in a peer's request as agreement about queued updates.
+    /// It must be called before the request's own updates are applied. Replies don't
+    /// count, since their sender has just applied this daemon's updates.
     pub(crate) fn note_agreement(&mut self, theirs: u64) {
         if self.updates.is_empty() || theirs != self.table.digest() {
             return;
         }
         let table = &self.table;
-        // A suspicion is not part of the digest, so agreement says nothing
-        // about it.
+        // The digest does not cover suspicions, so matching digests say nothing about
+        // them.
         let is_in_digest = |key| {
             let entry = table.get(key);
             entry.is_none_or(|it| it.member.state != MemberState::Suspect)
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Mismatches in a row from which a peer's table is pulled.
+    /// Returns the number of consecutive mismatches from which a table is pulled.
     fn patience(&self, now: Time) -> u32 {
         match (now < SETTLING, self.updates.is_empty()) {
             (true, _) => 1,
@@ -231,11 +234,11 @@
         }
     }
 
-    /// Whether this daemon pulls the tables of other zones on behalf of its own, which
-    /// has them from it. Nobody is elected: keys are hashes, and the lowest ones that
-    /// this daemon believes present do it. Where views differ, more of them do. In a
-    /// start of all nobody is confirmed yet, so rows that only the platform showed count
-    /// until their instances had two chances to answer.
+    /// Whether this daemon pulls tables from other zones on behalf of its own zone, to
+    /// which it passes them on. There is no election: the members with the lowest keys
+    /// that this daemon believes present are the relays. Where views differ, more daemons
+    /// act as relays. When the whole fleet starts, nobody is confirmed yet, so instances
+    /// known only from platform rows count until they had two chances to answer.
     fn is_relay(&self) -> bool {
         let is_there = |entry: &Entry| {
             entry.member.is_present() && (entry.confirmed || entry.contacts < RELAY_TRIES)
@@ -289,10 +292,10 @@
         }
     }
 
-    /// A row that only the platform showed. For a stranger it says where to knock.
-    /// A member that it shows in a newer process is present by that: its own words
-    /// will bring nothing newer, so whoever waits for the change would miss it, and
-    /// would send no call there until something else changes.
+    /// Processes a row that was read from the platform. For an unknown instance it gives
+    /// an address to contact. If it shows a newer process of a confirmed member, that is
+    /// reported as a change at once: the process's own messages bring nothing newer, so
+    /// no later change would be reported and no calls would be sent there.
     fn hear_hint(&mut self, member: Member) {
         let key = member.key();
         if self.table.merge_row(member, false) != Merge::Changed {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,15 +1,17 @@
-//! Who is in the fleet, as each daemon finds out from the others.
+//! Gossip-based membership: each daemon learns from its peers which daemons
+//! make up the fleet.
 //!
-//! Membership is soft state: daemons exchange a few dozen bytes with one peer
-//! a second, carry news of joins, suspicions and departures along, and compare
-//! digests of their tables so that whatever was lost is repaired. Nothing here
-//! needs the platform once a daemon has met one live peer, and disagreement
-//! between two tables is safe: it costs a wasted probe or a retried call.
+//! The protocol follows SWIM. Once a second a daemon probes one peer with a
+//! message of a few dozen bytes. Updates about joins, suspicions and departures
+//! are piggybacked on these probes, and table digests are compared so that
+//! updates that were lost are repaired. The platform is not needed once a daemon
+//! has reached one live peer. Disagreement between two tables is safe: it costs
+//! a wasted probe or a retried call.
 //!
-//! [`Membership`] is pure. Time comes in as an argument, randomness from a
-//! seed, and what it wants done goes out as [`Action`]s, so the same code runs
-//! in the daemon, under scripted scenarios and under the model checker. See
-//! `docs/design/membership.md`.
+//! [`Membership`] performs no I/O. Time is passed in as an argument, randomness
+//! comes from a seed, and work for the caller is returned as [`Action`]s, so the
+//! same code runs in the daemon, under scripted scenarios and under the model
+//! checker. See `docs/design/membership.md`.
 
 mod action;
 mod config;
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,4 +1,4 @@
-//! The membership state machine: what it holds and how inputs reach its parts.
+//! The membership state machine: its state, and the dispatch of inputs.
 
 use std::collections::BTreeSet;
 
@@ -14,19 +14,19 @@
 use crate::updates::{Audience, Reach, Updates};
 use crate::wire::{Announcement, Exchange, Mark, Row, Word, ZoneDigest};
 
-/// How the tables of some peers compared with this one.
+/// Results of comparing digests with the tables of a group of peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Comparison {
-    /// Exchanges in a row with another digest.
+    /// Consecutive exchanges in which the digests differed.
     pub(crate) mismatches: u32,
-    /// When the first of them was.
+    /// Time of the first of these mismatches.
     since: Option<Time>,
     /// Earliest time of the next pull.
     pub(crate) next_pull: Time,
 }
 
 impl Comparison {
-    /// Before anything was compared; the next pull is at `next_pull` or later.
+    /// Creates an empty comparison that allows the next pull from `next_pull` on.
     pub(crate) fn anew(next_pull: Time) -> Self {
         Self {
             next_pull,
@@ -44,21 +44,21 @@
         }
     }
 
-    /// How long the tables have differed.
+    /// Returns for how long the tables have differed.
     pub(crate) fn lasts(&self, now: Time) -> Time {
         self.since
             .map_or(Time::ZERO, |since| now.saturating_sub(since))
     }
 }
 
-/// Membership as one daemon sees it. See the crate's documentation.
+/// The membership state machine of one daemon. See the crate's documentation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
     pub(crate) config: Config,
     pub(crate) me: MemberKey,
     pub(crate) table: Table,
     pub(crate) updates: Updates,
-    /// Among whom news goes round.
+    /// Sizes that determine how often an update is sent.
     pub(crate) audience: Audience,
     pub(crate) guard: Guard,
     pub(crate) round: Round,
@@ -69,15 +69,17 @@
     pub(crate) last_tick: Option<Time>,
     pub(crate) next_probe: Time,
     pub(crate) probes: u32,
-    /// What was seen of the tables of peers in the own zone, and in others.
+    /// Comparison with the tables of peers in this daemon's zone.
     pub(crate) near: Comparison,
+    /// Comparison with the tables of peers in other zones.
     pub(crate) far: Comparison,
+    /// Whether this process has taken in a message or a table of a peer.
     pub(crate) has_met: bool,
     pub(crate) actions: Vec<Action>,
 }
 
 impl Membership {
-    /// A machine for the daemon described by `me`, alone in its table.
+    /// Creates a state machine whose table holds only `me`, the member of this daemon.
     #[must_use]
     pub fn new(me: Member, config: Config, seed: u64) -> Self {
         let key = me.key();
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Takes one input and returns what is to be done, in order.
+    /// Processes one input and returns the requested actions in order.
     pub fn handle(&mut self, now: Time, input: Input) -> Vec<Action> {
         match input {
             Input::Tick => self.tick(now),
@@ -128,7 +130,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// Answers a peer's exchange.
+    /// Processes a peer's exchange and returns the reply and the requested actions.
     pub fn answer(&mut self, now: Time, message: Exchange) -> (Exchange, Vec<Action>) {
         let from = message.from;
         let incarnation = message.incarnation;
@@ -138,15 +140,15 @@
         let known = self.table.get(from).map(|it| it.member.incarnation);
         reply.introduce = known.is_none();
         if known.is_some_and(|known| incarnation < known) {
-            // A process that was replaced while it was frozen stops only when
-            // it hears of its successor.
+            // A process that was replaced while it was frozen stops only once it
+            // learns of its successor.
             self.tell(&mut reply, from);
         }
         (reply, std::mem::take(&mut self.actions))
     }
 
-    /// Answers a peer's request for the rows of the zones that differ. The dead
-    /// are among them, so that who heard of no death learns it.
+    /// Returns the rows of the zones whose digests differ from `theirs`. Dead members
+    /// are included, so that a peer that missed a death learns of it.
     #[must_use]
     pub fn rows_for(&self, theirs: &[ZoneDigest]) -> Vec<Row> {
         let mine = self.table.zone_digests();
@@ -164,17 +166,17 @@
             .collect()
     }
 
-    /// The key of this daemon.
+    /// Returns the key of this daemon.
     #[must_use]
     pub fn me(&self) -> MemberKey {
         self.me
     }
 
-    /// This daemon's own entry.
+    /// Returns this daemon's own entry.
     ///
     /// # Panics
     ///
-    /// Never: the own entry is made with the table and never forgotten.
+    /// Never: the own entry is created with the table and never removed.
     #[must_use]
     pub fn own(&self) -> &Entry {
         self.table
@@ -182,53 +184,56 @@
             .expect("the own entry is never forgotten")
     }
 
-    /// The table of members.
+    /// Returns the table of members.
     #[must_use]
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Whether rows that only the platform showed name members of the own zone that were
-    /// not met yet: some of them live, and this daemon's view of its zone is a part.
+    /// Whether the table holds members of this daemon's zone that are known only from
+    /// platform rows. Some of them may be alive, so this daemon's view of its zone is
+    /// still incomplete.
     #[must_use]
     pub fn is_meeting_zone(&self) -> bool {
         let mut entries = self.table.iter();
         entries.any(|(_, entry)| !entry.confirmed && self.is_own_zone(entry))
     }
 
-    /// What this daemon holds.
+    /// Returns the configuration that this daemon holds.
     #[must_use]
     pub fn mark(&self) -> Mark {
         self.mark
     }
 
-    /// Whether probes to this zone succeed, as far as was tried. Being
-    /// unreachable never makes anyone dead: only its own zone may say so.
+    /// Whether probes to this zone succeed; true for a zone that was not probed yet.
+    /// Members of an unreachable zone are not declared dead: only daemons of their own
+    /// zone may do so.
     #[must_use]
     pub fn is_reachable(&self, zone: &str) -> bool {
         self.guard.reachable(zone)
     }
 
-    /// The same for all zones that have members.
+    /// Whether probes succeed to every zone that has present members.
     #[must_use]
     pub fn reaches_every_zone(&self) -> bool {
         let mut present = self.table.present();
         present.all(|(_, entry)| self.guard.reachable(&entry.member.zone))
     }
 
-    /// Whether this daemon seems to be cut off from everyone.
+    /// Whether this daemon seems to be isolated from all other members.
     #[must_use]
     pub fn is_cut_off(&self) -> bool {
         self.guard.cut_off()
     }
 
-    /// Time since anyone that this daemon heard of read the platform's head.
+    /// Returns the time since the platform's head was last read, by this daemon or by
+    /// any other whose read is known here.
     #[must_use]
     pub fn head_age(&self, now: Time) -> Option<Time> {
         self.head_read.map(|at| now.saturating_sub(at))
     }
 
-    /// What to write into the announcement row.
+    /// Returns the content of this daemon's announcement row at the platform.
     #[must_use]
     pub fn announcement(&self) -> Announcement {
         Announcement {
@@ -237,13 +242,14 @@
         }
     }
 
-    /// A probe without news, on behalf of a peer that can't reach the member.
+    /// Returns a probe without updates, to be sent to `member` on behalf of a peer that
+    /// can't reach it.
     #[must_use]
     pub fn probe_message(&self, now: Time, member: MemberKey) -> Exchange {
         self.bare(now, member)
     }
 
-    /// A message for one peer with the news that is due.
+    /// Builds a message for one peer with the updates that are due.
     pub(crate) fn compose(&mut self, now: Time, peer: MemberKey) -> Exchange {
         let mut message = self.bare(now, peer);
         let Some(entry) = self.table.get(peer) else {
@@ -267,8 +273,8 @@
     }
 
     fn bare(&self, now: Time, peer: MemberKey) -> Exchange {
-        // Rounded up: rounded down, two daemons would tell each other "just now"
-        // for ever, and nobody would notice that the platform is gone.
+        // Rounded up: if it were rounded down, daemons would keep confirming an age of
+        // zero to each other, and an outage of the platform would go unnoticed.
         let age = self
             .head_age(now)
             .map_or(u128::MAX, |age| age.as_millis() / 100 + 1);
@@ -286,8 +292,8 @@
         }
     }
 
-    /// Adds a member's state to a message: as a row where the receiver may lack
-    /// its addresses, as a word otherwise.
+    /// Adds a member to a message: as a row with its addresses if it is alive, since
+    /// the receiver may lack them, and as a state update otherwise.
     fn tell(&self, message: &mut Exchange, key: MemberKey) {
         let Some(entry) = self.table.get(key).filter(|it| it.confirmed) else {
             return;
@@ -306,7 +312,8 @@
         }
     }
 
-    /// Only a row of a higher incarnation brings peers a new announcement.
+    /// Stores the local target's announcement. The incarnation is raised because peers
+    /// take a changed announcement only from a row that is newer than theirs.
     fn target_announced(&mut self, announced: Option<Announced>) {
         let me = self.me;
         let Some(own) = self.table.get_mut(me) else {
@@ -328,8 +335,9 @@
         self.updates.add(key, self.audience, is_own_zone);
     }
 
-    /// Among whom news goes round now. It is taken once a tick and not with each change,
-    /// of which a start of all brings hundreds.
+    /// Counts the members and zones that updates are spread to. It runs once per tick
+    /// rather than on each change, since a start of the whole fleet brings hundreds of
+    /// changes.
     pub(crate) fn count_audience(&self) -> Audience {
         let own = &self.own().member.zone;
         let mut near = 0;
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -1,4 +1,4 @@
-//! Whose turn it is to be probed, and probes through helpers.
+//! The probing order and pending indirect probes.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +7,19 @@
 
 use crate::member::{MemberKey, Time};
 
-/// Time after which helpers that said nothing count as having failed.
+/// Time after which indirect probes without a result count as failed.
 const HELP_TIMEOUT: Time = Time::from_secs(2);
 
-/// Own-zone peers in a shuffled order, each once a round: the time until a
-/// given peer is probed is bounded, which independent random choice is not.
+/// Own-zone peers in shuffled order, each probed once per round. This bounds the time
+/// until a given peer is probed, which independent random choice does not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Round {
     order: Vec<MemberKey>,
 }
 
 impl Round {
-    /// The next peer, starting a new round from `peers` where the old one ends.
+    /// Returns the next peer, and starts a new round from `peers` when the current one
+    /// is exhausted.
     pub(crate) fn next(
         &mut self,
         rng: &mut Xoshiro256PlusPlus,
@@ -38,7 +39,7 @@
     until: Time,
 }
 
-/// Members that missed a probe and whom helpers are probing now.
+/// Pending indirect probes, by the member that missed a direct one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Helpers {
     requests: BTreeMap<MemberKey, Request>,
@@ -57,7 +58,8 @@
         self.requests.insert(target, request);
     }
 
-    /// Notes one helper's answer; true where it was the last and all failed.
+    /// Records the result of one indirect probe. Returns whether it was the last one and
+    /// all of them failed.
     pub(crate) fn answered(&mut self, target: MemberKey, reached: bool) -> bool {
         let Some(request) = self.requests.get_mut(&target) else {
             return false;
@@ -70,12 +72,12 @@
         settled && !reached
     }
 
-    /// The member was heard of by other means.
+    /// Cancels the indirect probes of a member that has answered.
     pub(crate) fn settle(&mut self, target: MemberKey) {
         self.requests.remove(&target);
     }
 
-    /// Targets whose helpers kept silent.
+    /// Removes and returns the members whose indirect probes timed out.
     pub(crate) fn expire(&mut self, now: Time) -> Vec<MemberKey> {
         let late: Vec<_> = self
             .requests
--- a/crates/membership/src/silence.rs
+++ b/crates/membership/src/silence.rs
@@ -1,4 +1,4 @@
-//! What the silence of a peer means.
+//! Handling of failed probes: indirect probes and suspicion.
 
 use rand::seq::IndexedRandom;
 
@@ -8,8 +8,8 @@
 use crate::table::Merge;
 
 impl Membership {
-    /// A peer did not answer. Only an own-zone peer comes under suspicion, and
-    /// only after helpers failed as well: another zone that can't be reached is
+    /// Handles a peer that did not answer. Only peers of this daemon's zone become
+    /// suspect, and only after indirect probes failed as well: an unreachable zone is
     /// most likely cut off, and its members go on serving their own callers.
     pub(crate) fn unreached(&mut self, now: Time, peer: MemberKey) {
         let Some(entry) = self.table.get_mut(peer) else {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Says a word about a member on this daemon's own finding.
+    /// Declares a member's state as this daemon's own finding and spreads it.
     pub(crate) fn pronounce(&mut self, key: MemberKey, state: MemberState) {
         let Some(incarnation) = self.table.get(key).map(|it| it.member.incarnation) else {
             return;
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -8,21 +8,22 @@
 use crate::member::{Incarnation, Member, MemberKey, MemberState, Time};
 use crate::wire::ZoneDigest;
 
-/// A member with what this daemon knows of it beside its row.
+/// A member together with this daemon's local knowledge of it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Entry {
-    /// The member as last heard.
+    /// The member's latest known state.
     pub member: Member,
-    /// Highest configuration version that it reported.
+    /// Highest configuration version that the member reported.
     pub version: u64,
-    /// Whether it, or a peer that met it, spoke for it. A row that only the
-    /// platform showed is a hint where to knock: it may be of an instance that
-    /// died long ago, and must not come back to life through it.
+    /// Whether the member itself, or a peer that holds it as confirmed, reported it. A row
+    /// read from the platform only gives an address to contact: it may belong to an
+    /// instance that died long ago, which must not come back to life through it.
     pub confirmed: bool,
-    /// The last life of its target that it said drains. Its next process does not
-    /// know of it, and the target may have been told that its drain is known.
+    /// The last generation of the member's target that the member reported as draining.
+    /// A restarted daemon does not know of it, but the target may have been told that its
+    /// drain is acknowledged.
     pub drained: Option<SmolStr>,
-    /// Whether the last contact of this daemon with it failed.
+    /// Whether this daemon's last contact with the member failed.
     pub unreached: bool,
     pub(crate) suspect_until: Option<Time>,
     pub(crate) dead_since: Option<Time>,
@@ -30,25 +31,25 @@
     pub(crate) contacts: u32,
 }
 
-/// What a merge changed.
+/// Outcome of merging a row or a state update into the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Merge {
-    /// Nothing: the word was old, or already known.
+    /// The update was outdated or already known.
     Stale,
-    /// A word about a member whose row is missing here.
+    /// The update is about a member whose row is missing here.
     Unknown,
-    /// The member is new here or is heard of in another state or incarnation.
+    /// The member is new, or its state, incarnation or confirmation changed.
     Changed,
 }
 
-/// All members that this daemon knows, itself included.
+/// All members that this daemon knows, including itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Table {
     entries: BTreeMap<MemberKey, Entry>,
 }
 
 impl Table {
-    /// The entry of one member.
+    /// Returns the entry of one member.
     #[must_use]
     pub fn get(&self, key: MemberKey) -> Option<&Entry> {
         self.entries.get(&key)
@@ -58,7 +59,7 @@
         self.entries.get_mut(&key)
     }
 
-    /// Every entry, ordered by key; those without confirmation included.
+    /// Iterates over all entries in key order, including unconfirmed ones.
     pub fn iter(&self) -> impl Iterator<Item = (MemberKey, &Entry)> {
         self.entries.iter().map(|(key, entry)| (*key, entry))
     }
@@ -67,19 +68,19 @@
         self.entries.iter_mut().map(|(key, entry)| (*key, entry))
     }
 
-    /// Confirmed members that are not dead.
+    /// Iterates over the confirmed members that are not dead.
     pub fn present(&self) -> impl Iterator<Item = (MemberKey, &Entry)> {
         self.iter()
             .filter(|(_, entry)| entry.confirmed && entry.member.is_present())
     }
 
-    /// Confirmed members of one zone that are not dead.
+    /// Iterates over the confirmed members of one zone that are not dead.
     pub fn in_zone<'a>(&'a self, zone: &'a str) -> impl Iterator<Item = (MemberKey, &'a Entry)> {
         self.present()
             .filter(move |(_, entry)| entry.member.zone == zone)
     }
 
-    /// Members of one zone that died at `since` or later.
+    /// Counts the members of one zone that became dead at `since` or later.
     #[must_use]
     pub fn died_since(&self, zone: &str, since: Time) -> usize {
         let of_zone = self.iter().filter(|(_, it)| it.member.zone == zone);
@@ -91,8 +92,8 @@
         self.entries.retain(|_, entry| !gone(entry));
     }
 
-    /// Takes a row. The higher (incarnation, state) wins, and addresses go with
-    /// the higher birth.
+    /// Merges a row. The higher (incarnation, state) wins, and the addresses are those
+    /// of the higher birth.
     pub(crate) fn merge_row(&mut self, member: Member, confirmed: bool) -> Merge {
         let key = member.key();
         let Some(entry) = self.entries.get_mut(&key) else {
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Takes a word about a member's state.
+    /// Merges a state update without addresses.
     pub(crate) fn merge_word(
         &mut self,
         key: MemberKey,
@@ -138,16 +139,16 @@
         Merge::Changed
     }
 
-    /// Fingerprint of everyone present. Suspicion is left out, since it passes
-    /// within seconds, and so are the dead, since tables forget them at
-    /// different times; either would keep tables apart that agree.
+    /// Returns a digest of the present members. Suspicion is left out because it passes
+    /// within seconds, and dead members because tables forget them at different times:
+    /// either would make the digests of equivalent tables differ.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.present()
             .fold(0, |digest, (key, entry)| digest ^ entry.fingerprint(key))
     }
 
-    /// The same fingerprint by zone.
+    /// Returns the digest of the present members of each zone.
     #[must_use]
     pub fn zone_digests(&self) -> Vec<ZoneDigest> {
         let mut zones: BTreeMap<SmolStr, u64> = BTreeMap::new();
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Position of this entry's word in the order of precedence.
+    /// Returns the precedence of this entry's state when updates are merged.
     pub(crate) fn rank(&self) -> (Incarnation, MemberState) {
         (self.member.incarnation, self.member.state)
     }
@@ -193,8 +194,8 @@
         self.clear_timers();
     }
 
-    /// A new process of the instance: its addresses replace the old ones, and
-    /// the words about the old one do not concern it.
+    /// Replaces the member by a newer process of the instance, with its addresses. A
+    /// higher (incarnation, state) that is already known is kept.
     fn adopt(&mut self, mut member: Member) {
         if self.rank() > (member.incarnation, member.state) {
             member.incarnation = self.member.incarnation;
--- a/crates/membership/src/tick.rs
+++ b/crates/membership/src/tick.rs
@@ -1,4 +1,4 @@
-//! The systems that run over the table on each tick.
+//! Periodic work of the state machine: timers, probes and contacts.
 
 use rand::RngExt;
 use rand::seq::{IndexedRandom, SliceRandom};
@@ -11,15 +11,16 @@
 /// Longest time between two probes of a dead member's address.
 const MAX_DEAD_INTERVAL: Time = Time::from_mins(1);
 
-/// Contacts of unconfirmed members that one tick may start.
+/// Unconfirmed members of this daemon's zone that are contacted per tick.
 const CANDIDATES_A_TICK: usize = 3;
 
-/// Age of the process from which it knocks at all of another zone. By then the rows of
-/// whoever lives have come from their own zone.
+/// Age of the process from which it contacts unconfirmed members of zones in which it
+/// already knows somebody. By then, the rows of live members have arrived from their own
+/// zone.
 const FAR_CANDIDATES_AFTER: Time = Time::from_secs(5);
 
-/// Tries at an unconfirmed member before it is forgotten: the instance of an
-/// old announcement row is gone.
+/// Contacts of an unconfirmed member before it is forgotten: the instance of an old
+/// announcement row is gone.
 const CANDIDATE_TRIES: u32 = 5;
 
 impl Membership {
@@ -42,11 +43,11 @@
         }
     }
 
-    /// A process that slept held its timers still while the fleet went on. Were
-    /// they to fire now, it would declare dead whoever was due during the gap,
-    /// and pass on news that was overruled meanwhile. So its timers start anew,
-    /// its news is dropped, and it takes a higher incarnation, since the fleet
-    /// has likely suspected the present one.
+    /// Detects that this process was frozen, and resets its state. The suspicions that
+    /// it holds were not refreshed during the freeze: their timers would declare members
+    /// dead that have refuted since, and queued updates may have been overridden. So
+    /// timers restart, queued updates are dropped, and the incarnation is raised, since
+    /// the fleet has probably suspected the current one.
     fn notice_freeze(&mut self, now: Time) {
         let last = self.last_tick.replace(now);
         let gap = last.map_or(Time::ZERO, |last| now.saturating_sub(last));
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Starts the timers of those who came under suspicion or died since the
-    /// last tick, whoever said so.
+    /// Starts the timers of members that became suspect or dead since the last tick,
+    /// whether this daemon or a peer declared them so.
     fn start_suspect_timers(&mut self, now: Time) {
         let until = now + self.config.suspect_timeout;
         let next_contact = now + self.config.dead_probe_interval;
@@ -90,8 +91,8 @@
         }
     }
 
-    /// A suspect of the own zone that did not refute in time is dead. For other
-    /// zones this daemon waits for their own word.
+    /// Declares suspects of this daemon's zone dead that did not refute in time. Deaths
+    /// in other zones are declared by the daemons of those zones.
     fn end_suspect_timers(&mut self, now: Time) {
         let cut_off = self.guard.cut_off();
         let extended = now + self.config.suspect_timeout;
@@ -133,8 +134,8 @@
             .forget(|entry| is_old(entry) || is_phantom(entry));
     }
 
-    /// Knocks where only the platform's rows say that somebody is. Of another zone one
-    /// that answers is enough to learn of the others, so the rest wait.
+    /// Contacts members that are known only from platform rows. One member of another
+    /// zone that answers is enough to learn of the rest of that zone, so the rest wait.
     fn contact_candidates(&mut self, now: Time) {
         let (mut chosen, mut far) = (Vec::new(), Vec::new());
         let unconfirmed = self.table.iter().filter(|(_, it)| !it.confirmed);
@@ -158,13 +159,13 @@
         }
     }
 
-    /// Whether nobody is known in an unconfirmed member's zone.
+    /// Whether no present member is known in the zone of an unconfirmed one.
     fn is_strange(&self, entry: &Entry) -> bool {
         self.table.in_zone(&entry.member.zone).next().is_none()
     }
 
-    /// Sends fresh news on at once, so that a departure is known everywhere in
-    /// a second or two and not in the ten rounds that probes alone take.
+    /// Sends fresh updates outside of the probe schedule, so that a departure is known
+    /// everywhere within a second or two instead of the ten rounds that probes alone take.
     fn send_eagerly(&mut self, now: Time) {
         let near = self.config.eager_peers.saturating_sub(1);
         let own = self.peers(true);
@@ -192,8 +193,8 @@
         }
     }
 
-    /// Half of the probes go to a suspect while there is one: it learns of the
-    /// suspicion from the probe and can refute in its answer.
+    /// Picks a suspect for half of the probes while there is one: it learns of the
+    /// suspicion from the probe and can refute it in its reply.
     fn suspect_to_probe(&mut self) -> Option<MemberKey> {
         if self.rng.random_bool(0.5) {
             return None;
@@ -219,7 +220,8 @@
         }
     }
 
-    /// Present members but this one, of its own zone or of all the others.
+    /// Returns the present members except this one, either of its own zone or of all
+    /// other zones.
     fn peers(&self, own_zone: bool) -> Vec<MemberKey> {
         self.table
             .present()
@@ -228,8 +230,9 @@
             .collect()
     }
 
-    /// Knocks at one dead member's address. Who comes back there, restarted or
-    /// healed, hears of the fleet in this way even while the platform is out.
+    /// Probes the address of one dead member. A daemon that restarted there, or whose
+    /// network recovered, rejoins the fleet through this probe even during an outage of
+    /// the platform.
     fn probe_one_dead(&mut self, now: Time) {
         let first = self.config.dead_probe_interval;
         let due = self
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -1,51 +1,52 @@
-//! News that is still to be passed on.
+//! Queue of membership updates that are still to be sent to peers.
 
 use std::collections::BTreeMap;
 
 use crate::member::MemberKey;
 
-/// News that rides on one message at most, so that a herd's news cannot make a
-/// probe large enough to miss its timeout.
+/// Updates that one message carries at most, so that the updates of a mass restart cannot
+/// make a probe large enough to miss its timeout.
 pub(crate) const MAX_PER_MESSAGE: usize = 16;
 
-/// Ticks for which fresh news is also sent to peers of its own.
+/// Ticks for which a fresh update also causes messages outside of the probe schedule.
 const HOT_TICKS: u8 = 3;
 
-/// Sends that one agreement with a peer stands for.
+/// Remaining sends that are cancelled when a peer's digest matches.
 const AGREEMENT: u32 = 6;
 
-/// Copies of one piece of news that a zone sends to each other zone, over all its
-/// daemons. A zone misses all of them once in some ten thousand, and then compares
-/// tables. One change among 300 members took 460 KB between zones, beyond what is said at
-/// rest, before there was a bound, and takes 20 KB with it (the example `start_at_size`).
+/// Copies of one update that the daemons of a zone together send to each other zone.
+/// Another zone misses all of them about once in ten thousand updates, and then gets the
+/// update through a comparison of tables. Without this bound, one change among 300 members
+/// took 460 KB between zones beyond idle traffic; with it, 20 KB (the example
+/// `start_at_size`).
 const COPIES_A_ZONE: usize = 4;
 
-/// How a message's receiver lies to this daemon.
+/// Whether the receiver of a message is in this daemon's availability zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reach {
-    /// In the same availability zone.
+    /// The receiver is in the same availability zone.
     Near,
-    /// In another one: bytes are dear on the way there.
+    /// The receiver is in another availability zone, to which traffic is expensive.
     Far,
 }
 
-/// The members among whom news goes round.
+/// Numbers of members and zones to which updates are spread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Audience {
-    /// Present members of the own zone, this one included.
+    /// Present members of this daemon's zone, including itself.
     pub(crate) near: usize,
-    /// Other zones with present members.
+    /// Number of other zones with present members.
     pub(crate) other_zones: usize,
 }
 
 impl Audience {
-    /// About three times log2 of the zone's size, after which an epidemic has reached
-    /// everyone in it with high probability.
+    /// Returns the number of sends within the zone: about three times log2 of its size,
+    /// after which an epidemic has reached every member with high probability.
     fn near_sends(self) -> u32 {
         3 * (usize::BITS - self.near.leading_zeros()).max(1)
     }
 
-    /// This daemon's part of the copies that go to other zones.
+    /// Returns this daemon's share of the copies that go to other zones.
     fn far_sends(self) -> u32 {
         let copies = COPIES_A_ZONE * self.other_zones;
         u32::try_from(copies.div_ceil(self.near.max(1))).unwrap_or(u32::MAX)
@@ -80,18 +81,18 @@
     }
 }
 
-/// Keys of members of whom there is news. Only keys are queued: what is sent is
-/// the table's word at the time of sending, so news never goes out stale.
+/// Members whose state is to be sent to peers. Only keys are queued: a message carries the
+/// state that the table holds when it is sent, so a queued update never becomes stale.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Updates {
     pending: BTreeMap<MemberKey, Pending>,
 }
 
 impl Updates {
-    /// Queues news for enough sends to reach everyone with high probability. Whoever is
-    /// missed is repaired by comparing table digests. Other zones are told by the
-    /// member's own zone only (`is_own_zone`): were everyone who heard it to pass it on
-    /// to all zones, the bytes between them would grow with the fleet for each change.
+    /// Queues an update for enough sends to reach all members with high probability; the
+    /// comparison of table digests repairs the rest. Only the daemons of the member's own
+    /// zone (`is_own_zone`) send the update to other zones: if every daemon did, the traffic
+    /// between zones for each change would grow with the fleet.
     pub(crate) fn add(&mut self, key: MemberKey, audience: Audience, is_own_zone: bool) {
         let pending = Pending {
             near_left: audience.near_sends(),
@@ -101,7 +102,7 @@
         self.pending.insert(key, pending);
     }
 
-    /// Takes the news for one message, the least sent first.
+    /// Returns the updates for one message, those with the most sends left first.
     pub(crate) fn take(&mut self, reach: Reach) -> Vec<MemberKey> {
         let mut due: Vec<_> = self
             .pending
@@ -119,9 +120,10 @@
         taken
     }
 
-    /// A peer's table turned out to be the same as this one: it knows the news,
-    /// and if some peers in a row do, everyone most likely does. Without this a
-    /// herd of 200 goes on telling each other its 200 rows for minutes.
+    /// Records that a peer's table matched this one, for the updates that `counts` selects.
+    /// The peer has those updates already, and if several peers do, most likely everyone
+    /// does. Without this, 200 daemons that start together keep sending each other their
+    /// 200 rows for minutes.
     pub(crate) fn note_agreement(&mut self, counts: impl Fn(MemberKey) -> bool) {
         self.pending.retain(|key, pending| {
             if pending.hot == 0 && counts(*key) {
@@ -132,7 +134,7 @@
         });
     }
 
-    /// Whether anything is fresh; counts one tick off.
+    /// Returns whether any update is fresh, and ages all of them by one tick.
     pub(crate) fn cool(&mut self) -> bool {
         let mut hot = false;
         for pending in self.pending.values_mut() {
@@ -142,7 +144,7 @@
         hot
     }
 
-    /// Whether other zones are still to be told of something.
+    /// Whether any update is still to be sent to other zones.
     pub(crate) fn has_far(&self) -> bool {
         self.pending.values().any(|it| it.far_left > 0)
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,7 +1,7 @@
-//! What daemons say to each other about the fleet.
+//! Messages that daemons exchange about membership.
 //!
-//! Structs are encoded as arrays by `rmp-serde` and members are named by key,
-//! so an exchange without news takes some fifty bytes.
+//! Structs are encoded as arrays by `rmp-serde` and members are identified by key,
+//! so an exchange without updates takes about fifty bytes.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -11,10 +11,10 @@
 
 use crate::member::{Announced, Incarnation, Member, MemberKey, MemberState, member_key};
 
-/// Longest id or label that a row may carry.
+/// Length limit in bytes of an id or label in a row.
 const MAX_LABEL: usize = 128;
 
-/// Which configuration a daemon holds.
+/// Identifies the configuration that a daemon holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Mark {
     /// Version in force.
@@ -23,41 +23,41 @@
     pub digest: u64,
 }
 
-/// One half of a probe: the request and its answer have the same shape, so one
-/// round trip carries news both ways.
+/// A probe or its reply. Both have the same shape, so that one round trip carries updates
+/// both ways.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Exchange {
     /// The sender.
     pub from: MemberKey,
-    /// The sender's incarnation. Words of an older one are ignored.
+    /// The sender's incarnation. Updates from an outdated incarnation are ignored.
     pub incarnation: Incarnation,
-    /// What the sender holds.
+    /// Configuration that the sender holds.
     pub mark: Mark,
-    /// Highest version that the sender has seen the receiver report, which a
-    /// receiver that restarted takes as its floor.
+    /// Highest version that the sender has seen the receiver report. A receiver that
+    /// restarted must not fall back below it.
     pub floor: u64,
-    /// Tenths of a second since anyone that the sender heard of read the
-    /// platform's head.
+    /// Tenths of a second since the platform's head was last read, by the sender or by any
+    /// other daemon whose read is known to it; `u16::MAX` if no read is known.
     pub head_age: u16,
     /// Digest of the sender's table.
     pub table: u64,
-    /// The sender does not know the receiver and asks for its row.
+    /// Whether the sender does not know the receiver and asks for its row.
     pub introduce: bool,
-    /// News without addresses.
+    /// Updates without addresses.
     pub words: Vec<Word>,
-    /// News with addresses.
+    /// Updates with addresses.
     pub rows: Vec<Row>,
-    /// The last life of the receiver's target that the receiver, or its former
-    /// process, said drains.
+    /// The last generation of the receiver's target that the receiver, or its former
+    /// process, reported as draining.
     #[serde(default)]
     pub drained: Option<SmolStr>,
 }
 
-/// State of one member, for receivers that have its row.
+/// Update of one member's state, for receivers that hold its row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Word(pub MemberKey, pub Incarnation, pub WireState);
 
-/// A member's state as a number.
+/// A member's state, encoded as a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "u8", into = "u8")]
 pub struct WireState(pub(crate) MemberState);
@@ -99,7 +99,7 @@
     }
 }
 
-/// A member with all that others need to reach it.
+/// Encoded form of a [`Member`], with the addresses to reach it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Row {
     /// See [`Member::instance`].
@@ -187,44 +187,47 @@
 }
 
 impl Row {
-    /// The key of the member that this row describes.
+    /// Returns the key of the member that this row describes.
     #[must_use]
     pub fn key(&self) -> MemberKey {
         member_key(&self.instance)
     }
 }
 
-/// What a daemon writes into its announcement row at the platform, for daemons
-/// that start and know nobody yet.
+/// Content of the announcement row that a daemon writes at the platform, from which
+/// daemons that start learn their first peers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     /// The announced member.
     pub row: Row,
-    /// Version that it held when it wrote the row: a floor for its next life.
+    /// Configuration version that the daemon held when it wrote the row. Its next process
+    /// must not fall back below it.
     pub version: u64,
 }
 
-/// Digest of the part of a table that one zone makes up.
+/// Digest of the entries of one zone in a table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ZoneDigest(pub SmolStr, pub u64);
 
-/// Why a peer's row was not taken.
+/// Reason for which a row was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RowError {
     /// An id or label is empty or too long.
     BadLabel,
-    /// The incarnation is older than the process.
+    /// The incarnation is lower than the one with which the process started.
     BeforeBirth,
-    /// The state is none that this build knows.
+    /// The state is not known to this build.
     UnknownState(u8),
 }
 
 impl fmt::Display for RowError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::BadLabel => f.write_str("a label is empty or too long"),
-            Self::BeforeBirth => f.write_str("the incarnation is below the one of the start"),
-            Self::UnknownState(state) => write!(f, "member state {state} is unknown"),
+            Self::BadLabel => f.write_str("an id or label is empty or too long"),
+            Self::BeforeBirth => {
+                f.write_str("the incarnation is lower than the one of the process's start")
+            }
+            Self::UnknownState(state) => write!(f, "unknown member state {state}"),
         }
     }
 }
@@ -234,13 +237,13 @@
 /// Body of a request to `/peer/gossip`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipRequest {
-    /// A probe with news.
+    /// A probe with updates.
     #[serde(rename = "e")]
     Exchange(Exchange),
     /// Asks the receiver to probe a member that the sender can't reach.
     #[serde(rename = "p")]
     Probe(MemberKey),
-    /// Asks for the rows of the zones that differ.
+    /// Asks for the rows of the zones whose digests differ from those given.
     #[serde(rename = "t")]
     Table(Vec<ZoneDigest>),
 }
@@ -248,13 +251,13 @@
 /// Answer to a [`GossipRequest`] of the same variant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum GossipReply {
-    /// The other half of the exchange.
+    /// The reply to a probe, with updates.
     #[serde(rename = "e")]
     Exchange(Exchange),
-    /// Whether the member answered.
+    /// Whether the member answered the indirect probe.
     #[serde(rename = "p")]
     Probe(bool),
-    /// The rows.
+    /// The requested rows.
     #[serde(rename = "t")]
     Table(Vec<Row>),
 }
