--- a/crates/membership/examples/at_size.rs
+++ b/crates/membership/examples/at_size.rs
@@ -1,5 +1,5 @@
-//! Runs the machines of a fleet at the size to design for, under virtual time,
-//! and prints what `docs/design/membership.md` quotes: one JSON line a figure.
+//! Simulates a fleet of the design size under virtual time, and prints the figures
+//! that `docs/design/membership.md` quotes as one JSON line each.
 //!
 //! ```text
 //! cargo run --release -p stoatstep-membership --example at_size
@@ -19,7 +19,7 @@
 const PER_ZONE: usize = 76;
 const NODES: usize = ZONES * PER_ZONE;
 
-/// Longest wait for anything.
+/// Time limit of each wait.
 const LIMIT: Duration = Duration::from_mins(1);
 
 fn main() {
@@ -33,8 +33,8 @@
     zone_restart(&mut fleet);
 }
 
-/// Everyone knows what a narrow read of the roster shows: a neighbour in the
-/// zone and one member of each side of it.
+/// Starts a fleet in which each daemon knows what a narrow read of the roster shows: a
+/// neighbour in its zone and single members of other zones.
 fn start() -> Fleet {
     let mut fleet = Fleet::default();
     for zone in 0..ZONES {
@@ -55,8 +55,8 @@
     }
 }
 
-/// Bytes of bodies, without the heads that HTTP puts around them, and the time
-/// that one core spends on the machines of one member.
+/// Measures the idle traffic in bytes of bodies, without HTTP heads, and the share of a
+/// core that the state machine of one member takes.
 fn rest(fleet: &mut Fleet) {
     const SECONDS: u32 = 20;
     fleet.bytes = 0;
--- a/crates/membership/examples/start_at_size.rs
+++ b/crates/membership/examples/start_at_size.rs
@@ -1,5 +1,5 @@
-//! Starts fleets of several sizes all at once, under virtual time, and prints what the
-//! start costs: one JSON line a figure, quoted by `docs/design/large.md`.
+//! Starts fleets of several sizes under virtual time, all daemons at once, and prints the
+//! costs of the start as one JSON line per figure, which `docs/design/large.md` quotes.
 //!
 //! ```text
 //! cargo run --release -p stoatstep-membership --example start_at_size
@@ -20,16 +20,16 @@
 const ZONES: usize = 6;
 const SIZES: [usize; 5] = [30, 100, 300, 610, 1000];
 
-/// Time within which the processes of a herd start.
+/// Time within which all processes start.
 const SPREAD: Duration = Duration::from_millis(300);
 
-/// Interval of a target's heartbeats: the first one comes within it.
+/// Interval of a target's heartbeats; the first one arrives within it.
 const HEARTBEAT: Duration = Duration::from_millis(1500);
 
 /// Time from the start to the first calls.
 const LEAD: Duration = Duration::from_secs(10);
 
-/// Time at rest over which bytes are counted.
+/// Time over which idle traffic is measured.
 const REST: Duration = Duration::from_secs(20);
 
 fn main() {
@@ -38,11 +38,11 @@
     }
 }
 
-/// What happens to one daemon while the fleet starts.
+/// An event of one daemon while the fleet starts.
 enum Deed {
-    /// Its process starts: it announces itself and reads who did before it.
+    /// The process starts: it announces itself and reads the earlier announcements.
     Start,
-    /// Its target's first heartbeat comes.
+    /// The target's first heartbeat arrives.
     Heartbeat,
 }
 
@@ -127,7 +127,7 @@
     print(size, "rest_bytes_between_zones_per_s_a_member", cross);
 }
 
-/// One target says that it drains.
+/// Measures the cost of one change: a target announces that it is draining.
 fn one_change(fleet: &mut Fleet, size: usize) {
     let cross = fleet.cross_bytes;
     let began = fleet.now;
--- a/crates/membership/src/life.rs
+++ b/crates/membership/src/life.rs
@@ -1,21 +1,22 @@
-//! Names of the lives of targets.
+//! Ids of target generations.
 //!
-//! A target may start again under the id that it had, and then knows nothing of
-//! what it was told before. Whatever is remembered of a target (its departure, its
-//! failures, where its calls go) is therefore kept by a name that is made of the id
-//! and the moment of its start, so that no part of the product has to tell the two
-//! lives apart by itself.
+//! A generation is one run of a target, from its start to its end. A target may
+//! restart under the same id, and then has lost all state of its former run.
+//! Everything that is remembered of a target (its departure, its failures, where
+//! its calls go) is therefore stored under an id made of the target's id and its
+//! start time, so that no other module has to tell two generations apart.
 
 use smol_str::{SmolStr, format_smolstr};
 
-/// When a target started, in milliseconds since the Unix epoch by its own clock.
+/// Start time of a target, in milliseconds since the Unix epoch by its own clock.
 pub type Birth = u64;
 
-/// Stands between id and birth. Ids are parts of paths, in which it cannot occur.
+/// Separates the target's id from its start time. Ids are parts of paths, in which it
+/// cannot occur.
 const SEPARATOR: char = '#';
 
-/// The name of the life of target `id` that began at `born`; of one that does not
-/// tell its birth, the id alone.
+/// Returns the id of the generation of target `id` that started at `born`, which is `id`
+/// alone for a target that does not report its start time.
 #[must_use]
 pub fn life_name(id: &str, born: Option<Birth>) -> SmolStr {
     match born {
@@ -24,14 +25,15 @@
     }
 }
 
-/// The id of the target whose life this is, as the target itself says and expects it.
+/// Returns the target's id within a generation's id. The target itself knows only this
+/// part and uses it in messages.
 #[must_use]
 pub fn id_of_life(life: &str) -> &str {
     life.split_once(SEPARATOR).map_or(life, |(id, _)| id)
 }
 
-/// Whether a life that began at `one` is over where another at the same address
-/// began at `other`. Nothing follows where either does not tell.
+/// Whether a generation that started at `one` has ended, given that another one at the
+/// same address started at `other`. Returns false if either start time is unknown.
 #[must_use]
 pub(crate) fn is_earlier(one: Option<Birth>, other: Option<Birth>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one < other)
--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -1,10 +1,11 @@
-//! What is known of the target beside this daemon.
+//! State of the local target, the one that runs beside this daemon.
 //!
-//! Nobody lists targets: each one tells its daemon about itself. Its heartbeats
-//! can come late, and those of an earlier life of the target after those of a
-//! later one, so lives are told apart by their ids and births and the heartbeats
-//! of one life by their sequence. A daemon that restarts remembers neither, so a life
-//! that is new to it takes calls only once the target itself has confirmed it.
+//! There is no list of targets: each one reports itself to its daemon. Heartbeats
+//! can be delayed, so that one of an earlier generation arrives after those of a
+//! later one. Generations are therefore ordered by id and start time, and the
+//! heartbeats of one generation by their sequence number. A restarted daemon has
+//! neither, so a generation that is new to it gets calls only after the target
+//! itself has confirmed it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,44 +15,44 @@
 use crate::life::{self, Birth, id_of_life, life_name};
 use crate::member::{Announced, Time};
 
-/// Intervals without a heartbeat after which the target counts as gone. One may
-/// be lost and one be late by nearly two seconds.
+/// Intervals without a heartbeat after which the target counts as gone. One heartbeat
+/// may be lost and one be late by nearly two seconds.
 const SILENT_INTERVALS: u32 = 3;
 
-/// Earlier lives that are remembered. A target that restarts each second for a
-/// minute keeps all of its late heartbeats out.
+/// Number of earlier generations that are remembered. It suffices to reject all late
+/// heartbeats of a target that restarts every second for a minute.
 const EARLIER_LIVES: usize = 64;
 
-/// What a target says of itself.
+/// A target's report about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Names this life of the target; see [`life_name`].
+    /// Id of this generation of the target; see [`life_name`].
     pub upstream: SmolStr,
-    /// When this life began, where the target tells.
+    /// Start time of this generation, if the target reports it.
     pub born: Option<Birth>,
-    /// Service that it runs.
+    /// Service that the target runs.
     pub service: SmolStr,
-    /// Version of its software, any text.
+    /// Version of the target's software, as free text.
     pub software: SmolStr,
-    /// Calls that it runs at a time.
+    /// Number of calls that the target runs concurrently.
     pub slots: u32,
-    /// Rises with each heartbeat of one life.
+    /// Number that increases with each heartbeat of one generation.
     pub sequence: u64,
-    /// It is about to stop.
+    /// Whether the target is about to stop.
     pub draining: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time after the target's start, during which it is slow.
     pub cold: Duration,
 }
 
-/// What became of a heartbeat.
+/// Outcome of processing a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// It is the newest.
+    /// The heartbeat is the newest one and was applied.
     Taken,
-    /// It is older than what is known.
+    /// The heartbeat is older than the known state.
     Stale,
-    /// It names a service that the configuration does not have, so no call could
-    /// ever go by it; whoever wrote it is not the target.
+    /// The heartbeat names a service that the configuration does not have. No call could
+    /// ever use it, so its sender is not the target.
     UnknownService,
 }
 
@@ -59,18 +60,18 @@
 struct Life {
     beat: Heartbeat,
     heard: Time,
-    /// The target itself said, asked by this process, that it is this life and
-    /// takes calls.
+    /// Whether the target has answered a request of this process by stating that it is
+    /// this generation and accepts calls.
     is_confirmed: bool,
 }
 
 impl Life {
-    /// Whether this life began after the one that sent `beat`, or tells its birth
-    /// while a heartbeat under the same id does not.
+    /// Whether this generation is newer than the one that sent `beat`: it started later,
+    /// or it reports its start time while `beat` has the same target id and does not.
     ///
-    /// A heartbeat that a partition held up comes in after its sender has crashed.
-    /// Taken for news, it would replace the life that serves, and calls would wait
-    /// for a target that is gone.
+    /// A heartbeat that was delayed by a partition arrives after its sender has crashed.
+    /// If it were accepted, it would replace the generation that serves, and calls would
+    /// wait for a target that is gone.
     fn outlives(&self, beat: &Heartbeat) -> bool {
         let has_same_id = id_of_life(&self.beat.upstream) == id_of_life(&beat.upstream);
         let hides_birth = has_same_id && self.beat.born.is_some() && beat.born.is_none();
@@ -78,19 +79,20 @@
     }
 }
 
-/// The target beside this daemon, by its own words.
+/// The local target, as it reported itself.
 #[derive(Clone, Debug)]
 pub struct LocalTarget {
     interval: Duration,
     present: Option<Life>,
     earlier: VecDeque<Life>,
-    /// Lives that said good-bye, known or not: this process may have started
-    /// after their last heartbeat.
+    /// Generations that announced their departure. Some may have no heartbeat on record,
+    /// since this process may have started after their last one.
     departed: VecDeque<SmolStr>,
 }
 
 impl LocalTarget {
-    /// A target that was not heard of yet, and that is heard of each `interval`.
+    /// Creates the state before the first heartbeat of a target that sends one every
+    /// `interval`.
     #[must_use]
     pub fn new(interval: Duration) -> Self {
         Self {
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Takes in a heartbeat.
+    /// Processes a heartbeat.
     pub fn hear(&mut self, mut beat: Heartbeat, now: Time) -> Heard {
         if self.is_over(&beat.upstream) {
             return Heard::Stale;
@@ -112,8 +114,8 @@
             if beat.sequence <= life.beat.sequence {
                 return Heard::Stale;
             }
-            // Calls that are sent after a drain was acked fail; a life that has
-            // begun to drain never takes calls again.
+            // Calls that are sent after a drain was acknowledged fail, so a generation
+            // that has begun to drain never gets calls again.
             beat.draining |= life.beat.draining;
             life.beat = beat;
             life.heard = now;
@@ -130,7 +132,8 @@
         Heard::Taken
     }
 
-    /// The life that calls wait for: heard of lately, and not confirmed yet.
+    /// Returns the last heartbeat of a live generation that is yet to be confirmed. Calls
+    /// wait for its confirmation.
     #[must_use]
     pub fn unconfirmed(&self, now: Time) -> Option<&Heartbeat> {
         let life = self.heard_lately(now)?;
@@ -138,8 +141,9 @@
         is_open.then_some(&life.beat)
     }
 
-    /// The life meant by a good-bye under this id. Where it does not tell its birth,
-    /// it is that of the present life: a former one could not send it any more.
+    /// Returns the generation that a departure notice under this target id refers to. A
+    /// notice without a start time refers to the current generation, since a former one
+    /// can no longer send it.
     #[must_use]
     pub fn life_meant(&self, id: &str, born: Option<Birth>) -> SmolStr {
         let present = self.present.as_ref().map(|it| &it.beat.upstream);
@@ -147,9 +151,11 @@
         present.cloned().unwrap_or_else(|| life_name(id, born))
     }
 
-    /// This life said good-bye, which holds whatever else comes in of it, and says
-    /// nothing of a later one under the same id. It may still finish what it runs.
-    /// Returns whether that is news.
+    /// Records that a generation is departing, and returns whether this was unknown.
+    ///
+    /// The departure is final whatever else arrives from this generation, and does not
+    /// affect a later one with the same target id. The target may still finish the calls
+    /// that it runs.
     pub fn leave(&mut self, upstream: &str) -> bool {
         if self.departed.iter().any(|it| it == upstream) {
             return false;
@@ -161,7 +167,8 @@
         true
     }
 
-    /// Whether a heartbeat of this life can only be a late one.
+    /// Whether this generation has ended or is departing, so that its heartbeats can only
+    /// be late ones.
     fn is_over(&self, upstream: &str) -> bool {
         let earlier = self.earlier.iter().map(|it| &it.beat.upstream);
         earlier.chain(&self.departed).any(|it| it == upstream)
@@ -176,10 +183,12 @@
         !self.departed.contains(&life.beat.upstream) && !life.beat.draining
     }
 
-    /// The target itself, asked for the life `asked`, answered with the id `actual`. A
-    /// heartbeat that was held up until after a restart of this daemon looks like
-    /// one of a newer life; the target's own answer shows that it was an older
-    /// one. Where another life was heard of since, the answer is the late one.
+    /// Records that the target answered a request for generation `asked` with the target
+    /// id `actual`.
+    ///
+    /// A heartbeat that was delayed until after a restart of this daemon looks like one of
+    /// a newer generation; the target's answer shows that it was from an older one. If
+    /// the generation has changed since the request, the answer is outdated and ignored.
     pub fn answered_as(&mut self, asked: &str, actual: &str) {
         if id_of_life(asked) == actual || !self.is_present(asked) {
             return;
@@ -192,14 +201,13 @@
         }
     }
 
-    /// The target said that it is this life and takes calls. It was asked by this
-    /// process, so whatever it says later (that it drains, or good-bye) comes
-    /// here too.
+    /// Records the target's answer that it is this generation and accepts calls. The answer
+    /// went to this process, so a later drain or departure notice reaches it too.
     ///
-    /// Without this, a daemon that restarted would take a late heartbeat for
-    /// news, and send calls to a target whose good-bye the process before it
-    /// acked. The target's own word is enough: it calls itself ready no more
-    /// from the moment on at which it begins to leave, which is before any ack.
+    /// Without the confirmation, a restarted daemon would accept a late heartbeat and send
+    /// calls to a target whose departure the previous process acknowledged. The target's
+    /// answer is sufficient: it stops reporting itself ready when it begins to leave, which
+    /// is before any acknowledgement.
     pub fn confirm(&mut self, upstream: &str) {
         let life = self.present.as_mut();
         if let Some(life) = life.filter(|it| it.beat.upstream == upstream) {
@@ -207,7 +215,7 @@
         }
     }
 
-    /// The target, where it takes new calls.
+    /// Returns the target's last heartbeat if the target accepts new calls.
     #[must_use]
     pub fn admits(&self, now: Time) -> Option<&Heartbeat> {
         let life = self.heard_lately(now)?;
@@ -215,26 +223,27 @@
         is_open.then_some(&life.beat)
     }
 
-    /// The service of the target, if one was ever heard of.
+    /// Returns the target's service; none before the first heartbeat.
     #[must_use]
     pub fn service(&self) -> Option<&SmolStr> {
         self.present.as_ref().map(|it| &it.beat.service)
     }
 
-    /// The present life of the target, if one was ever heard of.
+    /// Returns the id of the target's current generation; none before the first heartbeat.
     #[must_use]
     pub fn life(&self) -> Option<&SmolStr> {
         self.present.as_ref().map(|it| &it.beat.upstream)
     }
 
-    /// Whether the target still warms up after its start, by its own last word.
+    /// Whether the target is still warming up, according to its last heartbeat.
     #[must_use]
     pub fn is_cold(&self, now: Time) -> bool {
         let life = self.present.as_ref();
         life.is_some_and(|it| it.heard + it.beat.cold > now)
     }
 
-    /// What peers are told; nothing of a target that is yet to be confirmed.
+    /// Returns the announcement of the target for peers. There is none while the target is
+    /// silent or is yet to be confirmed.
     #[must_use]
     pub fn announced(&self, now: Time) -> Option<Announced> {
         let life = self.heard_lately(now)?;
--- a/crates/membership/tests/all/codec.rs
+++ b/crates/membership/tests/all/codec.rs
@@ -1,4 +1,4 @@
-//! What arrives on the wire.
+//! Encoding and validation of messages.
 
 use stoatstep_membership::{Exchange, Mark, Member, Row, RowError, starting_incarnation};
 
--- a/crates/membership/tests/all/failures.rs
+++ b/crates/membership/tests/all/failures.rs
@@ -1,4 +1,4 @@
-//! Failures that the safeguards are there for.
+//! Failures of daemons, networks and zones, and the safeguards against them.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
 #[test]
 fn messages_at_rest_are_tens_of_bytes() {
     let mut fleet = settled(4, 8);
-    // Soon after a start of all: rows that everyone has must not go on being
-    // told for minutes.
+    // This is shortly after a start of the whole fleet: rows that every daemon holds
+    // must not be sent on for minutes.
     fleet.run(Duration::from_secs(10));
     fleet.bytes = 0;
     fleet.run(Duration::from_mins(1));
@@ -38,9 +38,9 @@
 
 #[test]
 fn news_that_all_have_is_soon_told_no_more() {
-    // A whole fleet starts. Each daemon would go on telling all rows for as many
-    // rounds as an epidemic may need, though every table was complete long ago,
-    // and spend the byte budget of minutes on it.
+    // A whole fleet starts. Daemons must not send all rows for as many rounds as an
+    // epidemic may need although every table is complete: that would take the traffic
+    // budget of minutes.
     let mut fleet = Fleet::new(4, 24);
     while !fleet.agreed() {
         fleet.run(Duration::from_secs(1));
@@ -54,9 +54,9 @@
 
 #[test]
 fn a_dead_daemon_is_known_everywhere_and_only_it() {
-    // A caller's call goes to a target whose daemon was killed. Probes miss it,
-    // helpers miss it, it does not refute, and so its zone says it is dead; the
-    // other zones take that word. Without it, calls go there for ever.
+    // A daemon is killed: direct and indirect probes fail and it does not refute, so its
+    // zone declares it dead, and the other zones accept that. Otherwise calls would go
+    // to its target for ever.
     let mut fleet = settled(3, 6);
     let dead = key(1, 2);
     fleet.nodes.remove(&dead);
@@ -69,9 +69,9 @@
 
 #[test]
 fn a_departure_is_known_everywhere_within_two_seconds() {
-    // A caller's call goes to a target that is leaving, which refuses it, and
-    // the retry costs time. The word must not wait for ten rounds of probes:
-    // fresh news is sent eagerly for its first ticks.
+    // A leaving target refuses calls, and each retry costs time. The departure must not
+    // take ten rounds of probes to spread: fresh updates are sent outside of the probe
+    // schedule for their first ticks.
     let mut fleet = settled(4, 12);
     let leaving = key(2, 3);
     fleet.input(leaving, Input::Leave);
@@ -81,9 +81,9 @@
 
 #[test]
 fn a_cut_zone_kills_nobody() {
-    // A caller in a zone that is cut off gets no answer, because every other
-    // zone's members were declared dead, and after the cut heals both sides
-    // have empty tables. Only own-zone probes may lead to a death.
+    // A zone is cut off. If failed probes to other zones led to deaths, callers in the
+    // zone would get no answer, and both sides would have empty tables after the cut
+    // heals. Only probes within a zone may lead to a death.
     let mut fleet = settled(3, 5);
     fleet.cut_zones.insert("z1".into());
     fleet.run(Duration::from_mins(3));
@@ -106,9 +106,9 @@
 
 #[test]
 fn a_daemon_that_lost_its_network_does_not_empty_its_table() {
-    // One daemon's link fails for a while. All its probes fail, so it would
-    // declare its zone dead and spread that word when it is back: callers then
-    // see targets vanish that are well. It must suspect itself instead.
+    // One daemon loses its network for a while, so all of its probes fail. If it declared
+    // its zone dead and spread that after it reconnected, healthy targets would vanish for
+    // callers. It must conclude that it is isolated itself.
     let mut fleet = settled(2, 8);
     let alone = key(0, 0);
     fleet.cut_nodes.insert(alone);
@@ -125,9 +125,9 @@
 
 #[test]
 fn who_wakes_from_a_freeze_declares_nobody_dead() {
-    // A process is stopped while two peers are under suspicion. Its timers run
-    // out during the freeze; firing them on waking would spread deaths that the
-    // peers refuted long ago, and callers lose healthy targets.
+    // A process is frozen while it holds a peer for suspect. The peer's timer expires
+    // during the freeze. If it fired on resumption, the process would spread a death that
+    // the peer refuted long ago, and callers would lose a healthy target.
     let mut fleet = settled(1, 6);
     let sleeper = key(0, 0);
     let suspect = key(0, 1);
@@ -152,10 +152,10 @@
 
 #[test]
 fn a_restarted_daemon_is_found_while_the_platform_is_out() {
-    // A daemon restarts at its address while the platform is down, so it can
-    // read no roster and knows nobody. Its callers wait. Peers that hold it
-    // dead still knock at its address, and their message carries the highest
-    // version that its last life reported.
+    // A daemon restarts at its address while the platform is down, so it can't read the
+    // roster and knows no peers, and its callers wait. Peers that hold it for dead still
+    // probe its address, and their messages carry the highest version that its former
+    // process reported.
     let mut fleet = settled(2, 5);
     let again = key(0, 0);
     let mark = stoatstep_membership::Mark {
@@ -168,7 +168,7 @@
     fleet.run(Duration::from_secs(20));
     assert!(fleet.all_see(again, MemberState::Dead));
     fleet.seen.clear();
-    // Its wall clock went back: it must still overrule its former life.
+    // Its wall clock went back: it must still override the state of its former process.
     fleet.start(member(0, 0, 900), &[]);
     fleet.run(Duration::from_secs(30));
     assert!(fleet.all_see(again, MemberState::Alive));
@@ -186,9 +186,9 @@
 
 #[test]
 fn a_frozen_process_learns_of_its_successor() {
-    // An instance's process froze, and a new one was started under its id. The
-    // old one wakes and would go on answering callers with an old version. Its
-    // first exchange tells it that a newer process bears its id.
+    // An instance's process froze, and a new one was started under its id. When the old
+    // one resumes, it would go on answering callers with an old configuration. Its first
+    // exchange must tell it that a newer process has its id.
     let mut fleet = settled(1, 4);
     let key0 = key(0, 0);
     let mut old = fleet.nodes[&key0].clone();
@@ -212,9 +212,9 @@
 
 #[test]
 fn an_announcement_of_the_long_dead_raises_nobody() {
-    // The platform keeps the row of an instance that crashed days ago. A
-    // starting daemon reads it; were it taken for a member, calls would go to
-    // an address where nobody is, and the word would spread through the fleet.
+    // The platform keeps the row of an instance that crashed days ago, and a daemon reads
+    // it. If the row were taken for a live member, calls would go to an address at which
+    // nothing listens, and the row would spread through the fleet.
     let mut fleet = settled(1, 4);
     let rows = vec![Row::from(&member(5, 5, 10))];
     fleet.input(key(0, 0), Input::Announced { rows });
@@ -227,9 +227,9 @@
 
 #[test]
 fn the_age_of_the_head_grows_though_everyone_repeats_it() {
-    // The platform goes away. Each daemon repeats to the others how long ago
-    // its head was read; were ages rounded down, they would confirm each other
-    // for ever and nobody would begin to ask for itself.
+    // The platform is down. Daemons tell each other how long ago its head was read. If the
+    // ages were rounded down, daemons would keep confirming them to each other and none
+    // would start to poll the platform itself.
     let mut fleet = settled(1, 6);
     fleet.run(Duration::from_millis(500));
     fleet.input(key(0, 0), Input::HeadRead);
@@ -242,8 +242,8 @@
 
 #[test]
 fn what_the_dead_leave_behind_is_cleaned_up_by_their_own_zone() {
-    // An instance crashes and nobody starts it again. Its announcement row would
-    // stay for ever, and every daemon that starts would knock at its address.
+    // An instance crashes and is not started again. If nothing deleted its announcement
+    // row, every daemon that starts would contact its address.
     let mut fleet = settled(2, 4);
     fleet.nodes.remove(&key(1, 1));
     fleet.run(Duration::from_mins(11));
@@ -258,9 +258,9 @@
     assert_eq!(zones, ["z1"; 3]);
 }
 
-/// A target drains, and its daemon, which acked that, is replaced. The new process
-/// knows nothing of it; were it to take a late heartbeat for news, it would send
-/// calls to a target that is about to end. Its peers tell it.
+/// A target drains, and its daemon, which acknowledged that, is replaced. The new process
+/// does not know of the drain; if it accepted a late heartbeat, it would send calls to a
+/// target that is about to end. Its peers must inform it.
 #[test]
 fn a_restarted_daemon_hears_that_its_target_drains() {
     let mut old = Membership::new(member(0, 1, 1_000), Config::default(), 1);
@@ -282,8 +282,8 @@
     );
 }
 
-/// One exchange from the first to the second, which has its row from the platform;
-/// gives what the first is to do.
+/// Runs one exchange from the first daemon to the second, after both have read the other's
+/// platform row. Returns the first daemon's actions.
 fn introduce(one: &mut Membership, other: &mut Membership) -> Vec<Action> {
     let rows = vec![one.announcement().row];
     other.handle(Time::ZERO, Input::Announced { rows });
@@ -299,7 +299,7 @@
     one.handle(Time::ZERO, Input::Replied { peer, reply })
 }
 
-/// Bytes between zones that 96 members spend at rest in so long.
+/// Returns the bytes that the fleet sends between zones in the given time.
 fn at_rest(fleet: &mut Fleet, time: Duration) -> usize {
     let before = fleet.cross_bytes;
     fleet.run(time);
@@ -308,10 +308,10 @@
 
 #[test]
 fn one_change_costs_other_zones_a_few_copies() {
-    // Callers notice nothing; the links between zones do. A third of the targets is
-    // replaced, which is three changes each. Where everyone passes every change on to
-    // every zone, each costs 42 KB between zones here and 460 KB in a fleet of 300. Its
-    // own zone tells the others a few times, and they tell themselves.
+    // Replacing a third of the targets makes three changes for each. If every daemon sent
+    // every change to every zone, one change would cost 42 KB between zones here and
+    // 460 KB in a fleet of 300. The zone in which it happens must send the others only a
+    // few copies, which they spread on their own.
     let mut fleet = settled(6, 16);
     fleet.run(Duration::from_secs(20));
     let rest = at_rest(&mut fleet, Duration::from_secs(5));
@@ -326,10 +326,9 @@
 
 #[test]
 fn a_start_of_all_costs_other_zones_a_few_tables() {
-    // All instances lose power at once and come back with callers waiting. Every daemon
-    // learns of every other, and what it takes from other zones its whole zone takes.
-    // Were each to fetch it for itself, links between zones would carry the table of the
-    // fleet hundreds of times.
+    // All instances lose power at once and restart with callers waiting. If each daemon
+    // pulled the tables of other zones for itself, the links between zones would carry the
+    // fleet's table hundreds of times. A few relays must pull them for their whole zone.
     let mut fleet = Fleet::new(6, 16);
     fleet.run(Duration::from_secs(10));
     assert!(fleet.agreed(), "all know all");
@@ -339,10 +338,10 @@
 
 #[test]
 fn zones_whose_links_come_back_agree_again_without_a_change() {
-    // A zone is cut off, and one of its targets leaves meanwhile. The word that the zone
-    // sent to the others is lost, and nothing new happens after the cut: callers of the
-    // other zones would go on calling a target that refuses. Tables are compared across
-    // zones too, and the few daemons that compare for their zone pass on what they find.
+    // A zone is cut off, and one of its targets leaves meanwhile. The updates to other
+    // zones are lost, and nothing changes after the cut heals: callers in other zones would
+    // go on calling a target that refuses. The relays of each zone compare tables across
+    // zones and must spread what they find.
     let mut fleet = settled(4, 8);
     fleet.cut_zones.insert("z2".into());
     let leaving = key(2, 3);
@@ -356,10 +355,11 @@
 
 #[test]
 fn a_zone_whose_relays_are_gone_for_good_learns_of_the_others() {
-    // A zone loses power, half of it stays dark, and the rest starts again beside a fleet in
-    // which nothing is new: only whole tables tell it who is there. It reads the rows that
-    // all left. Were the dark ones still taken for those that compare tables for the zone,
-    // nobody would at first, and its callers would find few targets elsewhere.
+    // A zone loses power, half of it stays down, and the rest restarts beside a fleet in
+    // which nothing changes, so it learns of the other zones only by pulling tables. It
+    // reads the platform rows of all instances. If those that stay down counted as the
+    // zone's relays, nobody would pull tables at first, and callers would find few targets
+    // in other zones.
     let all: Vec<Row> = (0..3)
         .flat_map(|zone| (0..12).map(move |n| Row::from(&member(zone, n, 1000))))
         .collect();
--- a/crates/membership/tests/all/fleet.rs
+++ b/crates/membership/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! A handful of machines that talk through a fake network.
+//! Simulated fleet: membership state machines connected by an in-memory network.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -35,14 +35,15 @@
 pub(crate) struct Fleet {
     pub(crate) now: Time,
     pub(crate) nodes: BTreeMap<MemberKey, Membership>,
-    /// When each process started: its machine counts from there.
+    /// Start time of each process, from which its state machine counts time.
     started: BTreeMap<MemberKey, Time>,
     pub(crate) frozen: BTreeSet<MemberKey>,
     pub(crate) cut_zones: BTreeSet<String>,
     pub(crate) cut_nodes: BTreeSet<MemberKey>,
     pub(crate) seen: Vec<(MemberKey, Action)>,
-    /// Bytes of all messages, and of those between zones.
+    /// Bytes of all messages.
     pub(crate) bytes: usize,
+    /// Bytes of the messages between zones.
     pub(crate) cross_bytes: usize,
 }
 
@@ -130,7 +131,7 @@
         self.seen.push((at, action));
     }
 
-    /// Time since a process started.
+    /// Returns the time since a process started.
     fn clock(&self, at: MemberKey) -> Time {
         let started = self.started.get(&at).copied().unwrap_or_default();
         self.now.saturating_sub(started)
--- a/crates/membership/tests/all/local_target.rs
+++ b/crates/membership/tests/all/local_target.rs
@@ -32,7 +32,8 @@
     target.admits(now).map(|it| it.upstream.as_str())
 }
 
-/// A target of which each life given was heard and confirmed, in this order.
+/// Returns a target after a heartbeat and a confirmation of each given generation, in this
+/// order.
 fn after(lives: &[&str]) -> LocalTarget {
     let mut target = LocalTarget::new(INTERVAL);
     for life in lives {
@@ -42,9 +43,8 @@
     target
 }
 
-/// A daemon that has just started knows nothing of its target. The target may
-/// have been told by the daemon before it that its drain is known, and a call
-/// sent to it then comes too late.
+/// A daemon that has just started does not know its target's state. The previous daemon
+/// process may have acknowledged the target's drain, after which calls arrive too late.
 #[test]
 fn nothing_is_admitted_before_the_first_heartbeat() {
     let mut target = LocalTarget::new(INTERVAL);
@@ -56,9 +56,9 @@
     assert_eq!(admitted(&target, at(0)), Some("a"));
 }
 
-/// A daemon acked its target's good-bye and was restarted. A heartbeat from before
-/// the good-bye arrives late, and no peer has answered yet. It is no reason to
-/// send calls: only the target's own word is.
+/// A daemon acknowledged its target's departure and was restarted. A heartbeat from before
+/// the departure arrives late, and no peer has answered yet. Calls must not be sent before
+/// the target itself has confirmed the generation.
 #[test]
 fn a_heartbeat_alone_admits_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
@@ -73,8 +73,8 @@
     assert_eq!(target.unconfirmed(at(100)), None);
 }
 
-/// The target says that it drains, or good-bye, while it is being asked, and its
-/// answer from just before comes in after that.
+/// The target announces its drain or its departure while a confirmation is under way, and
+/// its earlier answer arrives after that.
 #[test]
 fn a_confirmation_does_not_undo_a_drain_or_a_good_bye() {
     let mut drains = LocalTarget::new(INTERVAL);
@@ -90,8 +90,8 @@
     assert_eq!(leaves.unconfirmed(at(20)), None);
 }
 
-/// The target crashes while it is being asked, and starts again. The answer of the
-/// life before says nothing about the present one, whichever comes in first.
+/// The target crashes while a confirmation is under way, and restarts. The answer of the
+/// former generation does not apply to the current one, whichever arrives first.
 #[test]
 fn an_answer_for_an_earlier_life_changes_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
@@ -124,8 +124,8 @@
     assert_eq!(admitted(&target, at(100)), None);
 }
 
-/// The target crashed and started again. A heartbeat of its earlier life was
-/// held up on the way and comes in last; it must not bring that life back.
+/// The target crashed and restarted. A delayed heartbeat of the earlier generation arrives
+/// last; it must not bring that generation back.
 #[test]
 fn a_late_heartbeat_of_an_earlier_life_changes_nothing() {
     let mut target = after(&["a", "b"]);
@@ -133,8 +133,9 @@
     assert_eq!(admitted(&target, at(200)), Some("b"));
 }
 
-/// The same, but the daemon was restarted in between and does not know that "a"
-/// is the earlier life. The target's own answer names the life that it is.
+/// A delayed heartbeat of the earlier generation "a" arrives at a daemon that was restarted
+/// and does not know that "a" is the earlier one. The target's answer tells which
+/// generation is running.
 #[test]
 fn the_targets_own_answer_settles_which_life_is_the_present_one() {
     let mut target = after(&["b"]);
@@ -166,9 +167,9 @@
     assert_eq!(admitted(&target, at(3_200)), Some("a"));
 }
 
-/// A daemon was restarted, and the first that it hears is its target's good-bye,
-/// which it acks. A heartbeat from before the good-bye was held up and comes in
-/// next: it looks like one of a new target that takes calls.
+/// The first message that a restarted daemon gets is its target's departure notice, which
+/// it acknowledges. A delayed heartbeat from before the departure arrives next, and looks
+/// like one of a new target that accepts calls.
 #[test]
 fn a_good_bye_holds_for_a_life_that_was_not_known_before() {
     let mut target = LocalTarget::new(INTERVAL);
@@ -187,7 +188,7 @@
     }
 }
 
-/// The life of target "a" that began at 1000, heard and confirmed.
+/// Returns the state after the generation of target "a" that started at 1000 was confirmed.
 fn born_at_1000() -> LocalTarget {
     let mut target = LocalTarget::new(INTERVAL);
     target.hear(beat_of(1_000, 70), at(0));
@@ -203,9 +204,9 @@
     assert_eq!(id_of_life("i-7"), "i-7");
 }
 
-/// A target crashes and starts again under its id. Its heartbeats count from one again:
-/// by their numbers alone all of them would be late ones, and the target would get no
-/// calls for as long as the life before had lasted.
+/// A target crashes and restarts under its id, and its heartbeats count from one again. By
+/// their sequence numbers alone they would all be stale, and the target would get no calls
+/// for as long as the former generation had lasted.
 #[test]
 fn a_target_that_starts_again_under_its_id_is_another_life() {
     let mut target = born_at_1000();
@@ -215,7 +216,8 @@
     assert_eq!(admitted(&target, at(100)), Some("a#2000"));
 }
 
-/// The same, and a heartbeat of the life before was held up by a partition.
+/// A target restarted under its id, and a heartbeat of the former generation was delayed by
+/// a partition.
 #[test]
 fn a_late_heartbeat_of_the_former_birth_changes_nothing() {
     let mut target = born_at_1000();
@@ -227,8 +229,8 @@
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
 }
 
-/// A target said good-bye, was acked, and starts again under its id. The good-bye
-/// was that of the life before, and still holds for it.
+/// A target announced its departure, got an acknowledgement, and restarts under its id. The
+/// departure still holds for the former generation and must not affect the new one.
 #[test]
 fn a_departure_does_not_bind_the_next_birth_nor_is_it_lifted_by_it() {
     let mut target = born_at_1000();
@@ -245,7 +247,7 @@
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
 }
 
-/// The target answers with its id alone, which says nothing about the birth.
+/// The target answers with its id alone, which does not identify a generation.
 #[test]
 fn an_answer_under_the_same_id_keeps_the_present_birth() {
     let mut target = born_at_1000();
--- a/crates/membership/tests/all/merging.rs
+++ b/crates/membership/tests/all/merging.rs
@@ -1,4 +1,4 @@
-//! Words that cross each other lead to one end.
+//! Tables converge regardless of the order in which updates arrive.
 
 use stoatstep_membership::{Action, Config, Input, MemberState, Membership, Row};
 
@@ -23,10 +23,10 @@
 
 #[test]
 fn any_order_of_words_ends_in_the_same_table() {
-    // Two daemons hear of a suspicion, its refutation and a departure in
-    // different orders. If order mattered, one would send calls to a target
-    // that the other knows to be leaving, and their digests would differ for
-    // ever. Every rotation of the rows, applied twice over, must agree.
+    // Two daemons receive a suspicion, its refutation and a departure in different
+    // orders. If order mattered, one would send calls to a target that the other
+    // knows to be leaving, and their digests would differ for ever. Every rotation
+    // of the rows, applied twice, must lead to the same table.
     let mut digests = Vec::new();
     for shift in 0..5 {
         let mut rows = rows();
@@ -49,10 +49,10 @@
     assert_eq!(digests.len(), 1);
 }
 
-/// A daemon left as planned and started again. Another one reads the new process's
-/// row at the platform before it hears from it. What it makes of its table, such as
-/// where calls go, has to follow at once: the new process's own words bring nothing
-/// that is newer, so no later moment would tell.
+/// A daemon shuts down gracefully and restarts. A peer reads the new process's row from
+/// the platform before any message of that process. This must be reported as a change at
+/// once, since the routing of calls depends on it: the new process's own messages bring
+/// nothing newer, so no later change would be reported.
 #[test]
 fn a_member_that_a_platform_row_brings_back_is_a_change() {
     let mut node = Membership::new(member(0, 0, 5), Config::default(), 1);
@@ -84,9 +84,9 @@
 
 #[test]
 fn a_process_that_just_started_does_not_yield_to_its_former_life() {
-    // An instance restarts after its wall clock was set back, and reads its own
-    // old row at the platform. Taking that for a newer process, it would stop,
-    // and so would each process after it.
+    // An instance restarts after its wall clock was set back, and reads its own old row
+    // from the platform. If it took that for a newer process, it would stop, and so
+    // would every process started after it.
     let mut node = Membership::new(member(0, 0, 900), Config::default(), 1);
     let rows = vec![Row::from(&member(0, 0, 1000))];
     let actions = node.handle(std::time::Duration::ZERO, Input::Announced { rows });
@@ -97,9 +97,9 @@
 
 #[test]
 fn news_of_a_strangers_death_is_not_taken_up() {
-    // Tables forget the dead at different times. Were a death of someone
-    // unknown taken up, each would learn it anew from those who have not
-    // forgotten yet, and it would go round for ever.
+    // Tables forget dead members at different times. If a death of an unknown member
+    // were merged, each table would take it back from those that have not forgotten it
+    // yet, and it would circulate for ever.
     let mut node = Membership::new(member(0, 0, 5), Config::default(), 1);
     let mut dead = member(0, 1, 5);
     dead.state = MemberState::Dead;
