--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -224,9 +224,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::BadLabel => f.write_str("an id or label is empty or too long"),
-            Self::BeforeBirth => {
-                f.write_str("the incarnation is lower than the one of the process's start")
-            }
+            Self::BeforeBirth => f.write_str("the incarnation is below the starting incarnation"),
             Self::UnknownState(state) => write!(f, "unknown member state {state}"),
         }
     }
