--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,22 +15,22 @@
 
 mod action;
 mod config;
-mod guard;
-mod hearing;
-mod life;
+mod generation;
+mod isolation;
 mod local_target;
 mod machine;
 mod member;
 mod probe;
-mod silence;
+mod probe_failure;
+mod receive;
 mod table;
 mod tick;
-mod updates;
+mod update_queue;
 mod wire;
 
 pub use action::{Action, Input};
 pub use config::Config;
-pub use life::{Birth, id_of_life, life_name};
+pub use generation::{Birth, id_of_life, life_name};
 pub use local_target::{Heard, Heartbeat, LocalTarget};
 pub use machine::Membership;
 pub use member::{
--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -12,7 +12,7 @@
 
 use smol_str::SmolStr;
 
-use crate::life::{self, Birth, id_of_life, life_name};
+use crate::generation::{self, Birth, id_of_life, life_name};
 use crate::member::{Announced, Time};
 
 /// Intervals without a heartbeat after which the target counts as gone. One heartbeat
@@ -75,7 +75,7 @@
     fn outlives(&self, beat: &Heartbeat) -> bool {
         let has_same_id = id_of_life(&self.beat.upstream) == id_of_life(&beat.upstream);
         let hides_birth = has_same_id && self.beat.born.is_some() && beat.born.is_none();
-        hides_birth || life::is_earlier(beat.born, self.beat.born)
+        hides_birth || generation::is_earlier(beat.born, self.beat.born)
     }
 }
 
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -7,11 +7,11 @@
 
 use crate::action::{Action, Input};
 use crate::config::Config;
-use crate::guard::Guard;
+use crate::isolation::Guard;
 use crate::member::{Announced, Member, MemberKey, MemberState, Time};
 use crate::probe::{Helpers, Round};
 use crate::table::{Entry, Table};
-use crate::updates::{Audience, Reach, Updates};
+use crate::update_queue::{Audience, Reach, Updates};
 use crate::wire::{Announcement, Exchange, Mark, Row, Word, ZoneDigest};
 
 /// Results of comparing digests with the tables of a group of peers.
