--- a/crates/membership/src/generation.rs
+++ b/crates/membership/src/generation.rs
@@ -35,6 +35,6 @@
 /// Whether a generation that started at `one` has ended, given that another one at the
 /// same address started at `other`. Returns false if either start time is unknown.
 #[must_use]
-pub(crate) fn is_earlier(one: Option<Birth>, other: Option<Birth>) -> bool {
+pub(crate) fn started_before(one: Option<Birth>, other: Option<Birth>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one < other)
 }
--- a/crates/membership/src/isolation.rs
+++ b/crates/membership/src/isolation.rs
@@ -8,14 +8,14 @@
 use crate::member::{MemberKey, Time};
 
 /// Age after which a probe's outcome is discarded.
-const WINDOW: Duration = Duration::from_secs(10);
+const OUTCOME_WINDOW: Duration = Duration::from_secs(10);
 
 /// Number of own-zone peers that must have failed before this daemon can count as
 /// isolated.
-const MIN_FAILED: usize = 3;
+const MIN_FAILED_PEERS: usize = 3;
 
 /// Consecutive failures from which a zone counts as unreachable.
-const ZONE_FAILURES: u32 = 2;
+const ZONE_FAILURE_THRESHOLD: u32 = 2;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Outcome {
@@ -34,15 +34,15 @@
 /// zone really lost most of its members and all links to other zones: its dead
 /// members then stay in the tables as unreached, which costs retries only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Guard {
+pub(crate) struct IsolationDetector {
     outcomes: VecDeque<Outcome>,
     zones: BTreeMap<SmolStr, u32>,
 }
 
-impl Guard {
+impl IsolationDetector {
     /// Records the outcome of one contact. Returns the zone's new reachability if
     /// it changed.
-    pub(crate) fn note(
+    pub(crate) fn record(
         &mut self,
         now: Time,
         peer: MemberKey,
@@ -61,37 +61,37 @@
         if own_zone {
             return None;
         }
-        self.note_zone(zone, reached)
+        self.record_zone(zone, reached)
     }
 
-    fn note_zone(&mut self, zone: &SmolStr, reached: bool) -> Option<bool> {
+    fn record_zone(&mut self, zone: &SmolStr, reached: bool) -> Option<bool> {
         let failures = self.zones.entry(zone.clone()).or_default();
-        let before = *failures >= ZONE_FAILURES;
+        let before = *failures >= ZONE_FAILURE_THRESHOLD;
         *failures = if reached {
             0
         } else {
             failures.saturating_add(1)
         };
-        let after = *failures >= ZONE_FAILURES;
+        let after = *failures >= ZONE_FAILURE_THRESHOLD;
         (before != after).then_some(!after)
     }
 
     pub(crate) fn expire(&mut self, now: Time) {
-        self.outcomes.retain(|it| it.at + WINDOW >= now);
+        self.outcomes.retain(|it| it.at + OUTCOME_WINDOW >= now);
     }
 
     /// Whether this daemon is more likely isolated than its peers are dead.
-    pub(crate) fn cut_off(&self) -> bool {
+    pub(crate) fn is_isolated(&self) -> bool {
         let own = || self.outcomes.iter().filter(|it| it.own_zone);
         let failed = own().filter(|it| !it.reached).count();
         let elsewhere = self.outcomes.iter().any(|it| !it.own_zone && it.reached);
-        failed >= MIN_FAILED && failed * 2 > own().count() && !elsewhere
+        failed >= MIN_FAILED_PEERS && failed * 2 > own().count() && !elsewhere
     }
 
-    pub(crate) fn reachable(&self, zone: &str) -> bool {
+    pub(crate) fn is_reachable(&self, zone: &str) -> bool {
         self.zones
             .get(zone)
-            .is_none_or(|failures| *failures < ZONE_FAILURES)
+            .is_none_or(|failures| *failures < ZONE_FAILURE_THRESHOLD)
     }
 
     pub(crate) fn clear(&mut self) {
--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -17,11 +17,11 @@
 
 /// Intervals without a heartbeat after which the target counts as gone. One heartbeat
 /// may be lost and one be late by nearly two seconds.
-const SILENT_INTERVALS: u32 = 3;
+const MAX_SILENT_INTERVALS: u32 = 3;
 
 /// Number of earlier generations that are remembered. It suffices to reject all late
 /// heartbeats of a target that restarts every second for a minute.
-const EARLIER_LIVES: usize = 64;
+const MAX_EARLIER_GENERATIONS: usize = 64;
 
 /// A target's report about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,25 +57,27 @@
 }
 
 #[derive(Clone, Debug)]
-struct Life {
-    beat: Heartbeat,
-    heard: Time,
+struct Generation {
+    heartbeat: Heartbeat,
+    received_at: Time,
     /// Whether the target has answered a request of this process by stating that it is
     /// this generation and accepts calls.
     is_confirmed: bool,
 }
 
-impl Life {
-    /// Whether this generation is newer than the one that sent `beat`: it started later,
-    /// or it reports its start time while `beat` has the same target id and does not.
+impl Generation {
+    /// Whether this generation is newer than the one that sent `heartbeat`: it started later,
+    /// or it reports its start time while `heartbeat` has the same target id and does not.
     ///
     /// A heartbeat that was delayed by a partition arrives after its sender has crashed.
     /// If it were accepted, it would replace the generation that serves, and calls would
     /// wait for a target that is gone.
-    fn outlives(&self, beat: &Heartbeat) -> bool {
-        let has_same_id = id_of_life(&self.beat.upstream) == id_of_life(&beat.upstream);
-        let hides_birth = has_same_id && self.beat.born.is_some() && beat.born.is_none();
-        hides_birth || generation::is_earlier(beat.born, self.beat.born)
+    fn supersedes(&self, heartbeat: &Heartbeat) -> bool {
+        let is_same_target =
+            id_of_life(&self.heartbeat.upstream) == id_of_life(&heartbeat.upstream);
+        let lacks_start_time =
+            is_same_target && self.heartbeat.born.is_some() && heartbeat.born.is_none();
+        lacks_start_time || generation::started_before(heartbeat.born, self.heartbeat.born)
     }
 }
 
@@ -83,8 +85,8 @@
 #[derive(Clone, Debug)]
 pub struct LocalTarget {
     interval: Duration,
-    present: Option<Life>,
-    earlier: VecDeque<Life>,
+    current: Option<Generation>,
+    earlier: VecDeque<Generation>,
     /// Generations that announced their departure. Some may have no heartbeat on record,
     /// since this process may have started after their last one.
     departed: VecDeque<SmolStr>,
@@ -97,36 +99,40 @@
     pub fn new(interval: Duration) -> Self {
         Self {
             interval,
-            present: None,
+            current: None,
             earlier: VecDeque::new(),
             departed: VecDeque::new(),
         }
     }
 
     /// Processes a heartbeat.
-    pub fn hear(&mut self, mut beat: Heartbeat, now: Time) -> Heard {
-        if self.is_over(&beat.upstream) {
+    pub fn hear(&mut self, mut heartbeat: Heartbeat, now: Time) -> Heard {
+        if self.has_ended(&heartbeat.upstream) {
             return Heard::Stale;
         }
-        if let Some(life) = &mut self.present
-            && life.beat.upstream == beat.upstream
+        if let Some(generation) = &mut self.current
+            && generation.heartbeat.upstream == heartbeat.upstream
         {
-            if beat.sequence <= life.beat.sequence {
+            if heartbeat.sequence <= generation.heartbeat.sequence {
                 return Heard::Stale;
             }
             // Calls that are sent after a drain was acknowledged fail, so a generation
             // that has begun to drain never gets calls again.
-            beat.draining |= life.beat.draining;
-            life.beat = beat;
-            life.heard = now;
+            heartbeat.draining |= generation.heartbeat.draining;
+            generation.heartbeat = heartbeat;
+            generation.received_at = now;
             return Heard::Taken;
         }
-        if self.present.as_ref().is_some_and(|it| it.outlives(&beat)) {
+        if self
+            .current
+            .as_ref()
+            .is_some_and(|it| it.supersedes(&heartbeat))
+        {
             return Heard::Stale;
         }
-        self.replace(Life {
-            beat,
-            heard: now,
+        self.replace(Generation {
+            heartbeat,
+            received_at: now,
             is_confirmed: false,
         });
         Heard::Taken
@@ -136,9 +142,9 @@
     /// wait for its confirmation.
     #[must_use]
     pub fn unconfirmed(&self, now: Time) -> Option<&Heartbeat> {
-        let life = self.heard_lately(now)?;
-        let is_open = !life.is_confirmed && self.takes_calls(life);
-        is_open.then_some(&life.beat)
+        let generation = self.live_generation(now)?;
+        let is_open = !generation.is_confirmed && self.accepts_calls(generation);
+        is_open.then_some(&generation.heartbeat)
     }
 
     /// Returns the generation that a departure notice under this target id refers to. A
@@ -146,9 +152,9 @@
     /// can no longer send it.
     #[must_use]
     pub fn life_meant(&self, id: &str, born: Option<Birth>) -> SmolStr {
-        let present = self.present.as_ref().map(|it| &it.beat.upstream);
-        let present = present.filter(|it| born.is_none() && id_of_life(it) == id);
-        present.cloned().unwrap_or_else(|| life_name(id, born))
+        let current = self.current.as_ref().map(|it| &it.heartbeat.upstream);
+        let current = current.filter(|it| born.is_none() && id_of_life(it) == id);
+        current.cloned().unwrap_or_else(|| life_name(id, born))
     }
 
     /// Records that a generation is departing, and returns whether this was unknown.
@@ -161,7 +167,7 @@
             return false;
         }
         self.departed.push_back(upstream.into());
-        if self.departed.len() > EARLIER_LIVES {
+        if self.departed.len() > MAX_EARLIER_GENERATIONS {
             self.departed.pop_front();
         }
         true
@@ -169,18 +175,18 @@
 
     /// Whether this generation has ended or is departing, so that its heartbeats can only
     /// be late ones.
-    fn is_over(&self, upstream: &str) -> bool {
-        let earlier = self.earlier.iter().map(|it| &it.beat.upstream);
+    fn has_ended(&self, upstream: &str) -> bool {
+        let earlier = self.earlier.iter().map(|it| &it.heartbeat.upstream);
         earlier.chain(&self.departed).any(|it| it == upstream)
     }
 
-    fn is_present(&self, upstream: &str) -> bool {
-        let life = self.present.as_ref();
-        life.is_some_and(|it| it.beat.upstream == upstream)
+    fn is_current(&self, upstream: &str) -> bool {
+        let generation = self.current.as_ref();
+        generation.is_some_and(|it| it.heartbeat.upstream == upstream)
     }
 
-    fn takes_calls(&self, life: &Life) -> bool {
-        !self.departed.contains(&life.beat.upstream) && !life.beat.draining
+    fn accepts_calls(&self, generation: &Generation) -> bool {
+        !self.departed.contains(&generation.heartbeat.upstream) && !generation.heartbeat.draining
     }
 
     /// Records that the target answered a request for generation `asked` with the target
@@ -190,13 +196,13 @@
     /// a newer generation; the target's answer shows that it was from an older one. If
     /// the generation has changed since the request, the answer is outdated and ignored.
     pub fn answered_as(&mut self, asked: &str, actual: &str) {
-        if id_of_life(asked) == actual || !self.is_present(asked) {
+        if id_of_life(asked) == actual || !self.is_current(asked) {
             return;
         }
-        let mut lives = self.earlier.iter();
-        let known = lives.rposition(|it| id_of_life(&it.beat.upstream) == actual);
+        let mut earlier = self.earlier.iter();
+        let known = earlier.rposition(|it| id_of_life(&it.heartbeat.upstream) == actual);
         match known.and_then(|at| self.earlier.remove(at)) {
-            Some(life) => self.replace(life),
+            Some(generation) => self.replace(generation),
             None => self.retire(),
         }
     }
@@ -209,73 +215,73 @@
     /// answer is sufficient: it stops reporting itself ready when it begins to leave, which
     /// is before any acknowledgement.
     pub fn confirm(&mut self, upstream: &str) {
-        let life = self.present.as_mut();
-        if let Some(life) = life.filter(|it| it.beat.upstream == upstream) {
-            life.is_confirmed = true;
+        let generation = self.current.as_mut();
+        if let Some(generation) = generation.filter(|it| it.heartbeat.upstream == upstream) {
+            generation.is_confirmed = true;
         }
     }
 
     /// Returns the target's last heartbeat if the target accepts new calls.
     #[must_use]
     pub fn admits(&self, now: Time) -> Option<&Heartbeat> {
-        let life = self.heard_lately(now)?;
-        let is_open = life.is_confirmed && self.takes_calls(life);
-        is_open.then_some(&life.beat)
+        let generation = self.live_generation(now)?;
+        let is_open = generation.is_confirmed && self.accepts_calls(generation);
+        is_open.then_some(&generation.heartbeat)
     }
 
     /// Returns the target's service; none before the first heartbeat.
     #[must_use]
     pub fn service(&self) -> Option<&SmolStr> {
-        self.present.as_ref().map(|it| &it.beat.service)
+        self.current.as_ref().map(|it| &it.heartbeat.service)
     }
 
     /// Returns the id of the target's current generation; none before the first heartbeat.
     #[must_use]
     pub fn life(&self) -> Option<&SmolStr> {
-        self.present.as_ref().map(|it| &it.beat.upstream)
+        self.current.as_ref().map(|it| &it.heartbeat.upstream)
     }
 
     /// Whether the target is still warming up, according to its last heartbeat.
     #[must_use]
     pub fn is_cold(&self, now: Time) -> bool {
-        let life = self.present.as_ref();
-        life.is_some_and(|it| it.heard + it.beat.cold > now)
+        let generation = self.current.as_ref();
+        generation.is_some_and(|it| it.received_at + it.heartbeat.cold > now)
     }
 
     /// Returns the announcement of the target for peers. There is none while the target is
     /// silent or is yet to be confirmed.
     #[must_use]
     pub fn announced(&self, now: Time) -> Option<Announced> {
-        let life = self.heard_lately(now)?;
+        let generation = self.live_generation(now)?;
         if self.unconfirmed(now).is_some() {
             return None;
         }
         Some(Announced {
-            upstream: life.beat.upstream.clone(),
-            service: life.beat.service.clone(),
-            slots: life.beat.slots,
-            draining: !self.takes_calls(life),
-            software: life.beat.software.clone(),
+            upstream: generation.heartbeat.upstream.clone(),
+            service: generation.heartbeat.service.clone(),
+            slots: generation.heartbeat.slots,
+            draining: !self.accepts_calls(generation),
+            software: generation.heartbeat.software.clone(),
         })
     }
 
-    fn heard_lately(&self, now: Time) -> Option<&Life> {
-        let bound = self.interval * SILENT_INTERVALS;
-        let lately = |it: &&Life| now.saturating_sub(it.heard) <= bound;
-        self.present.as_ref().filter(lately)
+    fn live_generation(&self, now: Time) -> Option<&Generation> {
+        let bound = self.interval * MAX_SILENT_INTERVALS;
+        let is_recent = |it: &&Generation| now.saturating_sub(it.received_at) <= bound;
+        self.current.as_ref().filter(is_recent)
     }
 
-    fn replace(&mut self, life: Life) {
+    fn replace(&mut self, generation: Generation) {
         self.retire();
-        self.present = Some(life);
+        self.current = Some(generation);
     }
 
     fn retire(&mut self) {
-        let Some(life) = self.present.take() else {
+        let Some(generation) = self.current.take() else {
             return;
         };
-        self.earlier.push_back(life);
-        if self.earlier.len() > EARLIER_LIVES {
+        self.earlier.push_back(generation);
+        if self.earlier.len() > MAX_EARLIER_GENERATIONS {
             self.earlier.pop_front();
         }
     }
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -7,46 +7,46 @@
 
 use crate::action::{Action, Input};
 use crate::config::Config;
-use crate::isolation::Guard;
+use crate::isolation::IsolationDetector;
 use crate::member::{Announced, Member, MemberKey, MemberState, Time};
-use crate::probe::{Helpers, Round};
+use crate::probe::{IndirectProbes, ProbeRound};
 use crate::table::{Entry, Table};
-use crate::update_queue::{Audience, Reach, Updates};
+use crate::update_queue::{FleetSize, Locality, UpdateQueue};
 use crate::wire::{Announcement, Exchange, Mark, Row, Word, ZoneDigest};
 
 /// Results of comparing digests with the tables of a group of peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Comparison {
+pub(crate) struct TableComparison {
     /// Consecutive exchanges in which the digests differed.
     pub(crate) mismatches: u32,
     /// Time of the first of these mismatches.
-    since: Option<Time>,
+    mismatch_since: Option<Time>,
     /// Earliest time of the next pull.
     pub(crate) next_pull: Time,
 }
 
-impl Comparison {
+impl TableComparison {
     /// Creates an empty comparison that allows the next pull from `next_pull` on.
-    pub(crate) fn anew(next_pull: Time) -> Self {
+    pub(crate) fn with_next_pull(next_pull: Time) -> Self {
         Self {
             next_pull,
             ..Self::default()
         }
     }
 
-    pub(crate) fn note(&mut self, now: Time, is_same: bool) {
+    pub(crate) fn record(&mut self, now: Time, is_same: bool) {
         if is_same {
             self.mismatches = 0;
-            self.since = None;
+            self.mismatch_since = None;
         } else {
             self.mismatches += 1;
-            self.since.get_or_insert(now);
+            self.mismatch_since.get_or_insert(now);
         }
     }
 
     /// Returns for how long the tables have differed.
-    pub(crate) fn lasts(&self, now: Time) -> Time {
-        self.since
+    pub(crate) fn mismatch_duration(&self, now: Time) -> Time {
+        self.mismatch_since
             .map_or(Time::ZERO, |since| now.saturating_sub(since))
     }
 }
@@ -57,12 +57,12 @@
     pub(crate) config: Config,
     pub(crate) me: MemberKey,
     pub(crate) table: Table,
-    pub(crate) updates: Updates,
+    pub(crate) updates: UpdateQueue,
     /// Sizes that determine how often an update is sent.
-    pub(crate) audience: Audience,
-    pub(crate) guard: Guard,
-    pub(crate) round: Round,
-    pub(crate) helpers: Helpers,
+    pub(crate) fleet_size: FleetSize,
+    pub(crate) isolation: IsolationDetector,
+    pub(crate) round: ProbeRound,
+    pub(crate) indirect_probes: IndirectProbes,
     pub(crate) rng: Xoshiro256PlusPlus,
     pub(crate) mark: Mark,
     pub(crate) head_read: Option<Time>,
@@ -70,11 +70,11 @@
     pub(crate) next_probe: Time,
     pub(crate) probes: u32,
     /// Comparison with the tables of peers in this daemon's zone.
-    pub(crate) near: Comparison,
+    pub(crate) own_zone_comparison: TableComparison,
     /// Comparison with the tables of peers in other zones.
-    pub(crate) far: Comparison,
+    pub(crate) other_zones_comparison: TableComparison,
     /// Whether this process has taken in a message or a table of a peer.
-    pub(crate) has_met: bool,
+    pub(crate) has_met_peer: bool,
     pub(crate) actions: Vec<Action>,
 }
 
@@ -85,30 +85,30 @@
         let key = me.key();
         let mut table = Table::default();
         table.merge_row(me, true);
-        let mut updates = Updates::default();
-        let audience = Audience {
-            near: 1,
+        let mut updates = UpdateQueue::default();
+        let fleet_size = FleetSize {
+            own_zone_members: 1,
             other_zones: 0,
         };
-        updates.add(key, audience, true);
+        updates.add(key, fleet_size, true);
         Self {
             config,
             me: key,
             table,
             updates,
-            audience,
-            guard: Guard::default(),
-            round: Round::default(),
-            helpers: Helpers::default(),
+            fleet_size,
+            isolation: IsolationDetector::default(),
+            round: ProbeRound::default(),
+            indirect_probes: IndirectProbes::default(),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             mark: Mark::default(),
             head_read: None,
             last_tick: None,
             next_probe: Time::ZERO,
             probes: 0,
-            near: Comparison::default(),
-            far: Comparison::default(),
-            has_met: false,
+            own_zone_comparison: TableComparison::default(),
+            other_zones_comparison: TableComparison::default(),
+            has_met_peer: false,
             actions: Vec::new(),
         }
     }
@@ -119,9 +119,9 @@
             Input::Tick => self.tick(now),
             Input::Replied { peer, reply } => self.replied(now, peer, reply),
             Input::Unreached { peer } => self.unreached(now, peer),
-            Input::Helped { target, reached } => self.helped(now, target, reached),
+            Input::Helped { target, reached } => self.indirect_probed(now, target, reached),
             Input::TablePulled { rows } => self.table_pulled(rows),
-            Input::Announced { rows } => self.announced(rows),
+            Input::Announced { rows } => self.announcements_read(rows),
             Input::Leave => self.leave(),
             Input::Holds(mark) => self.mark = mark,
             Input::HeadRead => self.head_read = Some(now),
@@ -134,15 +134,15 @@
     pub fn answer(&mut self, now: Time, message: Exchange) -> (Exchange, Vec<Action>) {
         let from = message.from;
         let incarnation = message.incarnation;
-        self.note_agreement(message.table);
-        self.hear(now, from, message, false);
+        self.record_agreement(message.table);
+        self.receive_message(now, from, message, false);
         let mut reply = self.compose(now, from);
         let known = self.table.get(from).map(|it| it.member.incarnation);
         reply.introduce = known.is_none();
         if known.is_some_and(|known| incarnation < known) {
             // A process that was replaced while it was frozen stops only once it
             // learns of its successor.
-            self.tell(&mut reply, from);
+            self.add_member(&mut reply, from);
         }
         (reply, std::mem::take(&mut self.actions))
     }
@@ -210,20 +210,20 @@
     /// zone may do so.
     #[must_use]
     pub fn is_reachable(&self, zone: &str) -> bool {
-        self.guard.reachable(zone)
+        self.isolation.is_reachable(zone)
     }
 
     /// Whether probes succeed to every zone that has present members.
     #[must_use]
     pub fn reaches_every_zone(&self) -> bool {
         let mut present = self.table.present();
-        present.all(|(_, entry)| self.guard.reachable(&entry.member.zone))
+        present.all(|(_, entry)| self.isolation.is_reachable(&entry.member.zone))
     }
 
     /// Whether this daemon seems to be isolated from all other members.
     #[must_use]
     pub fn is_cut_off(&self) -> bool {
-        self.guard.cut_off()
+        self.isolation.is_isolated()
     }
 
     /// Returns the time since the platform's head was last read, by this daemon or by
@@ -246,33 +246,33 @@
     /// can't reach it.
     #[must_use]
     pub fn probe_message(&self, now: Time, member: MemberKey) -> Exchange {
-        self.bare(now, member)
+        self.base_message(now, member)
     }
 
     /// Builds a message for one peer with the updates that are due.
     pub(crate) fn compose(&mut self, now: Time, peer: MemberKey) -> Exchange {
-        let mut message = self.bare(now, peer);
+        let mut message = self.base_message(now, peer);
         let Some(entry) = self.table.get(peer) else {
             return message;
         };
-        let reach = self.reach(entry);
-        for key in self.updates.take(reach) {
-            self.tell(&mut message, key);
+        let locality = self.locality_of(entry);
+        for key in self.updates.next_batch(locality) {
+            self.add_member(&mut message, key);
         }
         let Some(entry) = self.table.get(peer) else {
             return message;
         };
         if entry.member.state != MemberState::Alive {
-            self.tell(&mut message, peer);
+            self.add_member(&mut message, peer);
         }
         let knows_me = entry.confirmed && entry.member.is_present() && entry.contacts > 0;
         if !knows_me {
-            self.tell(&mut message, self.me);
+            self.add_member(&mut message, self.me);
         }
         message
     }
 
-    fn bare(&self, now: Time, peer: MemberKey) -> Exchange {
+    fn base_message(&self, now: Time, peer: MemberKey) -> Exchange {
         // Rounded up: if it were rounded down, daemons would keep confirming an age of
         // zero to each other, and an outage of the platform would go unnoticed.
         let age = self
@@ -294,14 +294,14 @@
 
     /// Adds a member to a message: as a row with its addresses if it is alive, since
     /// the receiver may lack them, and as a state update otherwise.
-    fn tell(&self, message: &mut Exchange, key: MemberKey) {
+    fn add_member(&self, message: &mut Exchange, key: MemberKey) {
         let Some(entry) = self.table.get(key).filter(|it| it.confirmed) else {
             return;
         };
         let member = &entry.member;
-        let is_told = message.words.iter().any(|it| it.0 == key)
+        let is_included = message.words.iter().any(|it| it.0 == key)
             || message.rows.iter().any(|it| it.key() == key);
-        if is_told {
+        if is_included {
             return;
         }
         if member.state == MemberState::Alive {
@@ -327,39 +327,39 @@
         self.actions.push(Action::Changed(me));
     }
 
-    pub(crate) fn spread(&mut self, key: MemberKey) {
+    pub(crate) fn queue_update(&mut self, key: MemberKey) {
         let Some(entry) = self.table.get(key) else {
             return;
         };
         let is_own_zone = self.is_own_zone(entry);
-        self.updates.add(key, self.audience, is_own_zone);
+        self.updates.add(key, self.fleet_size, is_own_zone);
     }
 
     /// Counts the members and zones that updates are spread to. It runs once per tick
     /// rather than on each change, since a start of the whole fleet brings hundreds of
     /// changes.
-    pub(crate) fn count_audience(&self) -> Audience {
-        let own = &self.own().member.zone;
-        let mut near = 0;
-        let mut others = BTreeSet::new();
+    pub(crate) fn measure_fleet(&self) -> FleetSize {
+        let own_zone = &self.own().member.zone;
+        let mut own_zone_members = 0;
+        let mut other_zones = BTreeSet::new();
         for (_, entry) in self.table.present() {
-            if entry.member.zone == *own {
-                near += 1;
+            if entry.member.zone == *own_zone {
+                own_zone_members += 1;
             } else {
-                others.insert(&entry.member.zone);
+                other_zones.insert(&entry.member.zone);
             }
         }
-        Audience {
-            near,
-            other_zones: others.len(),
+        FleetSize {
+            own_zone_members,
+            other_zones: other_zones.len(),
         }
     }
 
-    fn reach(&self, entry: &Entry) -> Reach {
+    fn locality_of(&self, entry: &Entry) -> Locality {
         if self.is_own_zone(entry) {
-            Reach::Near
+            Locality::SameZone
         } else {
-            Reach::Far
+            Locality::OtherZone
         }
     }
 
--- a/crates/membership/src/probe.rs
+++ b/crates/membership/src/probe.rs
@@ -8,16 +8,16 @@
 use crate::member::{MemberKey, Time};
 
 /// Time after which indirect probes without a result count as failed.
-const HELP_TIMEOUT: Time = Time::from_secs(2);
+const INDIRECT_PROBE_TIMEOUT: Time = Time::from_secs(2);
 
 /// Own-zone peers in shuffled order, each probed once per round. This bounds the time
 /// until a given peer is probed, which independent random choice does not.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Round {
+pub(crate) struct ProbeRound {
     order: Vec<MemberKey>,
 }
 
-impl Round {
+impl ProbeRound {
     /// Returns the next peer, and starts a new round from `peers` when the current one
     /// is exhausted.
     pub(crate) fn next(
@@ -34,64 +34,64 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Request {
-    waiting: usize,
-    until: Time,
+struct PendingProbe {
+    outstanding: usize,
+    deadline: Time,
 }
 
 /// Pending indirect probes, by the member that missed a direct one.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Helpers {
-    requests: BTreeMap<MemberKey, Request>,
+pub(crate) struct IndirectProbes {
+    pending: BTreeMap<MemberKey, PendingProbe>,
 }
 
-impl Helpers {
-    pub(crate) fn is_asked(&self, target: MemberKey) -> bool {
-        self.requests.contains_key(&target)
+impl IndirectProbes {
+    pub(crate) fn is_pending(&self, target: MemberKey) -> bool {
+        self.pending.contains_key(&target)
     }
 
-    pub(crate) fn ask(&mut self, now: Time, target: MemberKey, helpers: usize) {
-        let request = Request {
-            waiting: helpers,
-            until: now + HELP_TIMEOUT,
+    pub(crate) fn start(&mut self, now: Time, target: MemberKey, count: usize) {
+        let probe = PendingProbe {
+            outstanding: count,
+            deadline: now + INDIRECT_PROBE_TIMEOUT,
         };
-        self.requests.insert(target, request);
+        self.pending.insert(target, probe);
     }
 
     /// Records the result of one indirect probe. Returns whether it was the last one and
     /// all of them failed.
-    pub(crate) fn answered(&mut self, target: MemberKey, reached: bool) -> bool {
-        let Some(request) = self.requests.get_mut(&target) else {
+    pub(crate) fn record_result(&mut self, target: MemberKey, reached: bool) -> bool {
+        let Some(probe) = self.pending.get_mut(&target) else {
             return false;
         };
-        request.waiting = request.waiting.saturating_sub(1);
-        let settled = reached || request.waiting == 0;
-        if settled {
-            self.requests.remove(&target);
+        probe.outstanding = probe.outstanding.saturating_sub(1);
+        let is_decided = reached || probe.outstanding == 0;
+        if is_decided {
+            self.pending.remove(&target);
         }
-        settled && !reached
+        is_decided && !reached
     }
 
     /// Cancels the indirect probes of a member that has answered.
-    pub(crate) fn settle(&mut self, target: MemberKey) {
-        self.requests.remove(&target);
+    pub(crate) fn cancel(&mut self, target: MemberKey) {
+        self.pending.remove(&target);
     }
 
     /// Removes and returns the members whose indirect probes timed out.
     pub(crate) fn expire(&mut self, now: Time) -> Vec<MemberKey> {
-        let late: Vec<_> = self
-            .requests
+        let expired: Vec<_> = self
+            .pending
             .iter()
-            .filter(|(_, request)| request.until <= now)
+            .filter(|(_, probe)| probe.deadline <= now)
             .map(|(key, _)| *key)
             .collect();
-        for key in &late {
-            self.requests.remove(key);
+        for key in &expired {
+            self.pending.remove(key);
         }
-        late
+        expired
     }
 
     pub(crate) fn clear(&mut self) {
-        self.requests.clear();
+        self.pending.clear();
     }
 }
--- a/crates/membership/src/probe_failure.rs
+++ b/crates/membership/src/probe_failure.rs
@@ -21,20 +21,20 @@
         entry.unreached = true;
         entry.contacts = 0;
         let state = entry.member.state;
-        self.note_contact(now, peer, false);
+        self.record_contact(now, peer, false);
         let own_zone = self.table.get(peer).is_some_and(|it| self.is_own_zone(it));
-        if !own_zone || self.guard.cut_off() {
+        if !own_zone || self.isolation.is_isolated() {
             return;
         }
         match state {
-            MemberState::Alive => self.ask_helpers(now, peer),
-            MemberState::Leaving => self.pronounce(peer, MemberState::Dead),
+            MemberState::Alive => self.start_indirect_probes(now, peer),
+            MemberState::Leaving => self.declare(peer, MemberState::Dead),
             MemberState::Suspect | MemberState::Dead => {}
         }
     }
 
-    fn ask_helpers(&mut self, now: Time, target: MemberKey) {
-        if self.helpers.is_asked(target) {
+    fn start_indirect_probes(&mut self, now: Time, target: MemberKey) {
+        if self.indirect_probes.is_pending(target) {
             return;
         }
         let zone = &self.own().member.zone;
@@ -49,30 +49,30 @@
             .copied()
             .collect();
         if chosen.is_empty() {
-            self.pronounce(target, MemberState::Suspect);
+            self.declare(target, MemberState::Suspect);
             return;
         }
-        self.helpers.ask(now, target, chosen.len());
+        self.indirect_probes.start(now, target, chosen.len());
         for addr in chosen {
             self.actions.push(Action::AskHelper { addr, target });
         }
     }
 
-    pub(crate) fn helped(&mut self, now: Time, target: MemberKey, reached: bool) {
-        self.guard.expire(now);
-        let all_failed = self.helpers.answered(target, reached);
-        if all_failed && !self.guard.cut_off() {
-            self.pronounce(target, MemberState::Suspect);
+    pub(crate) fn indirect_probed(&mut self, now: Time, target: MemberKey, reached: bool) {
+        self.isolation.expire(now);
+        let all_failed = self.indirect_probes.record_result(target, reached);
+        if all_failed && !self.isolation.is_isolated() {
+            self.declare(target, MemberState::Suspect);
         }
     }
 
     /// Declares a member's state as this daemon's own finding and spreads it.
-    pub(crate) fn pronounce(&mut self, key: MemberKey, state: MemberState) {
+    pub(crate) fn declare(&mut self, key: MemberKey, state: MemberState) {
         let Some(incarnation) = self.table.get(key).map(|it| it.member.incarnation) else {
             return;
         };
         if self.table.merge_word(key, incarnation, state) == Merge::Changed {
-            self.changed(key);
+            self.report_change(key);
         }
     }
 }
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -1,7 +1,7 @@
 //! Processing of messages and tables that arrive from peers and of platform rows.
 
 use crate::action::Action;
-use crate::machine::{Comparison, Membership};
+use crate::machine::{Membership, TableComparison};
 use crate::member::{Member, MemberKey, MemberState, Time};
 use crate::table::{Entry, Merge};
 use crate::wire::{Exchange, Row, Word};
@@ -12,32 +12,32 @@
 
 /// Consecutive digest mismatches before a table is pulled while this daemon still has
 /// updates to spread.
-const MISMATCHES_WITH_NEWS: u32 = 8;
+const MISMATCHES_WITH_UPDATES: u32 = 8;
 
 /// Time for which the digests of other zones' daemons must differ before a daemon that is
 /// no relay pulls a table from them itself: its zone's relays most likely can't.
-const FAR_PATIENCE: Time = Time::from_secs(12);
+const RELAY_FALLBACK_DELAY: Time = Time::from_secs(12);
 
 /// Daemons of a zone that pull tables from other zones on behalf of their zone. There are
 /// two, so that the death of one has no effect. When every daemon pulled for itself, a
 /// simultaneous start of 300 took 31 MB between zones (the example `start_at_size`).
-const RELAYS: usize = 2;
+const RELAYS_PER_ZONE: usize = 2;
 
 /// Unanswered contacts after which an unconfirmed instance no longer counts as a relay.
 /// Otherwise rows of instances that are gone for good would leave a zone without relays
 /// until they are forgotten.
-const RELAY_TRIES: u32 = 2;
+const MAX_RELAY_CONTACTS: u32 = 2;
 
 /// Age of the process below which it pulls a table at the first mismatch: after a mass
 /// restart, the first peers that it reaches know as little as it does.
-const SETTLING: Time = Time::from_secs(10);
+const STARTUP_PERIOD: Time = Time::from_secs(10);
 
 /// Rows, and state updates, that are processed of one message. The rest is ignored, so
 /// that a faulty peer cannot cause unbounded work.
-const MAX_NEWS: usize = 64;
+const MAX_UPDATES: usize = 64;
 
 /// Rows that are processed of one pulled table or one read of the roster.
-const MAX_TABLE: usize = 4096;
+const MAX_TABLE_ROWS: usize = 4096;
 
 impl Membership {
     pub(crate) fn replied(&mut self, now: Time, peer: MemberKey, reply: Exchange) {
@@ -46,10 +46,10 @@
             self.unreached(now, peer);
             return;
         }
-        self.helpers.settle(peer);
-        self.note_contact(now, peer, true);
+        self.indirect_probes.cancel(peer);
+        self.record_contact(now, peer, true);
         let introduce = reply.introduce;
-        self.hear(now, peer, reply, true);
+        self.receive_message(now, peer, reply, true);
         let Some(entry) = self.table.get_mut(peer) else {
             return;
         };
@@ -57,22 +57,28 @@
         entry.contacts = if introduce { 0 } else { entry.contacts + 1 };
         if !entry.confirmed {
             entry.confirmed = true;
-            self.changed(peer);
+            self.report_change(peer);
         }
         if introduce {
-            self.spread(self.me);
+            self.queue_update(self.me);
         }
     }
 
     /// Processes a message from a peer. `answered` tells a reply from a request.
-    pub(crate) fn hear(&mut self, now: Time, from: MemberKey, message: Exchange, answered: bool) {
+    pub(crate) fn receive_message(
+        &mut self,
+        now: Time,
+        from: MemberKey,
+        message: Exchange,
+        answered: bool,
+    ) {
         let (own, rows): (Vec<_>, Vec<_>) = message
             .rows
             .into_iter()
-            .take(MAX_NEWS)
+            .take(MAX_UPDATES)
             .partition(|row| row.key() == from);
         for row in own {
-            self.hear_row(row);
+            self.receive_row(row);
         }
         let Some(entry) = self.table.get_mut(from) else {
             return;
@@ -86,12 +92,12 @@
             return;
         }
         for row in rows {
-            self.hear_row(row);
+            self.receive_row(row);
         }
-        for word in message.words.into_iter().take(MAX_NEWS) {
-            self.hear_word(word);
+        for word in message.words.into_iter().take(MAX_UPDATES) {
+            self.receive_state_update(word);
         }
-        self.hear_head_age(now, message.head_age);
+        self.merge_head_age(now, message.head_age);
         if let Some(upstream) = message.drained {
             self.actions.push(Action::TargetDrained(upstream));
         }
@@ -103,10 +109,10 @@
             answered,
         });
         self.compare_tables(now, from, message.table);
-        self.has_met = true;
+        self.has_met_peer = true;
     }
 
-    fn hear_head_age(&mut self, now: Time, age: u16) {
+    fn merge_head_age(&mut self, now: Time, age: u16) {
         if age == u16::MAX {
             return;
         }
@@ -116,13 +122,13 @@
         }
     }
 
-    fn hear_row(&mut self, row: Row) {
+    fn receive_row(&mut self, row: Row) {
         let Ok(member) = Member::try_from(row) else {
             return;
         };
         let key = member.key();
         if key == self.me {
-            self.hear_of_self(&member);
+            self.receive_own_row(&member);
             return;
         }
         // A dead member that is unknown here is not added: tables forget the dead at
@@ -131,18 +137,18 @@
             return;
         }
         if self.table.merge_row(member, true) == Merge::Changed {
-            self.changed(key);
+            self.report_change(key);
         }
     }
 
-    fn hear_word(&mut self, Word(key, incarnation, state): Word) {
+    fn receive_state_update(&mut self, Word(key, incarnation, state): Word) {
         let state = MemberState::from(state);
         if key == self.me {
             self.refute(incarnation, state);
             return;
         }
         if self.table.merge_word(key, incarnation, state) == Merge::Changed {
-            self.changed(key);
+            self.report_change(key);
         }
     }
 
@@ -150,9 +156,9 @@
     /// one, or a newer one that was started while this one was frozen. If the row shows
     /// a higher birth but this process has not met a peer yet, this process is not the
     /// older one: it has just started, with a wall clock that went back.
-    fn hear_of_self(&mut self, row: &Member) {
+    fn receive_own_row(&mut self, row: &Member) {
         let birth = self.own().member.birth;
-        if row.birth > birth && self.has_met {
+        if row.birth > birth && self.has_met_peer {
             self.actions.push(Action::Superseded { birth: row.birth });
             return;
         }
@@ -172,9 +178,9 @@
             return;
         }
         self.raise_incarnation(incarnation);
-        let is_of_former_life = !self.has_met;
+        let is_about_former_process = !self.has_met_peer;
         let me = self.me;
-        if is_of_former_life && let Some(own) = self.table.get_mut(me) {
+        if is_about_former_process && let Some(own) = self.table.get_mut(me) {
             own.member.birth = own.member.incarnation;
         }
     }
@@ -184,13 +190,13 @@
         if let Some(own) = self.table.get_mut(me) {
             own.member.incarnation = own.member.incarnation.max(above) + 1;
         }
-        self.spread(me);
+        self.queue_update(me);
     }
 
     /// Counts a matching digest in a peer's request as agreement about queued updates.
     /// It must be called before the request's own updates are applied. Replies don't
     /// count, since their sender has just applied this daemon's updates.
-    pub(crate) fn note_agreement(&mut self, theirs: u64) {
+    pub(crate) fn record_agreement(&mut self, theirs: u64) {
         if self.updates.is_empty() || theirs != self.table.digest() {
             return;
         }
@@ -201,36 +207,37 @@
             let entry = table.get(key);
             entry.is_none_or(|it| it.member.state != MemberState::Suspect)
         };
-        self.updates.note_agreement(is_in_digest);
+        self.updates.record_agreement(is_in_digest);
     }
 
     fn compare_tables(&mut self, now: Time, peer: MemberKey, digest: u64) {
         let Some(entry) = self.table.get(peer) else {
             return;
         };
-        let is_near = self.is_own_zone(entry);
+        let is_own_zone = self.is_own_zone(entry);
         let is_same = digest == self.table.digest();
-        let patience = self.patience(now);
-        let is_on_own_behalf = !is_near && !is_same && !self.is_relay();
-        let seen = if is_near {
-            &mut self.near
+        let mismatch_threshold = self.mismatch_threshold(now);
+        let is_left_to_relays = !is_own_zone && !is_same && !self.is_relay();
+        let comparison = if is_own_zone {
+            &mut self.own_zone_comparison
         } else {
-            &mut self.far
+            &mut self.other_zones_comparison
         };
-        seen.note(now, is_same);
-        let is_overdue = seen.lasts(now) >= FAR_PATIENCE;
-        let is_due = seen.mismatches >= patience && (is_overdue || !is_on_own_behalf);
-        if is_due && seen.next_pull <= now {
-            self.pull_table(now, peer, is_near);
+        comparison.record(now, is_same);
+        let is_overdue = comparison.mismatch_duration(now) >= RELAY_FALLBACK_DELAY;
+        let is_due =
+            comparison.mismatches >= mismatch_threshold && (is_overdue || !is_left_to_relays);
+        if is_due && comparison.next_pull <= now {
+            self.pull_table(now, peer, is_own_zone);
         }
     }
 
     /// Returns the number of consecutive mismatches from which a table is pulled.
-    fn patience(&self, now: Time) -> u32 {
-        match (now < SETTLING, self.updates.is_empty()) {
+    fn mismatch_threshold(&self, now: Time) -> u32 {
+        match (now < STARTUP_PERIOD, self.updates.is_empty()) {
             (true, _) => 1,
             (false, true) => MISMATCHES_BEFORE_PULL,
-            (false, false) => MISMATCHES_WITH_NEWS,
+            (false, false) => MISMATCHES_WITH_UPDATES,
         }
     }
 
@@ -240,31 +247,31 @@
     /// act as relays. When the whole fleet starts, nobody is confirmed yet, so instances
     /// known only from platform rows count until they had two chances to answer.
     fn is_relay(&self) -> bool {
-        let is_there = |entry: &Entry| {
-            entry.member.is_present() && (entry.confirmed || entry.contacts < RELAY_TRIES)
+        let counts_as_present = |entry: &Entry| {
+            entry.member.is_present() && (entry.confirmed || entry.contacts < MAX_RELAY_CONTACTS)
         };
         let is_before = |(key, entry): &(MemberKey, &Entry)| {
-            *key < self.me && self.is_own_zone(entry) && is_there(entry)
+            *key < self.me && self.is_own_zone(entry) && counts_as_present(entry)
         };
-        self.table.iter().filter(is_before).count() < RELAYS
+        self.table.iter().filter(is_before).count() < RELAYS_PER_ZONE
     }
 
-    fn pull_table(&mut self, now: Time, peer: MemberKey, is_near: bool) {
+    fn pull_table(&mut self, now: Time, peer: MemberKey, is_own_zone: bool) {
         let Some(entry) = self.table.get(peer) else {
             return;
         };
         let interval = self.config.pull_interval;
-        let pause = if now < SETTLING {
+        let pause = if now < STARTUP_PERIOD {
             interval / 5
         } else {
             interval
         };
-        let next = Comparison::anew(now + pause);
+        let next = TableComparison::with_next_pull(now + pause);
         let addr = entry.member.peer;
-        if is_near {
-            self.near = next;
+        if is_own_zone {
+            self.own_zone_comparison = next;
         } else {
-            self.far = next;
+            self.other_zones_comparison = next;
         }
         self.actions.push(Action::PullTable {
             addr,
@@ -273,21 +280,21 @@
     }
 
     pub(crate) fn table_pulled(&mut self, rows: Vec<Row>) {
-        for row in rows.into_iter().take(MAX_TABLE) {
-            self.hear_row(row);
+        for row in rows.into_iter().take(MAX_TABLE_ROWS) {
+            self.receive_row(row);
         }
-        self.has_met = true;
+        self.has_met_peer = true;
     }
 
-    pub(crate) fn announced(&mut self, rows: Vec<Row>) {
-        for row in rows.into_iter().take(MAX_TABLE) {
+    pub(crate) fn announcements_read(&mut self, rows: Vec<Row>) {
+        for row in rows.into_iter().take(MAX_TABLE_ROWS) {
             let Ok(member) = Member::try_from(row) else {
                 continue;
             };
             if member.key() == self.me {
-                self.hear_of_self(&member);
+                self.receive_own_row(&member);
             } else {
-                self.hear_hint(member);
+                self.receive_platform_row(member);
             }
         }
     }
@@ -296,34 +303,34 @@
     /// an address to contact. If it shows a newer process of a confirmed member, that is
     /// reported as a change at once: the process's own messages bring nothing newer, so
     /// no later change would be reported and no calls would be sent there.
-    fn hear_hint(&mut self, member: Member) {
+    fn receive_platform_row(&mut self, member: Member) {
         let key = member.key();
         if self.table.merge_row(member, false) != Merge::Changed {
             return;
         }
         if self.table.get(key).is_some_and(|it| it.confirmed) {
-            self.changed(key);
+            self.report_change(key);
         }
     }
 
-    pub(crate) fn changed(&mut self, key: MemberKey) {
-        self.spread(key);
+    pub(crate) fn report_change(&mut self, key: MemberKey) {
+        self.queue_update(key);
         self.actions.push(Action::Changed(key));
     }
 
-    pub(crate) fn note_contact(&mut self, now: Time, peer: MemberKey, reached: bool) {
+    pub(crate) fn record_contact(&mut self, now: Time, peer: MemberKey, reached: bool) {
         let Some(entry) = self.table.get(peer) else {
             return;
         };
         let zone = entry.member.zone.clone();
         let own_zone = self.is_own_zone(entry);
-        if let Some(reachable) = self.guard.note(now, peer, &zone, own_zone, reached) {
+        if let Some(reachable) = self.isolation.record(now, peer, &zone, own_zone, reached) {
             self.actions.push(Action::ZoneReachable { zone, reachable });
         }
     }
 
     pub(crate) fn leave(&mut self) {
         let me = self.me;
-        self.pronounce(me, MemberState::Leaving);
+        self.declare(me, MemberState::Leaving);
     }
 }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -103,19 +103,19 @@
         if !confirmed && member.birth <= entry.member.birth {
             return Merge::Stale;
         }
-        entry.drained = drained(&member).or(entry.drained.take());
-        let newly_confirmed = confirmed && !entry.confirmed;
+        entry.drained = draining_generation(&member).or(entry.drained.take());
+        let is_newly_confirmed = confirmed && !entry.confirmed;
         entry.confirmed |= confirmed;
-        let newer = (member.incarnation, member.state) > entry.rank();
+        let is_newer = (member.incarnation, member.state) > entry.rank();
         if member.birth > entry.member.birth {
-            entry.adopt(member);
+            entry.replace_process(member);
             return Merge::Changed;
         }
-        if newer {
-            entry.set(member.incarnation, member.state);
+        if is_newer {
+            entry.set_state(member.incarnation, member.state);
             entry.member.announced = member.announced;
         }
-        if newer || newly_confirmed {
+        if is_newer || is_newly_confirmed {
             Merge::Changed
         } else {
             Merge::Stale
@@ -135,7 +135,7 @@
         if (incarnation, state) <= entry.rank() {
             return Merge::Stale;
         }
-        entry.set(incarnation, state);
+        entry.set_state(incarnation, state);
         Merge::Changed
     }
 
@@ -162,7 +162,7 @@
     }
 }
 
-fn drained(member: &Member) -> Option<SmolStr> {
+fn draining_generation(member: &Member) -> Option<SmolStr> {
     let announced = member.announced.as_ref();
     let drains = announced.filter(|it| it.draining);
     drains.map(|it| it.upstream.clone())
@@ -172,7 +172,7 @@
     pub(crate) fn new(member: Member, confirmed: bool) -> Self {
         Self {
             version: 0,
-            drained: drained(&member),
+            drained: draining_generation(&member),
             member,
             confirmed,
             unreached: false,
@@ -188,24 +188,24 @@
         (self.member.incarnation, self.member.state)
     }
 
-    fn set(&mut self, incarnation: Incarnation, state: MemberState) {
+    fn set_state(&mut self, incarnation: Incarnation, state: MemberState) {
         self.member.incarnation = incarnation;
         self.member.state = state;
-        self.clear_timers();
+        self.reset_contact_state();
     }
 
     /// Replaces the member by a newer process of the instance, with its addresses. A
     /// higher (incarnation, state) that is already known is kept.
-    fn adopt(&mut self, mut member: Member) {
+    fn replace_process(&mut self, mut member: Member) {
         if self.rank() > (member.incarnation, member.state) {
             member.incarnation = self.member.incarnation;
             member.state = self.member.state;
         }
         self.member = member;
-        self.clear_timers();
+        self.reset_contact_state();
     }
 
-    fn clear_timers(&mut self) {
+    fn reset_contact_state(&mut self) {
         self.suspect_until = None;
         self.dead_since = None;
         self.next_contact = Time::ZERO;
--- a/crates/membership/src/tick.rs
+++ b/crates/membership/src/tick.rs
@@ -9,37 +9,37 @@
 use crate::table::Entry;
 
 /// Longest time between two probes of a dead member's address.
-const MAX_DEAD_INTERVAL: Time = Time::from_mins(1);
+const MAX_DEAD_PROBE_INTERVAL: Time = Time::from_mins(1);
 
 /// Unconfirmed members of this daemon's zone that are contacted per tick.
-const CANDIDATES_A_TICK: usize = 3;
+const CONTACTS_PER_TICK: usize = 3;
 
 /// Age of the process from which it contacts unconfirmed members of zones in which it
 /// already knows somebody. By then, the rows of live members have arrived from their own
 /// zone.
-const FAR_CANDIDATES_AFTER: Time = Time::from_secs(5);
+const OTHER_ZONE_CONTACTS_AFTER: Time = Time::from_secs(5);
 
 /// Contacts of an unconfirmed member before it is forgotten: the instance of an old
 /// announcement row is gone.
-const CANDIDATE_TRIES: u32 = 5;
+const MAX_UNCONFIRMED_CONTACTS: u32 = 5;
 
 impl Membership {
     pub(crate) fn tick(&mut self, now: Time) {
-        self.audience = self.count_audience();
-        self.notice_freeze(now);
-        self.guard.expire(now);
-        self.give_up_on_helpers(now);
+        self.fleet_size = self.measure_fleet();
+        self.detect_freeze(now);
+        self.isolation.expire(now);
+        self.expire_indirect_probes(now);
         self.start_suspect_timers(now);
-        self.end_suspect_timers(now);
-        self.forget_the_gone(now);
-        self.contact_candidates(now);
-        if self.updates.cool() {
-            self.send_eagerly(now);
+        self.expire_suspects(now);
+        self.forget_dead(now);
+        self.contact_unconfirmed(now);
+        if self.updates.age_one_tick() {
+            self.send_fresh_updates(now);
         }
         if self.next_probe <= now {
             self.next_probe = now + self.config.probe_interval;
             self.probe(now);
-            self.probe_one_dead(now);
+            self.probe_dead_member(now);
         }
     }
 
@@ -48,7 +48,7 @@
     /// dead that have refuted since, and queued updates may have been overridden. So
     /// timers restart, queued updates are dropped, and the incarnation is raised, since
     /// the fleet has probably suspected the current one.
-    fn notice_freeze(&mut self, now: Time) {
+    fn detect_freeze(&mut self, now: Time) {
         let last = self.last_tick.replace(now);
         let gap = last.map_or(Time::ZERO, |last| now.saturating_sub(last));
         if gap < self.config.freeze_bound {
@@ -58,16 +58,16 @@
             entry.suspect_until = None;
         }
         self.updates.clear();
-        self.guard.clear();
-        self.helpers.clear();
+        self.isolation.clear();
+        self.indirect_probes.clear();
         self.raise_incarnation(0);
         self.actions.push(Action::Woke { gap });
     }
 
-    fn give_up_on_helpers(&mut self, now: Time) {
-        for target in self.helpers.expire(now) {
-            if !self.guard.cut_off() {
-                self.pronounce(target, MemberState::Suspect);
+    fn expire_indirect_probes(&mut self, now: Time) {
+        for target in self.indirect_probes.expire(now) {
+            if !self.isolation.is_isolated() {
+                self.declare(target, MemberState::Suspect);
             }
         }
     }
@@ -93,8 +93,8 @@
 
     /// Declares suspects of this daemon's zone dead that did not refute in time. Deaths
     /// in other zones are declared by the daemons of those zones.
-    fn end_suspect_timers(&mut self, now: Time) {
-        let cut_off = self.guard.cut_off();
+    fn expire_suspects(&mut self, now: Time) {
+        let is_isolated = self.isolation.is_isolated();
         let extended = now + self.config.suspect_timeout;
         let zone = self.own().member.zone.clone();
         let mut due = Vec::new();
@@ -103,18 +103,18 @@
             if !is_due || entry.member.state != MemberState::Suspect {
                 continue;
             }
-            if cut_off {
+            if is_isolated {
                 entry.suspect_until = Some(extended);
             } else if entry.member.zone == zone {
                 due.push(key);
             }
         }
         for key in due {
-            self.pronounce(key, MemberState::Dead);
+            self.declare(key, MemberState::Dead);
         }
     }
 
-    fn forget_the_gone(&mut self, now: Time) {
+    fn forget_dead(&mut self, now: Time) {
         let after = self.config.forget_after;
         let is_old = |entry: &Entry| entry.dead_since.is_some_and(|since| since + after <= now);
         let zone = &self.own().member.zone;
@@ -129,26 +129,26 @@
             });
         let forgotten: Vec<_> = forgotten.collect();
         self.actions.extend(forgotten);
-        let is_phantom = |it: &Entry| !it.confirmed && it.contacts >= CANDIDATE_TRIES;
+        let is_unanswered = |it: &Entry| !it.confirmed && it.contacts >= MAX_UNCONFIRMED_CONTACTS;
         self.table
-            .forget(|entry| is_old(entry) || is_phantom(entry));
+            .forget(|entry| is_old(entry) || is_unanswered(entry));
     }
 
     /// Contacts members that are known only from platform rows. One member of another
     /// zone that answers is enough to learn of the rest of that zone, so the rest wait.
-    fn contact_candidates(&mut self, now: Time) {
-        let (mut chosen, mut far) = (Vec::new(), Vec::new());
+    fn contact_unconfirmed(&mut self, now: Time) {
+        let (mut chosen, mut in_other_zones) = (Vec::new(), Vec::new());
         let unconfirmed = self.table.iter().filter(|(_, it)| !it.confirmed);
         for (key, entry) in unconfirmed.filter(|(_, it)| it.next_contact <= now) {
             if self.is_own_zone(entry) {
                 chosen.push(key);
-            } else if now >= FAR_CANDIDATES_AFTER || self.is_strange(entry) {
-                far.push(key);
+            } else if now >= OTHER_ZONE_CONTACTS_AFTER || self.is_zone_unknown(entry) {
+                in_other_zones.push(key);
             }
         }
         chosen.shuffle(&mut self.rng);
-        chosen.truncate(CANDIDATES_A_TICK);
-        chosen.extend(far.choose(&mut self.rng));
+        chosen.truncate(CONTACTS_PER_TICK);
+        chosen.extend(in_other_zones.choose(&mut self.rng));
         for key in chosen {
             if let Some(entry) = self.table.get_mut(key) {
                 entry.contacts += 1;
@@ -160,20 +160,20 @@
     }
 
     /// Whether no present member is known in the zone of an unconfirmed one.
-    fn is_strange(&self, entry: &Entry) -> bool {
+    fn is_zone_unknown(&self, entry: &Entry) -> bool {
         self.table.in_zone(&entry.member.zone).next().is_none()
     }
 
     /// Sends fresh updates outside of the probe schedule, so that a departure is known
     /// everywhere within a second or two instead of the ten rounds that probes alone take.
-    fn send_eagerly(&mut self, now: Time) {
-        let near = self.config.eager_peers.saturating_sub(1);
+    fn send_fresh_updates(&mut self, now: Time) {
+        let own_zone_count = self.config.eager_peers.saturating_sub(1);
         let own = self.peers(true);
-        let mut chosen: Vec<_> = own.sample(&mut self.rng, near).copied().collect();
-        if self.updates.has_far() {
-            let far = self.config.eager_peers - chosen.len();
+        let mut chosen: Vec<_> = own.sample(&mut self.rng, own_zone_count).copied().collect();
+        if self.updates.has_other_zone_updates() {
+            let other_zone_count = self.config.eager_peers - chosen.len();
             let others = self.peers(false);
-            chosen.extend(others.sample(&mut self.rng, far).copied());
+            chosen.extend(others.sample(&mut self.rng, other_zone_count).copied());
         }
         for key in chosen {
             self.send(now, key);
@@ -183,8 +183,8 @@
     fn probe(&mut self, now: Time) {
         self.probes = self.probes.wrapping_add(1);
         let others = self.peers(false);
-        let is_far = self.probes.is_multiple_of(self.config.other_zone_every);
-        if is_far && let Some(key) = others.choose(&mut self.rng) {
+        let is_other_zone_turn = self.probes.is_multiple_of(self.config.other_zone_every);
+        if is_other_zone_turn && let Some(key) = others.choose(&mut self.rng) {
             self.send(now, *key);
             return;
         }
@@ -233,7 +233,7 @@
     /// Probes the address of one dead member. A daemon that restarted there, or whose
     /// network recovered, rejoins the fleet through this probe even during an outage of
     /// the platform.
-    fn probe_one_dead(&mut self, now: Time) {
+    fn probe_dead_member(&mut self, now: Time) {
         let first = self.config.dead_probe_interval;
         let due = self
             .table
@@ -245,7 +245,7 @@
         };
         if let Some(entry) = self.table.get_mut(key) {
             let doubled = first * (1 << entry.contacts.min(8));
-            entry.next_contact = now + doubled.min(MAX_DEAD_INTERVAL);
+            entry.next_contact = now + doubled.min(MAX_DEAD_PROBE_INTERVAL);
             entry.contacts += 1;
         }
         self.send(now, key);
