--- a/crates/membership/examples/at_size.rs
+++ b/crates/membership/examples/at_size.rs
@@ -24,13 +24,13 @@
 
 fn main() {
     let mut fleet = start();
-    let joined = until(&mut fleet, Fleet::agreed);
+    let joined = run_until(&mut fleet, Fleet::tables_agree);
     print("membership_start_agreed_s", joined.as_secs_f64(), "s");
     fleet.run(Duration::from_mins(1));
-    rest(&mut fleet);
-    departure(&mut fleet);
-    death(&mut fleet);
-    zone_restart(&mut fleet);
+    measure_idle(&mut fleet);
+    measure_departure(&mut fleet);
+    measure_death(&mut fleet);
+    measure_zone_restart(&mut fleet);
 }
 
 /// Starts a fleet in which each daemon knows what a narrow read of the roster shows: a
@@ -57,7 +57,7 @@
 
 /// Measures the idle traffic in bytes of bodies, without HTTP heads, and the share of a
 /// core that the state machine of one member takes.
-fn rest(fleet: &mut Fleet) {
+fn measure_idle(fleet: &mut Fleet) {
     const SECONDS: u32 = 20;
     fleet.bytes = 0;
     let began = Instant::now();
@@ -68,21 +68,21 @@
     print("membership_rest_core_share", share * 100.0, "%");
 }
 
-fn departure(fleet: &mut Fleet) {
+fn measure_departure(fleet: &mut Fleet) {
     let leaving = key(2, 3);
     fleet.input(leaving, Input::Leave);
-    let known = until(fleet, |it| it.all_see(leaving, MemberState::Leaving));
+    let known = run_until(fleet, |it| it.all_see(leaving, MemberState::Leaving));
     print("membership_departure_known_s", known.as_secs_f64(), "s");
 }
 
-fn death(fleet: &mut Fleet) {
+fn measure_death(fleet: &mut Fleet) {
     let dead = key(5, 5);
     fleet.nodes.remove(&dead);
-    let known = until(fleet, |it| it.all_see(dead, MemberState::Dead));
+    let known = run_until(fleet, |it| it.all_see(dead, MemberState::Dead));
     print("membership_death_known_s", known.as_secs_f64(), "s");
 }
 
-fn zone_restart(fleet: &mut Fleet) {
+fn measure_zone_restart(fleet: &mut Fleet) {
     let zone = 3;
     for n in 0..PER_ZONE {
         fleet.nodes.remove(&key(zone, n));
@@ -90,7 +90,7 @@
     fleet.run(Duration::from_secs(10));
     fleet.bytes = 0;
     start_zone(fleet, zone, 900_000);
-    let agreed = until(fleet, Fleet::agreed);
+    let agreed = run_until(fleet, Fleet::tables_agree);
     let bytes = count(fleet.bytes) / count(NODES);
     print(
         "membership_zone_restart_agreed_s",
@@ -100,7 +100,7 @@
     print("membership_zone_restart_body_bytes", bytes, "B");
 }
 
-fn until(fleet: &mut Fleet, done: impl Fn(&Fleet) -> bool) -> Duration {
+fn run_until(fleet: &mut Fleet, done: impl Fn(&Fleet) -> bool) -> Duration {
     let began = fleet.now;
     while !done(fleet) && fleet.now < began + LIMIT {
         fleet.run(TICK);
--- a/crates/membership/examples/start_at_size.rs
+++ b/crates/membership/examples/start_at_size.rs
@@ -21,16 +21,16 @@
 const SIZES: [usize; 5] = [30, 100, 300, 610, 1000];
 
 /// Time within which all processes start.
-const SPREAD: Duration = Duration::from_millis(300);
+const START_SPREAD: Duration = Duration::from_millis(300);
 
 /// Interval of a target's heartbeats; the first one arrives within it.
 const HEARTBEAT: Duration = Duration::from_millis(1500);
 
 /// Time from the start to the first calls.
-const LEAD: Duration = Duration::from_secs(10);
+const LEAD_TIME: Duration = Duration::from_secs(10);
 
 /// Time over which idle traffic is measured.
-const REST: Duration = Duration::from_secs(20);
+const IDLE_TIME: Duration = Duration::from_secs(20);
 
 fn main() {
     for size in SIZES {
@@ -39,7 +39,7 @@
 }
 
 /// An event of one daemon while the fleet starts.
-enum Deed {
+enum Event {
     /// The process starts: it announces itself and reads the earlier announcements.
     Start,
     /// The target's first heartbeat arrives.
@@ -48,46 +48,57 @@
 
 fn start(size: usize) {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(1);
-    let mut deeds = Vec::new();
+    let mut events = Vec::new();
     for n in 0..size {
-        let begins = SPREAD.mul_f64(rng.random());
-        deeds.push((begins, n, Deed::Start));
-        deeds.push((begins + HEARTBEAT.mul_f64(rng.random()), n, Deed::Heartbeat));
+        let begins = START_SPREAD.mul_f64(rng.random());
+        events.push((begins, n, Event::Start));
+        events.push((
+            begins + HEARTBEAT.mul_f64(rng.random()),
+            n,
+            Event::Heartbeat,
+        ));
     }
-    deeds.sort_by_key(|(at, ..)| *at);
+    events.sort_by_key(|(at, ..)| *at);
     let mut fleet = Fleet::default();
     let mut roster: Vec<Row> = Vec::new();
     let mut agreed = None;
-    let mut deeds = deeds.into_iter().peekable();
+    let mut events = events.into_iter().peekable();
     let began = Instant::now();
-    while fleet.now < LEAD {
-        while let Some((_, n, deed)) = deeds.next_if(|(at, ..)| *at <= fleet.now + TICK) {
+    while fleet.now < LEAD_TIME {
+        while let Some((_, n, event)) = events.next_if(|(at, ..)| *at <= fleet.now + TICK) {
             let (zone, n) = (n % ZONES, n / ZONES);
-            match deed {
-                Deed::Start => {
+            match event {
+                Event::Start => {
                     let me = member(zone, n, 1000);
                     roster.push(Row::from(&me));
                     fleet.start(me, &roster);
                 }
-                Deed::Heartbeat => announce(&mut fleet, zone, n),
+                Event::Heartbeat => announce(&mut fleet, zone, n),
             }
         }
         fleet.run(TICK);
-        if agreed.is_none() && fleet.nodes.len() == size && deeds.peek().is_none() && fleet.agreed()
+        if agreed.is_none()
+            && fleet.nodes.len() == size
+            && events.peek().is_none()
+            && fleet.tables_agree()
         {
             agreed = Some(fleet.now);
         }
     }
     let took = began.elapsed();
-    let changes = fleet.seen.iter();
+    let changes = fleet.actions.iter();
     let changes = changes.filter(|(_, it)| matches!(it, Action::Changed(_)));
     print(
         size,
         "start_agreed_s",
         agreed.map_or(-1.0, |it| it.as_secs_f64()),
     );
-    print(size, "start_mb_between_zones", mega(fleet.cross_bytes));
-    print(size, "start_mb", mega(fleet.bytes));
+    print(
+        size,
+        "start_mb_between_zones",
+        megabytes(fleet.cross_zone_bytes),
+    );
+    print(size, "start_mb", megabytes(fleet.bytes));
     print(
         size,
         "start_changes_a_member",
@@ -98,8 +109,8 @@
         "start_core_ms_a_member",
         took.as_secs_f64() * 1000.0 / count(size),
     );
-    rest(&mut fleet, size);
-    one_change(&mut fleet, size);
+    measure_idle(&mut fleet, size);
+    measure_change(&mut fleet, size);
 }
 
 fn announce(fleet: &mut Fleet, zone: usize, n: usize) {
@@ -113,23 +124,23 @@
     fleet.input(key(zone, n), Input::TargetAnnounced(Some(announced)));
 }
 
-fn rest(fleet: &mut Fleet, size: usize) {
+fn measure_idle(fleet: &mut Fleet, size: usize) {
     fleet.run(Duration::from_secs(20));
-    let (all, cross) = (fleet.bytes, fleet.cross_bytes);
-    fleet.run(REST);
-    let seconds = REST.as_secs_f64() * count(size);
+    let (all, cross) = (fleet.bytes, fleet.cross_zone_bytes);
+    fleet.run(IDLE_TIME);
+    let seconds = IDLE_TIME.as_secs_f64() * count(size);
     print(
         size,
         "rest_bytes_per_s_a_member",
         count(fleet.bytes - all) / seconds,
     );
-    let cross = count(fleet.cross_bytes - cross) / seconds;
+    let cross = count(fleet.cross_zone_bytes - cross) / seconds;
     print(size, "rest_bytes_between_zones_per_s_a_member", cross);
 }
 
 /// Measures the cost of one change: a target announces that it is draining.
-fn one_change(fleet: &mut Fleet, size: usize) {
-    let cross = fleet.cross_bytes;
+fn measure_change(fleet: &mut Fleet, size: usize) {
+    let cross = fleet.cross_zone_bytes;
     let began = fleet.now;
     let announced = Announced {
         upstream: "i-0000-last".into(),
@@ -139,7 +150,7 @@
         software: "v1".into(),
     };
     fleet.input(key(1, 1), Input::TargetAnnounced(Some(announced)));
-    while !fleet.agreed() && fleet.now < began + LEAD {
+    while !fleet.tables_agree() && fleet.now < began + LEAD_TIME {
         fleet.run(TICK);
     }
     print(
@@ -147,15 +158,15 @@
         "change_agreed_s",
         fleet.now.saturating_sub(began).as_secs_f64(),
     );
-    fleet.run(LEAD);
+    fleet.run(LEAD_TIME);
     print(
         size,
         "change_kb_between_zones",
-        mega(fleet.cross_bytes - cross) * 1000.0,
+        megabytes(fleet.cross_zone_bytes - cross) * 1000.0,
     );
 }
 
-fn mega(bytes: usize) -> f64 {
+fn megabytes(bytes: usize) -> f64 {
     count(bytes) / 1e6
 }
 
--- a/crates/membership/tests/all/failures.rs
+++ b/crates/membership/tests/all/failures.rs
@@ -11,8 +11,11 @@
 fn settled(zones: usize, per_zone: usize) -> Fleet {
     let mut fleet = Fleet::new(zones, per_zone);
     fleet.run(SETTLE);
-    assert!(fleet.agreed(), "tables agree after a cold start of all");
-    fleet.seen.clear();
+    assert!(
+        fleet.tables_agree(),
+        "tables agree after the whole fleet started"
+    );
+    fleet.actions.clear();
     fleet
 }
 
@@ -42,7 +45,7 @@
     // epidemic may need although every table is complete: that would take the traffic
     // budget of minutes.
     let mut fleet = Fleet::new(4, 24);
-    while !fleet.agreed() {
+    while !fleet.tables_agree() {
         fleet.run(Duration::from_secs(1));
     }
     fleet.run(Duration::from_secs(8));
@@ -94,14 +97,14 @@
             .nodes
             .keys()
             .filter(|it| state(**it) != Some(MemberState::Alive));
-        assert_eq!(suspected.count(), 0, "nor under suspicion");
+        assert_eq!(suspected.count(), 0, "nobody is suspected");
     }
     assert!(!fleet.nodes[&key(0, 0)].is_reachable("z1"));
     assert!(fleet.nodes[&key(0, 0)].is_reachable("z2"));
     fleet.cut_zones.clear();
     fleet.run(Duration::from_mins(1));
     assert!(fleet.nodes[&key(0, 0)].is_reachable("z1"));
-    assert!(fleet.agreed());
+    assert!(fleet.tables_agree());
 }
 
 #[test]
@@ -110,17 +113,17 @@
     // its zone dead and spread that after it reconnected, healthy targets would vanish for
     // callers. It must conclude that it is isolated itself.
     let mut fleet = settled(2, 8);
-    let alone = key(0, 0);
-    fleet.cut_nodes.insert(alone);
+    let isolated = key(0, 0);
+    fleet.cut_nodes.insert(isolated);
     fleet.run(Duration::from_mins(1));
-    let present = fleet.nodes[&alone].table().present().count();
-    assert!(fleet.nodes[&alone].is_cut_off());
-    assert_eq!(present, 16, "it took nobody for dead");
-    assert!(fleet.state(key(0, 1), alone) == Some(MemberState::Dead));
+    let present = fleet.nodes[&isolated].table().present().count();
+    assert!(fleet.nodes[&isolated].is_cut_off());
+    assert_eq!(present, 16, "it declared nobody dead");
+    assert!(fleet.state(key(0, 1), isolated) == Some(MemberState::Dead));
     fleet.cut_nodes.clear();
     fleet.run(Duration::from_mins(2));
-    assert!(fleet.all_see(alone, MemberState::Alive), "it refuted");
-    assert!(fleet.agreed());
+    assert!(fleet.all_see(isolated, MemberState::Alive), "it refuted");
+    assert!(fleet.tables_agree());
 }
 
 #[test]
@@ -129,25 +132,25 @@
     // during the freeze. If it fired on resumption, the process would spread a death that
     // the peer refuted long ago, and callers would lose a healthy target.
     let mut fleet = settled(1, 6);
-    let sleeper = key(0, 0);
+    let frozen = key(0, 0);
     let suspect = key(0, 1);
     fleet.cut_nodes.insert(suspect);
-    while fleet.state(sleeper, suspect) != Some(MemberState::Suspect) {
+    while fleet.state(frozen, suspect) != Some(MemberState::Suspect) {
         fleet.run(Duration::from_millis(250));
     }
-    fleet.frozen.insert(sleeper);
+    fleet.frozen.insert(frozen);
     fleet.cut_nodes.clear();
     fleet.run(Duration::from_secs(4));
-    let before = fleet.nodes[&sleeper].own().member.incarnation;
-    fleet.seen.clear();
+    let before = fleet.nodes[&frozen].own().member.incarnation;
+    fleet.actions.clear();
     fleet.run(Duration::from_secs(20));
     fleet.frozen.clear();
     fleet.run(Duration::from_secs(20));
-    let woke = |it: &(u64, Action)| it.0 == sleeper && matches!(it.1, Action::Woke { .. });
-    assert!(fleet.seen.iter().any(woke));
-    assert!(fleet.nodes[&sleeper].own().member.incarnation > before);
+    let resumed = |it: &(u64, Action)| it.0 == frozen && matches!(it.1, Action::Woke { .. });
+    assert!(fleet.actions.iter().any(resumed));
+    assert!(fleet.nodes[&frozen].own().member.incarnation > before);
     assert!(fleet.all_see(suspect, MemberState::Alive));
-    assert!(fleet.all_see(sleeper, MemberState::Alive));
+    assert!(fleet.all_see(frozen, MemberState::Alive));
 }
 
 #[test]
@@ -167,13 +170,13 @@
     fleet.nodes.remove(&again);
     fleet.run(Duration::from_secs(20));
     assert!(fleet.all_see(again, MemberState::Dead));
-    fleet.seen.clear();
+    fleet.actions.clear();
     // Its wall clock went back: it must still override the state of its former process.
     fleet.start(member(0, 0, 900), &[]);
     fleet.run(Duration::from_secs(30));
     assert!(fleet.all_see(again, MemberState::Alive));
     let floor = fleet
-        .seen
+        .actions
         .iter()
         .filter(|it| it.0 == again)
         .map(|it| match &it.1 {
@@ -181,7 +184,7 @@
             _ => 0,
         });
     assert_eq!(floor.max(), Some(7));
-    assert!(fleet.agreed());
+    assert!(fleet.tables_agree());
 }
 
 #[test]
@@ -202,7 +205,7 @@
         Action::Exchange { message, .. } => Some(message.clone()),
         _ => None,
     });
-    let message = message.expect("it probes on waking");
+    let message = message.expect("it probes after the freeze");
     let answerer = fleet.nodes.get_mut(&peer).expect("runs");
     let (reply, _) = answerer.answer(fleet.now, message);
     let actions = old.handle(fleet.now, Input::Replied { peer, reply });
@@ -251,7 +254,7 @@
         Action::Forgotten { instance, .. } => instance == "i-1-1",
         _ => false,
     };
-    let zones = fleet.seen.iter().filter(forgot);
+    let zones = fleet.actions.iter().filter(forgot);
     let zones: Vec<_> = zones
         .map(|it| fleet.nodes[&it.0].own().member.zone.clone())
         .collect();
@@ -300,10 +303,10 @@
 }
 
 /// Returns the bytes that the fleet sends between zones in the given time.
-fn at_rest(fleet: &mut Fleet, time: Duration) -> usize {
-    let before = fleet.cross_bytes;
+fn idle_bytes_between_zones(fleet: &mut Fleet, time: Duration) -> usize {
+    let before = fleet.cross_zone_bytes;
     fleet.run(time);
-    fleet.cross_bytes - before
+    fleet.cross_zone_bytes - before
 }
 
 #[test]
@@ -314,13 +317,13 @@
     // few copies, which they spread on their own.
     let mut fleet = settled(6, 16);
     fleet.run(Duration::from_secs(20));
-    let rest = at_rest(&mut fleet, Duration::from_secs(5));
-    let before = fleet.cross_bytes;
+    let idle = idle_bytes_between_zones(&mut fleet, Duration::from_secs(5));
+    let before = fleet.cross_zone_bytes;
     let leaving = key(2, 3);
     fleet.input(leaving, Input::Leave);
     fleet.run(Duration::from_secs(5));
     assert!(fleet.all_see(leaving, MemberState::Leaving));
-    let spent = (fleet.cross_bytes - before).saturating_sub(rest);
+    let spent = (fleet.cross_zone_bytes - before).saturating_sub(idle);
     assert!(spent < 20_000, "{spent} bytes");
 }
 
@@ -331,8 +334,8 @@
     // fleet's table hundreds of times. A few relays must pull them for their whole zone.
     let mut fleet = Fleet::new(6, 16);
     fleet.run(Duration::from_secs(10));
-    assert!(fleet.agreed(), "all know all");
-    let tables = fleet.cross_bytes / 96;
+    assert!(fleet.tables_agree(), "all tables agree");
+    let tables = fleet.cross_zone_bytes / 96;
     assert!(tables < 15_000, "{tables} bytes a member");
 }
 
--- a/crates/membership/tests/all/fleet.rs
+++ b/crates/membership/tests/all/fleet.rs
@@ -40,11 +40,11 @@
     pub(crate) frozen: BTreeSet<MemberKey>,
     pub(crate) cut_zones: BTreeSet<String>,
     pub(crate) cut_nodes: BTreeSet<MemberKey>,
-    pub(crate) seen: Vec<(MemberKey, Action)>,
+    pub(crate) actions: Vec<(MemberKey, Action)>,
     /// Bytes of all messages.
     pub(crate) bytes: usize,
     /// Bytes of the messages between zones.
-    pub(crate) cross_bytes: usize,
+    pub(crate) cross_zone_bytes: usize,
 }
 
 impl Fleet {
@@ -128,7 +128,7 @@
             }
             _ => {}
         }
-        self.seen.push((at, action));
+        self.actions.push((at, action));
     }
 
     /// Returns the time since a process started.
@@ -142,7 +142,7 @@
         self.bytes += bytes;
         let zone = |key| self.nodes.get(&key).map(|it| &it.own().member.zone);
         if zone(at) != zone(peer) {
-            self.cross_bytes += bytes;
+            self.cross_zone_bytes += bytes;
         }
     }
 
@@ -163,9 +163,10 @@
         let (Some(za), Some(zb)) = (zone(a), zone(b)) else {
             return false;
         };
-        let zone_cut = za != zb && (self.cut_zones.contains(&za) || self.cut_zones.contains(&zb));
-        let node_cut = self.cut_nodes.contains(&a) || self.cut_nodes.contains(&b);
-        !zone_cut && !node_cut && !self.frozen.contains(&a) && !self.frozen.contains(&b)
+        let is_zone_cut =
+            za != zb && (self.cut_zones.contains(&za) || self.cut_zones.contains(&zb));
+        let is_node_cut = self.cut_nodes.contains(&a) || self.cut_nodes.contains(&b);
+        !is_zone_cut && !is_node_cut && !self.frozen.contains(&a) && !self.frozen.contains(&b)
     }
 
     pub(crate) fn state(&self, at: MemberKey, of: MemberKey) -> Option<MemberState> {
@@ -179,7 +180,7 @@
             .all(|at| self.state(*at, of) == Some(state))
     }
 
-    pub(crate) fn agreed(&self) -> bool {
+    pub(crate) fn tables_agree(&self) -> bool {
         let mut digests = self.nodes.values().map(|it| it.table().digest());
         let first = digests.next();
         digests.all(|it| Some(it) == first)
--- a/crates/membership/tests/all/local_target.rs
+++ b/crates/membership/tests/all/local_target.rs
@@ -8,7 +8,7 @@
     Duration::from_millis(ms)
 }
 
-fn beat(upstream: &str, sequence: u64) -> Heartbeat {
+fn heartbeat(upstream: &str, sequence: u64) -> Heartbeat {
     Heartbeat {
         upstream: upstream.into(),
         service: "floatdesk".into(),
@@ -24,7 +24,7 @@
 fn draining(upstream: &str, sequence: u64) -> Heartbeat {
     Heartbeat {
         draining: true,
-        ..beat(upstream, sequence)
+        ..heartbeat(upstream, sequence)
     }
 }
 
@@ -34,11 +34,11 @@
 
 /// Returns a target after a heartbeat and a confirmation of each given generation, in this
 /// order.
-fn after(lives: &[&str]) -> LocalTarget {
+fn confirmed(generations: &[&str]) -> LocalTarget {
     let mut target = LocalTarget::new(INTERVAL);
-    for life in lives {
-        target.hear(beat(life, 1), at(0));
-        target.confirm(life);
+    for generation in generations {
+        target.hear(heartbeat(generation, 1), at(0));
+        target.confirm(generation);
     }
     target
 }
@@ -51,7 +51,7 @@
     assert_eq!(admitted(&target, at(0)), None);
     target.confirm("a");
     assert_eq!(admitted(&target, at(0)), None);
-    target.hear(beat("a", 1), at(0));
+    target.hear(heartbeat("a", 1), at(0));
     target.confirm("a");
     assert_eq!(admitted(&target, at(0)), Some("a"));
 }
@@ -62,8 +62,8 @@
 #[test]
 fn a_heartbeat_alone_admits_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
-    assert_eq!(target.hear(beat("a", 7), at(0)), Heard::Taken);
-    assert_eq!(target.hear(beat("a", 8), at(100)), Heard::Taken);
+    assert_eq!(target.hear(heartbeat("a", 7), at(0)), Heard::Taken);
+    assert_eq!(target.hear(heartbeat("a", 8), at(100)), Heard::Taken);
     assert_eq!(admitted(&target, at(100)), None);
     assert_eq!(target.announced(at(100)), None);
     assert!(target.unconfirmed(at(100)).is_some());
@@ -78,12 +78,12 @@
 #[test]
 fn a_confirmation_does_not_undo_a_drain_or_a_good_bye() {
     let mut drains = LocalTarget::new(INTERVAL);
-    drains.hear(beat("a", 1), at(0));
+    drains.hear(heartbeat("a", 1), at(0));
     drains.hear(draining("a", 2), at(10));
     drains.confirm("a");
     assert_eq!(admitted(&drains, at(20)), None);
     let mut leaves = LocalTarget::new(INTERVAL);
-    leaves.hear(beat("a", 1), at(0));
+    leaves.hear(heartbeat("a", 1), at(0));
     leaves.leave("a");
     leaves.confirm("a");
     assert_eq!(admitted(&leaves, at(20)), None);
@@ -95,8 +95,8 @@
 #[test]
 fn an_answer_for_an_earlier_life_changes_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
-    target.hear(beat("a", 1), at(0));
-    target.hear(beat("b", 1), at(10));
+    target.hear(heartbeat("a", 1), at(0));
+    target.hear(heartbeat("b", 1), at(10));
     target.confirm("a");
     assert_eq!(admitted(&target, at(20)), None);
     target.answered_as("a", "c");
@@ -106,21 +106,21 @@
 
 #[test]
 fn a_target_that_drains_takes_no_new_calls_whatever_comes_late() {
-    let mut target = after(&["a"]);
+    let mut target = confirmed(&["a"]);
     target.hear(draining("a", 3), at(100));
     assert_eq!(admitted(&target, at(100)), None);
-    assert_eq!(target.hear(beat("a", 2), at(200)), Heard::Stale);
-    assert_eq!(target.hear(beat("a", 4), at(300)), Heard::Taken);
+    assert_eq!(target.hear(heartbeat("a", 2), at(200)), Heard::Stale);
+    assert_eq!(target.hear(heartbeat("a", 4), at(300)), Heard::Taken);
     assert_eq!(admitted(&target, at(300)), None, "a drain is final");
 }
 
 #[test]
 fn a_target_that_said_good_bye_takes_no_new_calls() {
-    let mut target = after(&["a"]);
+    let mut target = confirmed(&["a"]);
     target.leave("a");
     assert_eq!(admitted(&target, at(0)), None);
     assert!(target.announced(at(0)).is_some_and(|it| it.draining));
-    target.hear(beat("a", 2), at(100));
+    target.hear(heartbeat("a", 2), at(100));
     assert_eq!(admitted(&target, at(100)), None);
 }
 
@@ -128,8 +128,8 @@
 /// last; it must not bring that generation back.
 #[test]
 fn a_late_heartbeat_of_an_earlier_life_changes_nothing() {
-    let mut target = after(&["a", "b"]);
-    assert_eq!(target.hear(beat("a", 8), at(200)), Heard::Stale);
+    let mut target = confirmed(&["a", "b"]);
+    assert_eq!(target.hear(heartbeat("a", 8), at(200)), Heard::Stale);
     assert_eq!(admitted(&target, at(200)), Some("b"));
 }
 
@@ -138,32 +138,32 @@
 /// generation is running.
 #[test]
 fn the_targets_own_answer_settles_which_life_is_the_present_one() {
-    let mut target = after(&["b"]);
-    target.hear(beat("a", 8), at(100));
+    let mut target = confirmed(&["b"]);
+    target.hear(heartbeat("a", 8), at(100));
     assert_eq!(admitted(&target, at(100)), None);
     target.answered_as("a", "b");
     assert_eq!(admitted(&target, at(100)), Some("b"));
-    assert_eq!(target.hear(beat("a", 9), at(200)), Heard::Stale);
-    assert_eq!(target.hear(beat("b", 2), at(300)), Heard::Taken);
+    assert_eq!(target.hear(heartbeat("a", 9), at(200)), Heard::Stale);
+    assert_eq!(target.hear(heartbeat("b", 2), at(300)), Heard::Taken);
 }
 
 #[test]
 fn an_unknown_life_that_answers_leaves_nobody_admitted() {
-    let mut target = after(&["a"]);
+    let mut target = confirmed(&["a"]);
     target.answered_as("a", "c");
     assert_eq!(admitted(&target, at(0)), None);
-    target.hear(beat("c", 1), at(100));
+    target.hear(heartbeat("c", 1), at(100));
     target.confirm("c");
     assert_eq!(admitted(&target, at(100)), Some("c"));
 }
 
 #[test]
 fn a_target_that_falls_silent_is_gone_until_it_is_heard_again() {
-    let mut target = after(&["a"]);
+    let mut target = confirmed(&["a"]);
     assert_eq!(admitted(&target, at(3_000)), Some("a"));
     assert_eq!(admitted(&target, at(3_100)), None);
     assert_eq!(target.announced(at(3_100)), None);
-    target.hear(beat("a", 2), at(3_200));
+    target.hear(heartbeat("a", 2), at(3_200));
     assert_eq!(admitted(&target, at(3_200)), Some("a"));
 }
 
@@ -174,24 +174,24 @@
 fn a_good_bye_holds_for_a_life_that_was_not_known_before() {
     let mut target = LocalTarget::new(INTERVAL);
     target.leave("a");
-    assert_eq!(target.hear(beat("a", 7), at(100)), Heard::Stale);
+    assert_eq!(target.hear(heartbeat("a", 7), at(100)), Heard::Stale);
     assert_eq!(admitted(&target, at(100)), None);
-    target.hear(beat("b", 1), at(200));
+    target.hear(heartbeat("b", 1), at(200));
     target.confirm("b");
     assert_eq!(admitted(&target, at(200)), Some("b"));
 }
 
-fn beat_of(born: Birth, sequence: u64) -> Heartbeat {
+fn heartbeat_of(born: Birth, sequence: u64) -> Heartbeat {
     Heartbeat {
         born: Some(born),
-        ..beat(&life_name("a", Some(born)), sequence)
+        ..heartbeat(&life_name("a", Some(born)), sequence)
     }
 }
 
 /// Returns the state after the generation of target "a" that started at 1000 was confirmed.
-fn born_at_1000() -> LocalTarget {
+fn started_at_1000() -> LocalTarget {
     let mut target = LocalTarget::new(INTERVAL);
-    target.hear(beat_of(1_000, 70), at(0));
+    target.hear(heartbeat_of(1_000, 70), at(0));
     target.confirm("a#1000");
     target
 }
@@ -209,8 +209,8 @@
 /// for as long as the former generation had lasted.
 #[test]
 fn a_target_that_starts_again_under_its_id_is_another_life() {
-    let mut target = born_at_1000();
-    assert_eq!(target.hear(beat_of(2_000, 1), at(100)), Heard::Taken);
+    let mut target = started_at_1000();
+    assert_eq!(target.hear(heartbeat_of(2_000, 1), at(100)), Heard::Taken);
     assert_eq!(admitted(&target, at(100)), None, "not confirmed yet");
     target.confirm("a#2000");
     assert_eq!(admitted(&target, at(100)), Some("a#2000"));
@@ -220,12 +220,12 @@
 /// a partition.
 #[test]
 fn a_late_heartbeat_of_the_former_birth_changes_nothing() {
-    let mut target = born_at_1000();
-    target.hear(beat_of(2_000, 1), at(100));
+    let mut target = started_at_1000();
+    target.hear(heartbeat_of(2_000, 1), at(100));
     target.confirm("a#2000");
-    assert_eq!(target.hear(beat_of(1_000, 71), at(200)), Heard::Stale);
-    assert_eq!(target.hear(beat_of(500, 99), at(200)), Heard::Stale);
-    assert_eq!(target.hear(beat("a", 99), at(200)), Heard::Stale);
+    assert_eq!(target.hear(heartbeat_of(1_000, 71), at(200)), Heard::Stale);
+    assert_eq!(target.hear(heartbeat_of(500, 99), at(200)), Heard::Stale);
+    assert_eq!(target.hear(heartbeat("a", 99), at(200)), Heard::Stale);
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
 }
 
@@ -233,24 +233,24 @@
 /// departure still holds for the former generation and must not affect the new one.
 #[test]
 fn a_departure_does_not_bind_the_next_birth_nor_is_it_lifted_by_it() {
-    let mut target = born_at_1000();
+    let mut target = started_at_1000();
     let left = target.life_meant("a", None);
     assert_eq!(left, "a#1000");
     assert!(target.leave(&left));
     assert_eq!(admitted(&target, at(0)), None);
-    assert_eq!(target.hear(beat_of(2_000, 1), at(100)), Heard::Taken);
+    assert_eq!(target.hear(heartbeat_of(2_000, 1), at(100)), Heard::Taken);
     target.confirm("a#2000");
     assert_eq!(admitted(&target, at(100)), Some("a#2000"));
-    assert_eq!(target.hear(beat_of(1_000, 71), at(200)), Heard::Stale);
+    assert_eq!(target.hear(heartbeat_of(1_000, 71), at(200)), Heard::Stale);
     assert_eq!(target.life_meant("a", Some(1_000)), "a#1000");
-    assert!(!target.leave("a#1000"), "it is no news");
+    assert!(!target.leave("a#1000"), "it is known already");
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
 }
 
 /// The target answers with its id alone, which does not identify a generation.
 #[test]
 fn an_answer_under_the_same_id_keeps_the_present_birth() {
-    let mut target = born_at_1000();
+    let mut target = started_at_1000();
     target.answered_as("a#1000", "a");
     assert_eq!(admitted(&target, at(0)), Some("a#1000"));
 }
