--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -19,7 +19,7 @@
 const RELAY_FALLBACK_DELAY: Time = Time::from_secs(12);
 
 /// Daemons of a zone that pull tables from other zones on behalf of their zone. There are
-/// two, so that the death of one has no effect. When every daemon pulled for itself, a
+/// two, so that the failure of one has no effect. When every daemon pulled for itself, a
 /// simultaneous start of 300 took 31 MB between zones (the example `start_at_size`).
 const RELAYS_PER_ZONE: usize = 2;
 
@@ -241,8 +241,8 @@
         }
     }
 
-    /// Whether this daemon pulls tables from other zones on behalf of its own zone, to
-    /// which it passes them on. There is no election: the members with the lowest keys
+    /// Whether this daemon pulls tables from other zones on behalf of its own zone, whose
+    /// daemons get the rows from it. There is no election: the members with the lowest keys
     /// that this daemon believes present are the relays. Where views differ, more daemons
     /// act as relays. When the whole fleet starts, nobody is confirmed yet, so instances
     /// known only from platform rows count until they had two chances to answer.
@@ -250,10 +250,10 @@
         let counts_as_present = |entry: &Entry| {
             entry.member.is_present() && (entry.confirmed || entry.contacts < MAX_RELAY_CONTACTS)
         };
-        let is_before = |(key, entry): &(MemberKey, &Entry)| {
+        let is_earlier_relay = |(key, entry): &(MemberKey, &Entry)| {
             *key < self.me && self.is_own_zone(entry) && counts_as_present(entry)
         };
-        self.table.iter().filter(is_before).count() < RELAYS_PER_ZONE
+        self.table.iter().filter(is_earlier_relay).count() < RELAYS_PER_ZONE
     }
 
     fn pull_table(&mut self, now: Time, peer: MemberKey, is_own_zone: bool) {
@@ -261,12 +261,12 @@
             return;
         };
         let interval = self.config.pull_interval;
-        let pause = if now < STARTUP_PERIOD {
+        let delay = if now < STARTUP_PERIOD {
             interval / 5
         } else {
             interval
         };
-        let next = TableComparison::with_next_pull(now + pause);
+        let next = TableComparison::with_next_pull(now + delay);
         let addr = entry.member.peer;
         if is_own_zone {
             self.own_zone_comparison = next;
