--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stoatstep_membership::{
-    Action, Exchange, GossipReply, GossipRequest, Input, Mark, MemberKey, ZoneDigest,
+    Action, ConfigId, Exchange, GossipReply, GossipRequest, Input, MemberKey, ZoneDigest,
 };
 
 use super::announce;
@@ -108,7 +108,7 @@
     crate::call::drain::start(node);
 }
 
-fn peer_holds(node: &Rc<Node>, peer: MemberKey, theirs: Mark) {
+fn peer_holds(node: &Rc<Node>, peer: MemberKey, theirs: ConfigId) {
     let control = &node.control;
     let now = control.now();
     let mine = control.replica.borrow().mark();
@@ -123,7 +123,7 @@
 }
 
 /// Takes in what a peer's word means for the version to serve by.
-fn heard(node: &Node, peer: MemberKey, theirs: Mark, floor: u64, answered: bool) {
+fn heard(node: &Node, peer: MemberKey, theirs: ConfigId, floor: u64, answered: bool) {
     let mut serving = node.control.serving.borrow_mut();
     if answered {
         serving.heard_peer(peer, theirs.version, floor);
--- a/crates/daemon/src/control/push.rs
+++ b/crates/daemon/src/control/push.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::seq::IteratorRandom;
-use stoatstep_distribution::{Mark, Offer, PushRequest, View};
+use stoatstep_distribution::{ConfigId, Offer, PushRequest, View};
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::Delta;
 use stoatstep_resource::wire::DeltaWire;
@@ -104,7 +104,7 @@
     let Some((peer, _)) = peers.choose(&mut rand::rng()) else {
         return;
     };
-    let theirs = Mark { version, digest: 0 };
+    let theirs = ConfigId { version, digest: 0 };
     let mine = control.replica.borrow().mark();
     let mut repair = control.repair.borrow_mut();
     repair.peer_holds(control.now(), peer, theirs, mine);
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -42,14 +42,14 @@
 pub use wire::{CollectReply, CollectRequest, LogReply, LogRequest, LogTail, PushRequest};
 
 /// Which version a daemon holds, as peers tell each other.
-pub use stoatstep_membership::Mark;
+pub use stoatstep_membership::ConfigId;
 
 use stoatstep_resource::{Digest, State};
 
 /// The mark of a state.
 #[must_use]
-pub fn mark_of(state: &State) -> Mark {
-    Mark {
+pub fn mark_of(state: &State) -> ConfigId {
+    ConfigId {
         version: state.version(),
         digest: short_digest(&state.digest()),
     }
--- a/crates/distribution/src/repair.rs
+++ b/crates/distribution/src/repair.rs
@@ -2,7 +2,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stoatstep_membership::{Mark, MemberKey, Time};
+use stoatstep_membership::{ConfigId, MemberKey, Time};
 
 use crate::jitter::{backoff, full_jitter};
 
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Lead {
     peer: MemberKey,
-    mark: Mark,
+    mark: ConfigId,
     due: Time,
 }
 
@@ -68,7 +68,7 @@
     }
 
     /// A peer showed what it holds.
-    pub fn peer_holds(&mut self, now: Time, peer: MemberKey, theirs: Mark, mine: Mark) {
+    pub fn peer_holds(&mut self, now: Time, peer: MemberKey, theirs: ConfigId, mine: ConfigId) {
         if theirs.version <= mine.version {
             return;
         }
@@ -95,7 +95,7 @@
     }
 
     /// The pull that is due now, if any.
-    pub fn tick(&mut self, now: Time, mine: Mark, needs_state: bool) -> Option<Pull> {
+    pub fn tick(&mut self, now: Time, mine: ConfigId, needs_state: bool) -> Option<Pull> {
         if self
             .under_way
             .is_some_and(|since| since + PULL_TIMEOUT <= now)
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-use stoatstep_membership::{Mark, Time};
+use stoatstep_membership::{ConfigId, Time};
 use stoatstep_resource::{ApplyError, Delta, Digest, State, Version};
 
 use crate::quarantine::{Quarantine, Quarantined, Reason};
@@ -88,8 +88,8 @@
 
     /// Version and digest in force, in the form that peers exchange.
     #[must_use]
-    pub fn mark(&self) -> Mark {
-        Mark {
+    pub fn mark(&self) -> ConfigId {
+        ConfigId {
             version: self.version(),
             digest: short_digest(&self.digest),
         }
@@ -186,7 +186,7 @@
 
     /// Notes that a peer holds the same version with another digest. One of the
     /// two is wrong, and only the platform can tell which.
-    pub fn note_fork(&mut self, now: Time, theirs: Mark) -> Option<Quarantined> {
+    pub fn note_fork(&mut self, now: Time, theirs: ConfigId) -> Option<Quarantined> {
         let mine = self.mark();
         if theirs.version != mine.version || theirs.digest == mine.digest {
             return None;
--- a/crates/distribution/src/wire.rs
+++ b/crates/distribution/src/wire.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
-use stoatstep_membership::{Mark, MemberKey};
+use stoatstep_membership::{ConfigId, MemberKey};
 use stoatstep_resource::wire::{DeltaWire, SnapshotWire};
 use stoatstep_resource::{Delta, SnapshotError, State};
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRequest {
     /// What the sender holds.
-    pub held: Mark,
+    pub held: ConfigId,
     /// Deltas won't do: the sender refused one.
     pub whole: bool,
 }
@@ -32,7 +32,7 @@
 pub enum LogReply {
     /// The answering daemon holds nothing newer.
     #[serde(rename = "n")]
-    Nothing(Mark),
+    Nothing(ConfigId),
     /// The versions after the sender's, oldest first.
     #[serde(rename = "d")]
     Deltas(Vec<DeltaWire>),
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogTail {
     /// Nothing newer.
-    Nothing(Mark),
+    Nothing(ConfigId),
     /// Versions, oldest first.
     Deltas(Vec<Arc<Delta>>),
     /// A whole state whose digest is right.
--- a/crates/distribution/tests/all/repair.rs
+++ b/crates/distribution/tests/all/repair.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use stoatstep_distribution::{Mark, Pull, Repair, Source};
+use stoatstep_distribution::{ConfigId, Pull, Repair, Source};
 
-fn mark(version: u64) -> Mark {
-    Mark {
+fn mark(version: u64) -> ConfigId {
+    ConfigId {
         version,
         digest: version,
     }
--- a/crates/distribution/tests/all/replica.rs
+++ b/crates/distribution/tests/all/replica.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use stoatstep_distribution::{Mark, Offer, Reason, Replica};
+use stoatstep_distribution::{ConfigId, Offer, Reason, Replica};
 use stoatstep_resource::{ApplyError, Digest, State};
 
 use crate::support::{T0, log, route, service_key};
@@ -119,7 +119,7 @@
     let (deltas, state) = log(2);
     let mut replica = Replica::default();
     replica.offer_deltas(T0, deltas);
-    let theirs = Mark {
+    let theirs = ConfigId {
         version: 2,
         digest: 1,
     };
--- a/crates/distribution/tests/all/sizes.rs
+++ b/crates/distribution/tests/all/sizes.rs
@@ -2,7 +2,7 @@
 //! them; `docs/design/spreading.md` quotes them.
 
 use stoatstep_distribution::{LogReply, PushRequest};
-use stoatstep_membership::{Exchange, Mark, member_key};
+use stoatstep_membership::{ConfigId, Exchange, member_key};
 use stoatstep_resource::wire::{DeltaWire, SnapshotWire};
 use stoatstep_resource::{Resource, State, Upstream};
 
@@ -35,7 +35,7 @@
     let exchange = Exchange {
         from: member_key("i-1"),
         incarnation: 1_700_000_000_000,
-        mark: Mark {
+        mark: ConfigId {
             version: 2100,
             digest: u64::MAX,
         },
--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 
 use crate::member::{Announced, Incarnation, MemberKey};
-use crate::wire::{Exchange, Mark, Row, ZoneDigest};
+use crate::wire::{ConfigId, Exchange, Row, ZoneDigest};
 
 /// An event that the state machine processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     /// This daemon begins a graceful shutdown.
     Leave,
     /// This daemon switched to another configuration.
-    Holds(Mark),
+    Holds(ConfigId),
     /// This daemon read the platform's head.
     HeadRead,
     /// The local target's announcement changed.
@@ -87,7 +87,7 @@
         /// Address on which the peer listens.
         addr: SocketAddr,
         /// The configuration that the peer holds.
-        mark: Mark,
+        mark: ConfigId,
         /// Highest version that the peer has seen this instance report.
         floor: u64,
         /// Whether the report came in a reply to this daemon. A request may have
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -38,6 +38,6 @@
 };
 pub use table::{Entry, Table};
 pub use wire::{
-    Announcement, Exchange, GossipReply, GossipRequest, Mark, Row, RowError, WireState, Word,
+    Announcement, ConfigId, Exchange, GossipReply, GossipRequest, Row, RowError, WireState, Word,
     ZoneDigest,
 };
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -12,7 +12,7 @@
 use crate::probe::{IndirectProbes, ProbeRound};
 use crate::table::{Entry, Table};
 use crate::update_queue::{FleetSize, Locality, UpdateQueue};
-use crate::wire::{Announcement, Exchange, Mark, Row, Word, ZoneDigest};
+use crate::wire::{Announcement, ConfigId, Exchange, Row, Word, ZoneDigest};
 
 /// Results of comparing digests with the tables of a group of peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -64,7 +64,7 @@
     pub(crate) round: ProbeRound,
     pub(crate) indirect_probes: IndirectProbes,
     pub(crate) rng: Xoshiro256PlusPlus,
-    pub(crate) mark: Mark,
+    pub(crate) config_id: ConfigId,
     pub(crate) head_read: Option<Time>,
     pub(crate) last_tick: Option<Time>,
     pub(crate) next_probe: Time,
@@ -101,7 +101,7 @@
             round: ProbeRound::default(),
             indirect_probes: IndirectProbes::default(),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            mark: Mark::default(),
+            config_id: ConfigId::default(),
             head_read: None,
             last_tick: None,
             next_probe: Time::ZERO,
@@ -123,7 +123,7 @@
             Input::TablePulled { rows } => self.table_pulled(rows),
             Input::Announced { rows } => self.announcements_read(rows),
             Input::Leave => self.leave(),
-            Input::Holds(mark) => self.mark = mark,
+            Input::Holds(id) => self.config_id = id,
             Input::HeadRead => self.head_read = Some(now),
             Input::TargetAnnounced(announced) => self.target_announced(announced),
         }
@@ -201,8 +201,8 @@
 
     /// Returns the configuration that this daemon holds.
     #[must_use]
-    pub fn mark(&self) -> Mark {
-        self.mark
+    pub fn config_id(&self) -> ConfigId {
+        self.config_id
     }
 
     /// Whether probes to this zone succeed; true for a zone that was not probed yet.
@@ -238,7 +238,7 @@
     pub fn announcement(&self) -> Announcement {
         Announcement {
             row: Row::from(&self.own().member),
-            version: self.mark.version,
+            version: self.config_id.version,
         }
     }
 
@@ -281,7 +281,7 @@
         Exchange {
             from: self.me,
             incarnation: self.own().member.incarnation,
-            mark: self.mark,
+            mark: self.config_id,
             floor: self.table.get(peer).map_or(0, |entry| entry.version),
             head_age: u16::try_from(age).unwrap_or(u16::MAX),
             table: self.table.digest(),
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -16,7 +16,7 @@
 
 /// Identifies the configuration that a daemon holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Mark {
+pub struct ConfigId {
     /// Version in force.
     pub version: u64,
     /// First eight bytes of the state's digest.
@@ -32,7 +32,7 @@
     /// The sender's incarnation. Updates from an outdated incarnation are ignored.
     pub incarnation: Incarnation,
     /// Configuration that the sender holds.
-    pub mark: Mark,
+    pub mark: ConfigId,
     /// Highest version that the sender has seen the receiver report. A receiver that
     /// restarted must not fall back below it.
     pub floor: u64,
--- a/crates/membership/tests/all/codec.rs
+++ b/crates/membership/tests/all/codec.rs
@@ -1,6 +1,6 @@
 //! Encoding and validation of messages.
 
-use stoatstep_membership::{Exchange, Mark, Member, Row, RowError, starting_incarnation};
+use stoatstep_membership::{ConfigId, Exchange, Member, Row, RowError, starting_incarnation};
 
 use crate::fleet::{key, member};
 
@@ -9,7 +9,7 @@
     let message = Exchange {
         from: key(0, 0),
         incarnation: 1_700_000_000_000,
-        mark: Mark {
+        mark: ConfigId {
             version: 2100,
             digest: 77,
         },
--- a/crates/membership/tests/all/failures.rs
+++ b/crates/membership/tests/all/failures.rs
@@ -161,7 +161,7 @@
     // process reported.
     let mut fleet = settled(2, 5);
     let again = key(0, 0);
-    let mark = stoatstep_membership::Mark {
+    let mark = stoatstep_membership::ConfigId {
         version: 7,
         digest: 1,
     };
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -125,7 +125,7 @@
 
 /// What this daemon answers to others of its zone.
 pub(crate) fn answer(node: &Node) -> Reply {
-    let mark = node.fleet.membership.borrow().mark();
+    let mark = node.fleet.membership.borrow().config_id();
     let following = if node.fleet.reaches_host.get() == Some(false) {
         Following::LostHost
     } else if role::waits_for_zone(node) {
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -7,7 +7,7 @@
 
 use stoatstep_distribution::PollRole;
 use stoatstep_membership::{
-    Action, Exchange, GossipReply, GossipRequest, Input, Mark, MemberKey, ZoneDigest,
+    Action, ConfigId, Exchange, GossipReply, GossipRequest, Input, MemberKey, ZoneDigest,
 };
 use stoatstep_rollout::Progress;
 use stoatstep_telemetry::fields;
@@ -97,7 +97,7 @@
 /// What this daemon holds, for others.
 fn holds(node: &Node) -> Ask {
     let membership = node.fleet.membership.borrow();
-    Ask::Holds(membership.me(), membership.mark())
+    Ask::Holds(membership.me(), membership.config_id())
 }
 
 /// Sends these daemons a word that needs no answer.
@@ -150,7 +150,7 @@
 }
 
 /// A peer said what it holds, unasked.
-pub(crate) fn told(node: &Rc<Node>, peer: MemberKey, mark: Mark) {
+pub(crate) fn told(node: &Rc<Node>, peer: MemberKey, mark: ConfigId) {
     let addr = {
         let membership = node.fleet.membership.borrow();
         membership.table().get(peer).map(|it| it.member.peer)
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 use stoatstep_calls::{Candidate, CandidateState, Time};
 use stoatstep_distribution::{Contact, PollRole};
 use stoatstep_membership::{
-    Config, Entry, Mark, Member, MemberKey, MemberState, Membership, starting_incarnation,
+    Config, ConfigId, Entry, Member, MemberKey, MemberState, Membership, starting_incarnation,
 };
 use stoatstep_resource::{InstanceId, ServiceName, State, UpstreamName};
 use tokio::sync::Notify;
@@ -48,7 +48,7 @@
     membership: RefCell<Membership>,
     in_force: RefCell<Option<Rc<InForce>>>,
     /// States that were in force before, the newest last.
-    former: RefCell<VecDeque<(Mark, Arc<State>)>>,
+    former: RefCell<VecDeque<(ConfigId, Arc<State>)>>,
     /// What was last sent to a peer, for the others that hold the same.
     packed: RefCell<Option<Packed>>,
     places: RefCell<HashMap<UpstreamName, Place>>,
--- a/crates/mesh/src/fleet/packed.rs
+++ b/crates/mesh/src/fleet/packed.rs
@@ -12,7 +12,7 @@
 use flate2::Compression;
 use flate2::read::DeflateDecoder;
 use flate2::write::DeflateEncoder;
-use stoatstep_membership::Mark;
+use stoatstep_membership::ConfigId;
 
 use crate::wire::Newer;
 
@@ -25,8 +25,8 @@
 
 /// What leads from one configuration to another.
 pub(super) struct Packed {
-    pub(super) from: Mark,
-    pub(super) to: Mark,
+    pub(super) from: ConfigId,
+    pub(super) to: ConfigId,
     pub(super) bytes: Bytes,
 }
 
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stoatstep_distribution::Mark;
+use stoatstep_distribution::ConfigId;
 use stoatstep_membership::{Input, MemberKey};
 use stoatstep_resource::State;
 use stoatstep_telemetry::fields;
@@ -74,7 +74,7 @@
 }
 
 /// Puts a state in force and keeps the one before for peers that still hold it.
-fn replace(node: &Node, state: State) -> Mark {
+fn replace(node: &Node, state: State) -> ConfigId {
     let before = node.fleet.in_force();
     let state = match &before {
         Some(before) => state.sharing(&before.state),
@@ -94,7 +94,7 @@
 }
 
 /// The configuration for a peer that holds an older one.
-pub(crate) fn newer_than(node: &Node, theirs: Mark) -> Newer {
+pub(crate) fn newer_than(node: &Node, theirs: ConfigId) -> Newer {
     let Some(held) = node.fleet.in_force() else {
         return Newer::Nothing;
     };
@@ -117,14 +117,14 @@
 }
 
 /// What was packed for another peer that asked for the same.
-fn kept(node: &Node, from: Mark, to: Mark) -> Option<Bytes> {
+fn kept(node: &Node, from: ConfigId, to: ConfigId) -> Option<Bytes> {
     let packed = node.fleet.packed.borrow();
     let packed = packed.as_ref();
     let packed = packed.filter(|it| it.from == from && it.to == to);
     packed.map(|it| it.bytes.clone())
 }
 
-fn leading_to(node: &Node, theirs: Mark, held: &InForce) -> Newer {
+fn leading_to(node: &Node, theirs: ConfigId, held: &InForce) -> Newer {
     let former = node.fleet.former.borrow();
     match former.iter().find(|(mark, _)| *mark == theirs) {
         Some((_, state)) => Newer::Difference((&state.difference(&held.state)).into()),
@@ -134,7 +134,7 @@
 
 /// A peer said what it holds. Where it is newer, the peer is asked: at once if it
 /// is of the own zone, and otherwise only if nobody nearer has told in a while.
-pub(crate) fn peer_holds(node: &Rc<Node>, peer: MemberKey, addr: SocketAddr, theirs: Mark) {
+pub(crate) fn peer_holds(node: &Rc<Node>, peer: MemberKey, addr: SocketAddr, theirs: ConfigId) {
     if theirs.version <= held(node).version || node.fleet.is_pulling.get() {
         return;
     }
@@ -151,7 +151,7 @@
     });
 }
 
-fn held(node: &Node) -> Mark {
+fn held(node: &Node) -> ConfigId {
     node.fleet.in_force().map(|it| it.mark).unwrap_or_default()
 }
 
--- a/crates/mesh/src/in_force.rs
+++ b/crates/mesh/src/in_force.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use stoatstep_calls::{KeyRing, RouteTable};
-use stoatstep_membership::Mark;
+use stoatstep_membership::ConfigId;
 use stoatstep_resource::{Key, Kind, Resource, Service, State, Version};
 
 /// One version, compiled for routing. It is immutable: a call keeps the one that
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub(crate) state: Arc<State>,
-    pub(crate) mark: Mark,
+    pub(crate) mark: ConfigId,
     pub(crate) routes: RouteTable,
     pub(crate) keys: KeyRing,
 }
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -11,7 +11,7 @@
 use stoatstep_calls::{
     Answer, AttemptId, Finding, Fingerprint, Grant, Header, Occupancy, Refusal, Settled, Ticket,
 };
-use stoatstep_membership::{GossipReply, GossipRequest, Mark, MemberKey};
+use stoatstep_membership::{ConfigId, GossipReply, GossipRequest, MemberKey};
 use stoatstep_resource::wire::{DifferenceWire, SnapshotWire};
 use stoatstep_resource::{CustomerName, KeyId, RouteName, ServiceName, UpstreamName, Version};
 use stoatstep_rollout::{Evidence, OrderId, Progress};
@@ -49,10 +49,10 @@
     Gossip(GossipRequest, News),
     /// The configuration, if it is newer than this one.
     #[serde(rename = "n")]
-    Newer(Mark),
+    Newer(ConfigId),
     /// The sender holds this configuration since a moment ago; answered like a ping.
     #[serde(rename = "h")]
-    Holds(MemberKey, Mark),
+    Holds(MemberKey, ConfigId),
     /// A roll-out has come so far; answered like a ping.
     #[serde(rename = "o")]
     Rollout(Progress),
@@ -112,7 +112,7 @@
     Confirmed(Option<Confirmed>),
     /// To [`Ask::Following`].
     #[serde(rename = "w")]
-    Following(Following, Mark),
+    Following(Following, ConfigId),
     /// To [`Ask::Tokens`] and [`Ask::Borrow`]; nothing where the receiver is not the home.
     #[serde(rename = "t")]
     Tokens(Option<GrantWire>),
--- a/crates/scenario/src/daemon/gossip.rs
+++ b/crates/scenario/src/daemon/gossip.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use stoatstep_membership::{Action, Exchange, Input, Mark, MemberKey, Time, ZoneDigest};
+use stoatstep_membership::{Action, ConfigId, Exchange, Input, MemberKey, Time, ZoneDigest};
 
 use super::{Node, index_of};
 use crate::world::net::{Way, ask};
@@ -44,7 +44,7 @@
     }
 }
 
-fn peer_holds(node: &Node, peer: MemberKey, theirs: Mark, floor: u64) {
+fn peer_holds(node: &Node, peer: MemberKey, theirs: ConfigId, floor: u64) {
     let now = node.now();
     let mut control = node.control.borrow_mut();
     let mine = control.replica.mark();
--- a/crates/scenario/src/daemon/spread.rs
+++ b/crates/scenario/src/daemon/spread.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use stoatstep_distribution::{LogTail, Mark, Offer, Pull, Source, View};
+use stoatstep_distribution::{ConfigId, LogTail, Offer, Pull, Source, View};
 use stoatstep_membership::{MemberKey, Membership, Time};
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{Delta, State, Version};
@@ -71,7 +71,7 @@
     let Some(peer) = node.world.choose(&peers) else {
         return;
     };
-    let theirs = Mark { version, digest: 0 };
+    let theirs = ConfigId { version, digest: 0 };
     let mine = control.replica.mark();
     control.repair.peer_holds(now, peer, theirs, mine);
 }
--- a/tests/all/decoders.rs
+++ b/tests/all/decoders.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use stoatstep_calls::Answer;
-use stoatstep_distribution::{LogReply, LogRequest, LogTail, Mark, PushRequest};
+use stoatstep_distribution::{ConfigId, LogReply, LogRequest, LogTail, PushRequest};
 use stoatstep_membership::{Announcement, Exchange, Member};
 use stoatstep_membership::{MemberState, Row, Word};
 use stoatstep_resource::wire::{DeltaWire, SnapshotWire};
@@ -116,8 +116,8 @@
     state.delta(vec![Resource::Service(service)], routes.collect())
 }
 
-fn mark() -> Mark {
-    Mark {
+fn mark() -> ConfigId {
+    ConfigId {
         version: 7,
         digest: 8,
     }
