--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -38,6 +38,6 @@
 };
 pub use table::{Entry, Table};
 pub use wire::{
-    Announcement, ConfigId, Exchange, GossipReply, GossipRequest, Row, RowError, WireState, Word,
-    ZoneDigest,
+    Announcement, ConfigId, Exchange, GossipReply, GossipRequest, Row, RowError, StateUpdate,
+    WireState, ZoneDigest,
 };
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -12,7 +12,7 @@
 use crate::probe::{IndirectProbes, ProbeRound};
 use crate::table::{Entry, Table};
 use crate::update_queue::{FleetSize, Locality, UpdateQueue};
-use crate::wire::{Announcement, ConfigId, Exchange, Row, Word, ZoneDigest};
+use crate::wire::{Announcement, ConfigId, Exchange, Row, StateUpdate, ZoneDigest};
 
 /// Results of comparing digests with the tables of a group of peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -307,8 +307,8 @@
         if member.state == MemberState::Alive {
             message.rows.push(Row::from(member));
         } else {
-            let word = Word(key, member.incarnation, member.state.into());
-            message.words.push(word);
+            let update = StateUpdate(key, member.incarnation, member.state.into());
+            message.words.push(update);
         }
     }
 
--- a/crates/membership/src/probe_failure.rs
+++ b/crates/membership/src/probe_failure.rs
@@ -71,7 +71,7 @@
         let Some(incarnation) = self.table.get(key).map(|it| it.member.incarnation) else {
             return;
         };
-        if self.table.merge_word(key, incarnation, state) == Merge::Changed {
+        if self.table.merge_state_update(key, incarnation, state) == Merge::Changed {
             self.report_change(key);
         }
     }
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -4,7 +4,7 @@
 use crate::machine::{Membership, TableComparison};
 use crate::member::{Member, MemberKey, MemberState, Time};
 use crate::table::{Entry, Merge};
-use crate::wire::{Exchange, Row, Word};
+use crate::wire::{Exchange, Row, StateUpdate};
 
 /// Consecutive digest mismatches before a table is pulled. Updates in flight make
 /// digests differ for a moment, which resolves without a pull.
@@ -94,8 +94,8 @@
         for row in rows {
             self.receive_row(row);
         }
-        for word in message.words.into_iter().take(MAX_UPDATES) {
-            self.receive_state_update(word);
+        for update in message.words.into_iter().take(MAX_UPDATES) {
+            self.receive_state_update(update);
         }
         self.merge_head_age(now, message.head_age);
         if let Some(upstream) = message.drained {
@@ -141,13 +141,13 @@
         }
     }
 
-    fn receive_state_update(&mut self, Word(key, incarnation, state): Word) {
+    fn receive_state_update(&mut self, StateUpdate(key, incarnation, state): StateUpdate) {
         let state = MemberState::from(state);
         if key == self.me {
             self.refute(incarnation, state);
             return;
         }
-        if self.table.merge_word(key, incarnation, state) == Merge::Changed {
+        if self.table.merge_state_update(key, incarnation, state) == Merge::Changed {
             self.report_change(key);
         }
     }
--- a/crates/membership/src/table.rs
+++ b/crates/membership/src/table.rs
@@ -123,7 +123,7 @@
     }
 
     /// Merges a state update without addresses.
-    pub(crate) fn merge_word(
+    pub(crate) fn merge_state_update(
         &mut self,
         key: MemberKey,
         incarnation: Incarnation,
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -44,7 +44,7 @@
     /// Whether the sender does not know the receiver and asks for its row.
     pub introduce: bool,
     /// Updates without addresses.
-    pub words: Vec<Word>,
+    pub words: Vec<StateUpdate>,
     /// Updates with addresses.
     pub rows: Vec<Row>,
     /// The last generation of the receiver's target that the receiver, or its former
@@ -55,7 +55,7 @@
 
 /// Update of one member's state, for receivers that hold its row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word(pub MemberKey, pub Incarnation, pub WireState);
+pub struct StateUpdate(pub MemberKey, pub Incarnation, pub WireState);
 
 /// A member's state, encoded as a number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/tests/all/decoders.rs
+++ b/tests/all/decoders.rs
@@ -9,7 +9,7 @@
 use stoatstep_calls::Answer;
 use stoatstep_distribution::{ConfigId, LogReply, LogRequest, LogTail, PushRequest};
 use stoatstep_membership::{Announcement, Exchange, Member};
-use stoatstep_membership::{MemberState, Row, Word};
+use stoatstep_membership::{MemberState, Row, StateUpdate};
 use stoatstep_resource::wire::{DeltaWire, SnapshotWire};
 use stoatstep_resource::{Delta, Kind, Resource, Route, Service, State};
 
@@ -182,7 +182,7 @@
         head_age: 5,
         table: 4,
         introduce: false,
-        words: vec![Word(row().key(), 3, MemberState::Suspect.into())],
+        words: vec![StateUpdate(row().key(), 3, MemberState::Suspect.into())],
         rows: vec![row()],
         drained: Some("i-7".into()),
     }
