--- a/crates/membership/examples/start_at_size.rs
+++ b/crates/membership/examples/start_at_size.rs
@@ -13,7 +13,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stoatstep_membership::{Action, Announced, Input, Row};
+use stoatstep_membership::{Action, AnnouncedTarget, Input, Row};
 
 use fleet::{Fleet, TICK, key, member};
 
@@ -114,7 +114,7 @@
 }
 
 fn announce(fleet: &mut Fleet, zone: usize, n: usize) {
-    let announced = Announced {
+    let announced = AnnouncedTarget {
         upstream: format!("i-{zone:04x}{n:04x}").into(),
         service: "floatdesk".into(),
         slots: 16,
@@ -142,7 +142,7 @@
 fn measure_change(fleet: &mut Fleet, size: usize) {
     let cross = fleet.cross_zone_bytes;
     let began = fleet.now;
-    let announced = Announced {
+    let announced = AnnouncedTarget {
         upstream: "i-0000-last".into(),
         service: "floatdesk".into(),
         slots: 16,
--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -5,7 +5,7 @@
 
 use smol_str::SmolStr;
 
-use crate::member::{Announced, Incarnation, MemberKey};
+use crate::member::{AnnouncedTarget, Incarnation, MemberKey};
 use crate::wire::{ConfigId, Exchange, Row, ZoneDigest};
 
 /// An event that the state machine processes.
@@ -49,7 +49,7 @@
     /// This daemon read the platform's head.
     HeadRead,
     /// The local target's announcement changed.
-    TargetAnnounced(Option<Announced>),
+    TargetAnnounced(Option<AnnouncedTarget>),
 }
 
 /// Work that the state machine requests from its caller.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -34,7 +34,8 @@
 pub use local_target::{Heard, Heartbeat, LocalTarget};
 pub use machine::Membership;
 pub use member::{
-    Announced, Incarnation, Member, MemberKey, MemberState, Time, member_key, starting_incarnation,
+    AnnouncedTarget, Incarnation, Member, MemberKey, MemberState, Time, member_key,
+    starting_incarnation,
 };
 pub use table::{Entry, Table};
 pub use wire::{
--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -13,7 +13,7 @@
 use smol_str::SmolStr;
 
 use crate::generation::{self, Birth, id_of_life, life_name};
-use crate::member::{Announced, Time};
+use crate::member::{AnnouncedTarget, Time};
 
 /// Intervals without a heartbeat after which the target counts as gone. One heartbeat
 /// may be lost and one be late by nearly two seconds.
@@ -251,12 +251,12 @@
     /// Returns the announcement of the target for peers. There is none while the target is
     /// silent or is yet to be confirmed.
     #[must_use]
-    pub fn announced(&self, now: Time) -> Option<Announced> {
+    pub fn announced(&self, now: Time) -> Option<AnnouncedTarget> {
         let generation = self.live_generation(now)?;
         if self.unconfirmed(now).is_some() {
             return None;
         }
-        Some(Announced {
+        Some(AnnouncedTarget {
             upstream: generation.heartbeat.upstream.clone(),
             service: generation.heartbeat.service.clone(),
             slots: generation.heartbeat.slots,
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -8,7 +8,7 @@
 use crate::action::{Action, Input};
 use crate::config::Config;
 use crate::isolation::IsolationDetector;
-use crate::member::{Announced, Member, MemberKey, MemberState, Time};
+use crate::member::{AnnouncedTarget, Member, MemberKey, MemberState, Time};
 use crate::probe::{IndirectProbes, ProbeRound};
 use crate::table::{Entry, Table};
 use crate::update_queue::{FleetSize, Locality, UpdateQueue};
@@ -314,7 +314,7 @@
 
     /// Stores the local target's announcement. The incarnation is raised because peers
     /// take a changed announcement only from a row that is newer than theirs.
-    fn target_announced(&mut self, announced: Option<Announced>) {
+    fn target_announced(&mut self, announced: Option<AnnouncedTarget>) {
         let me = self.me;
         let Some(own) = self.table.get_mut(me) else {
             return;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -56,7 +56,7 @@
 /// Self-description of a target, where targets announce themselves to their local
 /// daemon instead of being listed as resources.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Announced {
+pub struct AnnouncedTarget {
     /// Id of this generation of the target; a restarted target has another one.
     pub upstream: SmolStr,
     /// Service that the target runs.
@@ -96,7 +96,7 @@
     pub state: MemberState,
     /// Self-description of the instance's target; absent where upstreams are
     /// configured, or before the target's first heartbeat.
-    pub announced: Option<Announced>,
+    pub announced: Option<AnnouncedTarget>,
 }
 
 impl Member {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-use crate::member::{Announced, Incarnation, Member, MemberKey, MemberState, member_key};
+use crate::member::{AnnouncedTarget, Incarnation, Member, MemberKey, MemberState, member_key};
 
 /// Length limit in bytes of an id or label in a row.
 const MAX_LABEL: usize = 128;
@@ -124,7 +124,7 @@
     pub state: WireState,
     /// See [`Member::announced`].
     #[serde(default)]
-    pub announced: Option<Announced>,
+    pub announced: Option<AnnouncedTarget>,
 }
 
 impl From<&Member> for Row {
@@ -178,7 +178,7 @@
     }
 }
 
-fn has_bad_label(announced: &Announced) -> bool {
+fn has_bad_label(announced: &AnnouncedTarget) -> bool {
     let is_bad = |it: &SmolStr| it.is_empty() || it.len() > MAX_LABEL;
     let has_bad_name = [&announced.upstream, &announced.service]
         .into_iter()
--- a/crates/membership/tests/all/failures.rs
+++ b/crates/membership/tests/all/failures.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use stoatstep_membership::{Action, Announced, Config, Input, MemberState, Membership, Row, Time};
+use stoatstep_membership::{
+    Action, AnnouncedTarget, Config, Input, MemberState, Membership, Row, Time,
+};
 
 use crate::fleet::{Fleet, key, member};
 
@@ -268,7 +270,7 @@
 fn a_restarted_daemon_hears_that_its_target_drains() {
     let mut old = Membership::new(member(0, 1, 1_000), Config::default(), 1);
     let mut peer = Membership::new(member(0, 2, 1_000), Config::default(), 2);
-    let announced = Announced {
+    let announced = AnnouncedTarget {
         upstream: "i-7".into(),
         service: "floatdesk".into(),
         slots: 13,
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -24,7 +24,7 @@
     Answers, Arrival, AttemptId, Deadline, Incarnation, Ledger, LedgerConfig, Occupancy, Queue,
     Reason, RecentAnswers, Refusal, Settled, Ticket, Uplink,
 };
-use stoatstep_membership::{Announced, LocalTarget};
+use stoatstep_membership::{AnnouncedTarget, LocalTarget};
 use stoatstep_resource::{RouteName, ServiceName, UpstreamName};
 use stoatstep_rollout::{Evidence, OrderId, Tally};
 use tokio::sync::oneshot;
@@ -167,7 +167,7 @@
     }
 
     /// What peers are told about the target.
-    pub(crate) fn announced(&self, now: stoatstep_calls::Time) -> Option<Announced> {
+    pub(crate) fn announced(&self, now: stoatstep_calls::Time) -> Option<AnnouncedTarget> {
         self.tables.borrow().upstream.announced(now)
     }
 }
