--- a/crates/daemon/src/control/cold_start.rs
+++ b/crates/daemon/src/control/cold_start.rs
@@ -73,7 +73,7 @@
     let rows: Vec<_> = roster.announcements.into_iter().map(|it| it.row).collect();
     let is_other = |row: &&Row| row.instance != node.cfg.instance;
     let others = rows.iter().filter(is_other).count();
-    gossip::input(node, Input::Announced { rows });
+    gossip::input(node, Input::AnnouncementsRead { rows });
     poll::learn(node, &roster.head);
     others
 }
--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -59,13 +59,13 @@
             } => {
                 ntex::rt::spawn(exchange(Rc::clone(node), peer, addr, message));
             }
-            Action::AskHelper { addr, target } => {
+            Action::IndirectProbe { addr, target } => {
                 ntex::rt::spawn(ask_helper(Rc::clone(node), addr, target));
             }
             Action::PullTable { addr, zones } => {
                 ntex::rt::spawn(pull_table(Rc::clone(node), addr, zones));
             }
-            Action::PeerHolds {
+            Action::PeerConfig {
                 peer,
                 mark,
                 floor,
@@ -84,7 +84,7 @@
                 slog::warn!(node.log, "way to a zone changed";
                     "zone" => %zone, "reachable" => reachable);
             }
-            Action::Woke { gap } => {
+            Action::Resumed { gap } => {
                 slog::warn!(node.log, "woke from a freeze"; "gap_ms" => gap.as_millis());
                 node.metrics.count("control.freezes", 1);
                 node.control.woke();
@@ -162,7 +162,7 @@
     let message = Message::new(GOSSIP, Class::Membership, &request);
     let answer = ask(&node, addr, &message, HELPER_BOUND).await;
     let reached = matches!(answer, Ok(GossipReply::Probe(true)));
-    input(&node, Input::Helped { target, reached });
+    input(&node, Input::IndirectProbeResult { target, reached });
 }
 
 /// Probes a member for a peer that can't reach it.
--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -155,7 +155,9 @@
         }
         let mark = self.replica.borrow().mark();
         let now = self.now();
-        self.membership.borrow_mut().handle(now, Input::Holds(mark));
+        self.membership
+            .borrow_mut()
+            .handle(now, Input::ConfigChanged(mark));
     }
 
     /// Takes what is held for old until others confirm it.
--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -25,8 +25,8 @@
         /// The peer.
         peer: MemberKey,
     },
-    /// The result of an [`Action::AskHelper`], or its timeout.
-    Helped {
+    /// The result of an [`Action::IndirectProbe`], or its timeout.
+    IndirectProbeResult {
         /// The member that the peer was asked to probe.
         target: MemberKey,
         /// Whether the peer reached it.
@@ -38,14 +38,14 @@
         rows: Vec<Row>,
     },
     /// Announcement rows were read from the platform.
-    Announced {
+    AnnouncementsRead {
         /// Rows of the roster.
         rows: Vec<Row>,
     },
     /// This daemon begins a graceful shutdown.
     Leave,
     /// This daemon switched to another configuration.
-    Holds(ConfigId),
+    ConfigChanged(ConfigId),
     /// This daemon read the platform's head.
     HeadRead,
     /// The local target's announcement changed.
@@ -66,8 +66,8 @@
         message: Exchange,
     },
     /// Ask a peer to probe a member on this daemon's behalf, and feed back the
-    /// result as [`Input::Helped`].
-    AskHelper {
+    /// result as [`Input::IndirectProbeResult`].
+    IndirectProbe {
         /// Address on which the peer listens.
         addr: SocketAddr,
         /// The member that missed a probe.
@@ -81,7 +81,7 @@
         zones: Vec<ZoneDigest>,
     },
     /// A peer reported which configuration it holds.
-    PeerHolds {
+    PeerConfig {
         /// The peer.
         peer: MemberKey,
         /// Address on which the peer listens.
@@ -116,7 +116,7 @@
         reachable: bool,
     },
     /// The process was frozen: its queues, views and leases are stale.
-    Woke {
+    Resumed {
         /// How long the process was frozen.
         gap: Duration,
     },
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -7,7 +7,7 @@
 pub struct Config {
     pub(crate) probe_interval: Duration,
     pub(crate) other_zone_every: u32,
-    pub(crate) helpers: usize,
+    pub(crate) indirect_probes: usize,
     pub(crate) suspect_timeout: Duration,
     pub(crate) forget_after: Duration,
     pub(crate) dead_probe_interval: Duration,
@@ -21,7 +21,7 @@
         Self {
             probe_interval: Duration::from_secs(1),
             other_zone_every: 4,
-            helpers: 3,
+            indirect_probes: 3,
             suspect_timeout: Duration::from_secs(5),
             forget_after: Duration::from_mins(10),
             dead_probe_interval: Duration::from_secs(5),
@@ -52,8 +52,8 @@
     /// Sets how many peers are asked for an indirect probe of a member that missed
     /// a probe. Default 3. More of them make a false suspicion less likely.
     #[must_use]
-    pub fn helpers(mut self, helpers: usize) -> Self {
-        self.helpers = helpers;
+    pub fn indirect_probes(mut self, count: usize) -> Self {
+        self.indirect_probes = count;
         self
     }
 
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -119,11 +119,13 @@
             Input::Tick => self.tick(now),
             Input::Replied { peer, reply } => self.replied(now, peer, reply),
             Input::Unreached { peer } => self.unreached(now, peer),
-            Input::Helped { target, reached } => self.indirect_probed(now, target, reached),
+            Input::IndirectProbeResult { target, reached } => {
+                self.indirect_probed(now, target, reached)
+            }
             Input::TablePulled { rows } => self.table_pulled(rows),
-            Input::Announced { rows } => self.announcements_read(rows),
+            Input::AnnouncementsRead { rows } => self.announcements_read(rows),
             Input::Leave => self.leave(),
-            Input::Holds(id) => self.config_id = id,
+            Input::ConfigChanged(id) => self.config_id = id,
             Input::HeadRead => self.head_read = Some(now),
             Input::TargetAnnounced(announced) => self.target_announced(announced),
         }
--- a/crates/membership/src/probe_failure.rs
+++ b/crates/membership/src/probe_failure.rs
@@ -45,7 +45,7 @@
             .map(|(_, entry)| entry.member.peer)
             .collect();
         let chosen: Vec<_> = candidates
-            .sample(&mut self.rng, self.config.helpers)
+            .sample(&mut self.rng, self.config.indirect_probes)
             .copied()
             .collect();
         if chosen.is_empty() {
@@ -54,7 +54,7 @@
         }
         self.indirect_probes.start(now, target, chosen.len());
         for addr in chosen {
-            self.actions.push(Action::AskHelper { addr, target });
+            self.actions.push(Action::IndirectProbe { addr, target });
         }
     }
 
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -101,7 +101,7 @@
         if let Some(upstream) = message.drained {
             self.actions.push(Action::TargetDrained(upstream));
         }
-        self.actions.push(Action::PeerHolds {
+        self.actions.push(Action::PeerConfig {
             peer: from,
             addr,
             mark: message.mark,
--- a/crates/membership/src/tick.rs
+++ b/crates/membership/src/tick.rs
@@ -61,7 +61,7 @@
         self.isolation.clear();
         self.indirect_probes.clear();
         self.raise_incarnation(0);
-        self.actions.push(Action::Woke { gap });
+        self.actions.push(Action::Resumed { gap });
     }
 
     fn expire_indirect_probes(&mut self, now: Time) {
--- a/crates/membership/tests/all/failures.rs
+++ b/crates/membership/tests/all/failures.rs
@@ -148,7 +148,7 @@
     fleet.run(Duration::from_secs(20));
     fleet.frozen.clear();
     fleet.run(Duration::from_secs(20));
-    let resumed = |it: &(u64, Action)| it.0 == frozen && matches!(it.1, Action::Woke { .. });
+    let resumed = |it: &(u64, Action)| it.0 == frozen && matches!(it.1, Action::Resumed { .. });
     assert!(fleet.actions.iter().any(resumed));
     assert!(fleet.nodes[&frozen].own().member.incarnation > before);
     assert!(fleet.all_see(suspect, MemberState::Alive));
@@ -167,7 +167,7 @@
         version: 7,
         digest: 1,
     };
-    fleet.input(again, Input::Holds(mark));
+    fleet.input(again, Input::ConfigChanged(mark));
     fleet.run(Duration::from_secs(10));
     fleet.nodes.remove(&again);
     fleet.run(Duration::from_secs(20));
@@ -182,7 +182,7 @@
         .iter()
         .filter(|it| it.0 == again)
         .map(|it| match &it.1 {
-            Action::PeerHolds { floor, .. } => *floor,
+            Action::PeerConfig { floor, .. } => *floor,
             _ => 0,
         });
     assert_eq!(floor.max(), Some(7));
@@ -222,7 +222,7 @@
     // nothing listens, and the row would spread through the fleet.
     let mut fleet = settled(1, 4);
     let rows = vec![Row::from(&member(5, 5, 10))];
-    fleet.input(key(0, 0), Input::Announced { rows });
+    fleet.input(key(0, 0), Input::AnnouncementsRead { rows });
     fleet.run(Duration::from_mins(3));
     for node in fleet.nodes.values() {
         assert_eq!(node.table().present().count(), 4);
@@ -291,9 +291,9 @@
 /// platform row. Returns the first daemon's actions.
 fn introduce(one: &mut Membership, other: &mut Membership) -> Vec<Action> {
     let rows = vec![one.announcement().row];
-    other.handle(Time::ZERO, Input::Announced { rows });
+    other.handle(Time::ZERO, Input::AnnouncementsRead { rows });
     let rows = vec![other.announcement().row];
-    one.handle(Time::ZERO, Input::Announced { rows });
+    one.handle(Time::ZERO, Input::AnnouncementsRead { rows });
     let actions = one.handle(Time::ZERO, Input::Tick);
     let message = actions.into_iter().find_map(|action| match action {
         Action::Exchange { message, .. } => Some(message),
--- a/crates/membership/tests/all/fleet.rs
+++ b/crates/membership/tests/all/fleet.rs
@@ -66,7 +66,7 @@
         let mut node = Membership::new(me, Config::default(), key);
         let rows = rows.to_vec();
         self.started.insert(key, self.now);
-        node.handle(Time::ZERO, Input::Announced { rows });
+        node.handle(Time::ZERO, Input::AnnouncementsRead { rows });
         self.nodes.insert(key, node);
     }
 
@@ -113,11 +113,11 @@
                     self.act(peer, action, queue);
                 }
             }
-            Action::AskHelper { addr, target } => {
+            Action::IndirectProbe { addr, target } => {
                 let helper = self.at_addr(addr);
                 let reached =
                     helper.is_some_and(|it| self.connected(at, it) && self.connected(it, target));
-                queue.push_back((at, Input::Helped { target, reached }));
+                queue.push_back((at, Input::IndirectProbeResult { target, reached }));
             }
             Action::PullTable { addr, zones } => {
                 if let Some(peer) = self.at_addr(addr).filter(|it| self.connected(at, *it)) {
--- a/crates/membership/tests/all/merging.rs
+++ b/crates/membership/tests/all/merging.rs
@@ -63,7 +63,7 @@
         node.handle(std::time::Duration::ZERO, Input::TablePulled { rows });
     }
     let rows = vec![Row::from(&member(0, 1, 9))];
-    let actions = node.handle(std::time::Duration::ZERO, Input::Announced { rows });
+    let actions = node.handle(std::time::Duration::ZERO, Input::AnnouncementsRead { rows });
     let state = node.table().get(key(0, 1)).map(|it| it.member.state);
     assert_eq!(state, Some(MemberState::Alive));
     assert!(actions.contains(&Action::Changed(key(0, 1))), "{actions:?}");
@@ -89,7 +89,7 @@
     // would every process started after it.
     let mut node = Membership::new(member(0, 0, 900), Config::default(), 1);
     let rows = vec![Row::from(&member(0, 0, 1000))];
-    let actions = node.handle(std::time::Duration::ZERO, Input::Announced { rows });
+    let actions = node.handle(std::time::Duration::ZERO, Input::AnnouncementsRead { rows });
     let stops = |it: &Action| matches!(it, Action::Superseded { .. });
     assert!(!actions.iter().any(stops));
     assert!(node.own().member.birth > 1000);
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -190,13 +190,13 @@
             } => {
                 ntex::rt::spawn(exchange(Rc::clone(node), peer, addr, message));
             }
-            Action::AskHelper { addr, target } => {
+            Action::IndirectProbe { addr, target } => {
                 ntex::rt::spawn(ask_helper(Rc::clone(node), addr, target));
             }
             Action::PullTable { addr, zones } => {
                 ntex::rt::spawn(pull_table(Rc::clone(node), addr, zones));
             }
-            Action::PeerHolds {
+            Action::PeerConfig {
                 peer, addr, mark, ..
             } => versions::peer_holds(node, peer, addr, mark),
             Action::Changed(key) => {
@@ -210,7 +210,7 @@
                 slog::warn!(node.log, "way to a zone changed";
                     fields::ZONE => %zone, fields::REACHABLE => reachable);
             }
-            Action::Woke { gap } => woke(node, gap),
+            Action::Resumed { gap } => woke(node, gap),
             Action::TargetDrained(upstream) => executor::leave(node, &upstream),
             Action::Superseded { birth } => {
                 slog::error!(node.log, "a newer process runs under this id"; fields::BIRTH => birth);
@@ -285,7 +285,7 @@
 async fn ask_helper(node: Rc<Node>, addr: SocketAddr, target: MemberKey) {
     let answer = ask(&node, addr, GossipRequest::Probe(target), HELPER_BOUND).await;
     let reached = matches!(answer, Some(GossipReply::Probe(true)));
-    input(&node, Input::Helped { target, reached });
+    input(&node, Input::IndirectProbeResult { target, reached });
 }
 
 /// Probes a member for a peer that can't reach it.
--- a/crates/mesh/src/fleet/roster.rs
+++ b/crates/mesh/src/fleet/roster.rs
@@ -154,7 +154,7 @@
         let is_own = |it: &Row| it.instance == cfg.instance && it.peer == cfg.addresses.peers;
         self.is_announced |= rows.iter().any(is_own);
         let of_zone = rows.iter().filter(|it| it.zone == cfg.zone).count();
-        gossip::input(&self.node, Input::Announced { rows });
+        gossip::input(&self.node, Input::AnnouncementsRead { rows });
         self.looks += 1;
         self.node.fleet.looked_at.set(Some(self.node.clock.now()));
         Some(of_zone)
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -53,7 +53,7 @@
     let mark = replace(node, state);
     slog::info!(node.log, "configuration in force";
         fields::VERSION => version, fields::BEFORE => held, fields::SOURCE => ?source);
-    gossip::input(node, Input::Holds(mark));
+    gossip::input(node, Input::ConfigChanged(mark));
     tell(node, source);
     // The first configuration names the path at which targets are asked.
     executor::ask_target(node);
--- a/crates/scenario/src/daemon/control.rs
+++ b/crates/scenario/src/daemon/control.rs
@@ -80,7 +80,7 @@
         control.in_force = state;
     }
     let mark = control.replica.mark();
-    control.membership.handle(now, Input::Holds(mark));
+    control.membership.handle(now, Input::ConfigChanged(mark));
 }
 
 /// The systems of the control side, four times a second.
@@ -227,7 +227,7 @@
     let rows: Vec<Row> = announced.into_iter().map(|it| it.row).collect();
     let others = rows.iter().filter(|it| it.instance != node.instance);
     let others = others.count();
-    gossip::input(node, Input::Announced { rows });
+    gossip::input(node, Input::AnnouncementsRead { rows });
     learn(node, head);
     others
 }
--- a/crates/scenario/src/daemon/gossip.rs
+++ b/crates/scenario/src/daemon/gossip.rs
@@ -28,13 +28,13 @@
                 addr,
                 message,
             } => Rc::clone(&node).spawn(exchange(node, peer, addr, message)),
-            Action::AskHelper { addr, target } => {
+            Action::IndirectProbe { addr, target } => {
                 Rc::clone(&node).spawn(ask_helper(node, addr, target));
             }
             Action::PullTable { addr, zones } => {
                 Rc::clone(&node).spawn(pull_table(node, addr, zones));
             }
-            Action::PeerHolds {
+            Action::PeerConfig {
                 peer, mark, floor, ..
             } => peer_holds(&node, peer, mark, floor),
             Action::Superseded { .. } => node.drain(),
@@ -79,7 +79,7 @@
     let probe = async move |helper: Rc<Node>| reaches(&helper, target).await;
     let answer = ask(&node, index_of(addr), Way::Control, HELPER_BOUND, probe).await;
     let reached = answer == Ok(true);
-    input(&node, Input::Helped { target, reached });
+    input(&node, Input::IndirectProbeResult { target, reached });
 }
 
 async fn reaches(node: &Rc<Node>, target: MemberKey) -> bool {
