--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -31,7 +31,7 @@
 pub use action::{Action, Input};
 pub use config::Config;
 pub use generation::{Birth, id_of_life, life_name};
-pub use local_target::{Heard, Heartbeat, LocalTarget};
+pub use local_target::{Heartbeat, HeartbeatOutcome, LocalTarget};
 pub use machine::Membership;
 pub use member::{
     AnnouncedTarget, Incarnation, Member, MemberKey, MemberState, Time, member_key,
--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -46,9 +46,9 @@
 
 /// Outcome of processing a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum HeartbeatOutcome {
     /// The heartbeat is the newest one and was applied.
-    Taken,
+    Accepted,
     /// The heartbeat is older than the known state.
     Stale,
     /// The heartbeat names a service that the configuration does not have. No call could
@@ -106,36 +106,36 @@
     }
 
     /// Processes a heartbeat.
-    pub fn hear(&mut self, mut heartbeat: Heartbeat, now: Time) -> Heard {
+    pub fn hear(&mut self, mut heartbeat: Heartbeat, now: Time) -> HeartbeatOutcome {
         if self.has_ended(&heartbeat.upstream) {
-            return Heard::Stale;
+            return HeartbeatOutcome::Stale;
         }
         if let Some(generation) = &mut self.current
             && generation.heartbeat.upstream == heartbeat.upstream
         {
             if heartbeat.sequence <= generation.heartbeat.sequence {
-                return Heard::Stale;
+                return HeartbeatOutcome::Stale;
             }
             // Calls that are sent after a drain was acknowledged fail, so a generation
             // that has begun to drain never gets calls again.
             heartbeat.draining |= generation.heartbeat.draining;
             generation.heartbeat = heartbeat;
             generation.received_at = now;
-            return Heard::Taken;
+            return HeartbeatOutcome::Accepted;
         }
         if self
             .current
             .as_ref()
             .is_some_and(|it| it.supersedes(&heartbeat))
         {
-            return Heard::Stale;
+            return HeartbeatOutcome::Stale;
         }
         self.replace(Generation {
             heartbeat,
             received_at: now,
             is_confirmed: false,
         });
-        Heard::Taken
+        HeartbeatOutcome::Accepted
     }
 
     /// Returns the last heartbeat of a live generation that is yet to be confirmed. Calls
--- a/crates/membership/tests/all/local_target.rs
+++ b/crates/membership/tests/all/local_target.rs
@@ -1,6 +1,8 @@
 use std::time::Duration;
 
-use stoatstep_membership::{Birth, Heard, Heartbeat, LocalTarget, id_of_life, life_name};
+use stoatstep_membership::{
+    Birth, Heartbeat, HeartbeatOutcome, LocalTarget, id_of_life, life_name,
+};
 
 const INTERVAL: Duration = Duration::from_secs(1);
 
@@ -62,8 +64,14 @@
 #[test]
 fn a_heartbeat_alone_admits_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
-    assert_eq!(target.hear(heartbeat("a", 7), at(0)), Heard::Taken);
-    assert_eq!(target.hear(heartbeat("a", 8), at(100)), Heard::Taken);
+    assert_eq!(
+        target.hear(heartbeat("a", 7), at(0)),
+        HeartbeatOutcome::Accepted
+    );
+    assert_eq!(
+        target.hear(heartbeat("a", 8), at(100)),
+        HeartbeatOutcome::Accepted
+    );
     assert_eq!(admitted(&target, at(100)), None);
     assert_eq!(target.announced(at(100)), None);
     assert!(target.unconfirmed(at(100)).is_some());
@@ -109,8 +117,14 @@
     let mut target = confirmed(&["a"]);
     target.hear(draining("a", 3), at(100));
     assert_eq!(admitted(&target, at(100)), None);
-    assert_eq!(target.hear(heartbeat("a", 2), at(200)), Heard::Stale);
-    assert_eq!(target.hear(heartbeat("a", 4), at(300)), Heard::Taken);
+    assert_eq!(
+        target.hear(heartbeat("a", 2), at(200)),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        target.hear(heartbeat("a", 4), at(300)),
+        HeartbeatOutcome::Accepted
+    );
     assert_eq!(admitted(&target, at(300)), None, "a drain is final");
 }
 
@@ -129,7 +143,10 @@
 #[test]
 fn a_late_heartbeat_of_an_earlier_life_changes_nothing() {
     let mut target = confirmed(&["a", "b"]);
-    assert_eq!(target.hear(heartbeat("a", 8), at(200)), Heard::Stale);
+    assert_eq!(
+        target.hear(heartbeat("a", 8), at(200)),
+        HeartbeatOutcome::Stale
+    );
     assert_eq!(admitted(&target, at(200)), Some("b"));
 }
 
@@ -143,8 +160,14 @@
     assert_eq!(admitted(&target, at(100)), None);
     target.answered_as("a", "b");
     assert_eq!(admitted(&target, at(100)), Some("b"));
-    assert_eq!(target.hear(heartbeat("a", 9), at(200)), Heard::Stale);
-    assert_eq!(target.hear(heartbeat("b", 2), at(300)), Heard::Taken);
+    assert_eq!(
+        target.hear(heartbeat("a", 9), at(200)),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        target.hear(heartbeat("b", 2), at(300)),
+        HeartbeatOutcome::Accepted
+    );
 }
 
 #[test]
@@ -174,7 +197,10 @@
 fn a_good_bye_holds_for_a_life_that_was_not_known_before() {
     let mut target = LocalTarget::new(INTERVAL);
     target.leave("a");
-    assert_eq!(target.hear(heartbeat("a", 7), at(100)), Heard::Stale);
+    assert_eq!(
+        target.hear(heartbeat("a", 7), at(100)),
+        HeartbeatOutcome::Stale
+    );
     assert_eq!(admitted(&target, at(100)), None);
     target.hear(heartbeat("b", 1), at(200));
     target.confirm("b");
@@ -210,7 +236,10 @@
 #[test]
 fn a_target_that_starts_again_under_its_id_is_another_life() {
     let mut target = started_at_1000();
-    assert_eq!(target.hear(heartbeat_of(2_000, 1), at(100)), Heard::Taken);
+    assert_eq!(
+        target.hear(heartbeat_of(2_000, 1), at(100)),
+        HeartbeatOutcome::Accepted
+    );
     assert_eq!(admitted(&target, at(100)), None, "not confirmed yet");
     target.confirm("a#2000");
     assert_eq!(admitted(&target, at(100)), Some("a#2000"));
@@ -223,9 +252,18 @@
     let mut target = started_at_1000();
     target.hear(heartbeat_of(2_000, 1), at(100));
     target.confirm("a#2000");
-    assert_eq!(target.hear(heartbeat_of(1_000, 71), at(200)), Heard::Stale);
-    assert_eq!(target.hear(heartbeat_of(500, 99), at(200)), Heard::Stale);
-    assert_eq!(target.hear(heartbeat("a", 99), at(200)), Heard::Stale);
+    assert_eq!(
+        target.hear(heartbeat_of(1_000, 71), at(200)),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        target.hear(heartbeat_of(500, 99), at(200)),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        target.hear(heartbeat("a", 99), at(200)),
+        HeartbeatOutcome::Stale
+    );
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
 }
 
@@ -238,10 +276,16 @@
     assert_eq!(left, "a#1000");
     assert!(target.leave(&left));
     assert_eq!(admitted(&target, at(0)), None);
-    assert_eq!(target.hear(heartbeat_of(2_000, 1), at(100)), Heard::Taken);
+    assert_eq!(
+        target.hear(heartbeat_of(2_000, 1), at(100)),
+        HeartbeatOutcome::Accepted
+    );
     target.confirm("a#2000");
     assert_eq!(admitted(&target, at(100)), Some("a#2000"));
-    assert_eq!(target.hear(heartbeat_of(1_000, 71), at(200)), Heard::Stale);
+    assert_eq!(
+        target.hear(heartbeat_of(1_000, 71), at(200)),
+        HeartbeatOutcome::Stale
+    );
     assert_eq!(target.life_meant("a", Some(1_000)), "a#1000");
     assert!(!target.leave("a#1000"), "it is known already");
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
--- a/crates/mesh/src/executor/heard.rs
+++ b/crates/mesh/src/executor/heard.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use stoatstep_calls::Reason;
-use stoatstep_membership::{Birth, Heard, Heartbeat, LocalTarget};
+use stoatstep_membership::{Birth, Heartbeat, HeartbeatOutcome, LocalTarget};
 use stoatstep_telemetry::fields;
 
 use super::{ask_target, slot};
@@ -11,13 +11,13 @@
 
 /// Takes in a heartbeat of the target. Once it returns, no call is sent to a
 /// target that drains, so that its drain may be acked.
-pub(crate) fn hear(node: &Rc<Node>, beat: Heartbeat) -> Heard {
+pub(crate) fn hear(node: &Rc<Node>, beat: Heartbeat) -> HeartbeatOutcome {
     if !names_known_service(node, &beat) {
-        return Heard::UnknownService;
+        return HeartbeatOutcome::UnknownService;
     }
     let slots = beat.slots;
     let heard = learn(node, |target, now| target.hear(beat, now));
-    if heard == Heard::Taken {
+    if heard == HeartbeatOutcome::Accepted {
         node.executor.tables.borrow_mut().queue.set_slots(slots);
     }
     ask_target(node);
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -25,7 +25,7 @@
 use crate::{drain, fleet::gossip};
 use stoatstep_calls::Departure;
 use stoatstep_http::{Server, Unwritten};
-use stoatstep_membership::{Birth, Heard, Heartbeat};
+use stoatstep_membership::{Birth, Heartbeat, HeartbeatOutcome};
 use stoatstep_telemetry::fields;
 
 /// Interval of the periodic work. Membership counts its time in it.
@@ -120,7 +120,7 @@
     /// Takes in a heartbeat of the target beside the daemon. Once this returns,
     /// no further call goes to a target that drains.
     #[must_use = "a stale heartbeat is acked like any other, but may be worth a log line"]
-    pub fn hear(&self, beat: Heartbeat) -> Heard {
+    pub fn hear(&self, beat: Heartbeat) -> HeartbeatOutcome {
         let heard = executor::hear(&self.0, beat);
         gossip::target_changed(&self.0);
         heard
