--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -106,7 +106,7 @@
     }
 
     /// Processes a heartbeat.
-    pub fn hear(&mut self, mut heartbeat: Heartbeat, now: Time) -> HeartbeatOutcome {
+    pub fn record_heartbeat(&mut self, mut heartbeat: Heartbeat, now: Time) -> HeartbeatOutcome {
         if self.has_ended(&heartbeat.upstream) {
             return HeartbeatOutcome::Stale;
         }
@@ -151,7 +151,7 @@
     /// notice without a start time refers to the current generation, since a former one
     /// can no longer send it.
     #[must_use]
-    pub fn life_meant(&self, id: &str, born: Option<Birth>) -> SmolStr {
+    pub fn departing_generation(&self, id: &str, born: Option<Birth>) -> SmolStr {
         let current = self.current.as_ref().map(|it| &it.heartbeat.upstream);
         let current = current.filter(|it| born.is_none() && id_of_life(it) == id);
         current.cloned().unwrap_or_else(|| life_name(id, born))
@@ -162,7 +162,7 @@
     /// The departure is final whatever else arrives from this generation, and does not
     /// affect a later one with the same target id. The target may still finish the calls
     /// that it runs.
-    pub fn leave(&mut self, upstream: &str) -> bool {
+    pub fn record_departure(&mut self, upstream: &str) -> bool {
         if self.departed.iter().any(|it| it == upstream) {
             return false;
         }
@@ -195,7 +195,7 @@
     /// A heartbeat that was delayed until after a restart of this daemon looks like one of
     /// a newer generation; the target's answer shows that it was from an older one. If
     /// the generation has changed since the request, the answer is outdated and ignored.
-    pub fn answered_as(&mut self, asked: &str, actual: &str) {
+    pub fn record_answer(&mut self, asked: &str, actual: &str) {
         if id_of_life(asked) == actual || !self.is_current(asked) {
             return;
         }
@@ -223,7 +223,7 @@
 
     /// Returns the target's last heartbeat if the target accepts new calls.
     #[must_use]
-    pub fn admits(&self, now: Time) -> Option<&Heartbeat> {
+    pub fn accepting_heartbeat(&self, now: Time) -> Option<&Heartbeat> {
         let generation = self.live_generation(now)?;
         let is_open = generation.is_confirmed && self.accepts_calls(generation);
         is_open.then_some(&generation.heartbeat)
@@ -237,7 +237,7 @@
 
     /// Returns the id of the target's current generation; none before the first heartbeat.
     #[must_use]
-    pub fn life(&self) -> Option<&SmolStr> {
+    pub fn generation(&self) -> Option<&SmolStr> {
         self.current.as_ref().map(|it| &it.heartbeat.upstream)
     }
 
--- a/crates/membership/tests/all/local_target.rs
+++ b/crates/membership/tests/all/local_target.rs
@@ -31,7 +31,9 @@
 }
 
 fn admitted(target: &LocalTarget, now: Duration) -> Option<&str> {
-    target.admits(now).map(|it| it.upstream.as_str())
+    target
+        .accepting_heartbeat(now)
+        .map(|it| it.upstream.as_str())
 }
 
 /// Returns a target after a heartbeat and a confirmation of each given generation, in this
@@ -39,7 +41,7 @@
 fn confirmed(generations: &[&str]) -> LocalTarget {
     let mut target = LocalTarget::new(INTERVAL);
     for generation in generations {
-        target.hear(heartbeat(generation, 1), at(0));
+        target.record_heartbeat(heartbeat(generation, 1), at(0));
         target.confirm(generation);
     }
     target
@@ -53,7 +55,7 @@
     assert_eq!(admitted(&target, at(0)), None);
     target.confirm("a");
     assert_eq!(admitted(&target, at(0)), None);
-    target.hear(heartbeat("a", 1), at(0));
+    target.record_heartbeat(heartbeat("a", 1), at(0));
     target.confirm("a");
     assert_eq!(admitted(&target, at(0)), Some("a"));
 }
@@ -65,11 +67,11 @@
 fn a_heartbeat_alone_admits_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
     assert_eq!(
-        target.hear(heartbeat("a", 7), at(0)),
+        target.record_heartbeat(heartbeat("a", 7), at(0)),
         HeartbeatOutcome::Accepted
     );
     assert_eq!(
-        target.hear(heartbeat("a", 8), at(100)),
+        target.record_heartbeat(heartbeat("a", 8), at(100)),
         HeartbeatOutcome::Accepted
     );
     assert_eq!(admitted(&target, at(100)), None);
@@ -86,13 +88,13 @@
 #[test]
 fn a_confirmation_does_not_undo_a_drain_or_a_good_bye() {
     let mut drains = LocalTarget::new(INTERVAL);
-    drains.hear(heartbeat("a", 1), at(0));
-    drains.hear(draining("a", 2), at(10));
+    drains.record_heartbeat(heartbeat("a", 1), at(0));
+    drains.record_heartbeat(draining("a", 2), at(10));
     drains.confirm("a");
     assert_eq!(admitted(&drains, at(20)), None);
     let mut leaves = LocalTarget::new(INTERVAL);
-    leaves.hear(heartbeat("a", 1), at(0));
-    leaves.leave("a");
+    leaves.record_heartbeat(heartbeat("a", 1), at(0));
+    leaves.record_departure("a");
     leaves.confirm("a");
     assert_eq!(admitted(&leaves, at(20)), None);
     assert_eq!(leaves.unconfirmed(at(20)), None);
@@ -103,11 +105,11 @@
 #[test]
 fn an_answer_for_an_earlier_life_changes_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
-    target.hear(heartbeat("a", 1), at(0));
-    target.hear(heartbeat("b", 1), at(10));
+    target.record_heartbeat(heartbeat("a", 1), at(0));
+    target.record_heartbeat(heartbeat("b", 1), at(10));
     target.confirm("a");
     assert_eq!(admitted(&target, at(20)), None);
-    target.answered_as("a", "c");
+    target.record_answer("a", "c");
     target.confirm("b");
     assert_eq!(admitted(&target, at(20)), Some("b"));
 }
@@ -115,14 +117,14 @@
 #[test]
 fn a_target_that_drains_takes_no_new_calls_whatever_comes_late() {
     let mut target = confirmed(&["a"]);
-    target.hear(draining("a", 3), at(100));
+    target.record_heartbeat(draining("a", 3), at(100));
     assert_eq!(admitted(&target, at(100)), None);
     assert_eq!(
-        target.hear(heartbeat("a", 2), at(200)),
+        target.record_heartbeat(heartbeat("a", 2), at(200)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        target.hear(heartbeat("a", 4), at(300)),
+        target.record_heartbeat(heartbeat("a", 4), at(300)),
         HeartbeatOutcome::Accepted
     );
     assert_eq!(admitted(&target, at(300)), None, "a drain is final");
@@ -131,10 +133,10 @@
 #[test]
 fn a_target_that_said_good_bye_takes_no_new_calls() {
     let mut target = confirmed(&["a"]);
-    target.leave("a");
+    target.record_departure("a");
     assert_eq!(admitted(&target, at(0)), None);
     assert!(target.announced(at(0)).is_some_and(|it| it.draining));
-    target.hear(heartbeat("a", 2), at(100));
+    target.record_heartbeat(heartbeat("a", 2), at(100));
     assert_eq!(admitted(&target, at(100)), None);
 }
 
@@ -144,7 +146,7 @@
 fn a_late_heartbeat_of_an_earlier_life_changes_nothing() {
     let mut target = confirmed(&["a", "b"]);
     assert_eq!(
-        target.hear(heartbeat("a", 8), at(200)),
+        target.record_heartbeat(heartbeat("a", 8), at(200)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(admitted(&target, at(200)), Some("b"));
@@ -156,16 +158,16 @@
 #[test]
 fn the_targets_own_answer_settles_which_life_is_the_present_one() {
     let mut target = confirmed(&["b"]);
-    target.hear(heartbeat("a", 8), at(100));
+    target.record_heartbeat(heartbeat("a", 8), at(100));
     assert_eq!(admitted(&target, at(100)), None);
-    target.answered_as("a", "b");
+    target.record_answer("a", "b");
     assert_eq!(admitted(&target, at(100)), Some("b"));
     assert_eq!(
-        target.hear(heartbeat("a", 9), at(200)),
+        target.record_heartbeat(heartbeat("a", 9), at(200)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        target.hear(heartbeat("b", 2), at(300)),
+        target.record_heartbeat(heartbeat("b", 2), at(300)),
         HeartbeatOutcome::Accepted
     );
 }
@@ -173,9 +175,9 @@
 #[test]
 fn an_unknown_life_that_answers_leaves_nobody_admitted() {
     let mut target = confirmed(&["a"]);
-    target.answered_as("a", "c");
+    target.record_answer("a", "c");
     assert_eq!(admitted(&target, at(0)), None);
-    target.hear(heartbeat("c", 1), at(100));
+    target.record_heartbeat(heartbeat("c", 1), at(100));
     target.confirm("c");
     assert_eq!(admitted(&target, at(100)), Some("c"));
 }
@@ -186,7 +188,7 @@
     assert_eq!(admitted(&target, at(3_000)), Some("a"));
     assert_eq!(admitted(&target, at(3_100)), None);
     assert_eq!(target.announced(at(3_100)), None);
-    target.hear(heartbeat("a", 2), at(3_200));
+    target.record_heartbeat(heartbeat("a", 2), at(3_200));
     assert_eq!(admitted(&target, at(3_200)), Some("a"));
 }
 
@@ -196,13 +198,13 @@
 #[test]
 fn a_good_bye_holds_for_a_life_that_was_not_known_before() {
     let mut target = LocalTarget::new(INTERVAL);
-    target.leave("a");
+    target.record_departure("a");
     assert_eq!(
-        target.hear(heartbeat("a", 7), at(100)),
+        target.record_heartbeat(heartbeat("a", 7), at(100)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(admitted(&target, at(100)), None);
-    target.hear(heartbeat("b", 1), at(200));
+    target.record_heartbeat(heartbeat("b", 1), at(200));
     target.confirm("b");
     assert_eq!(admitted(&target, at(200)), Some("b"));
 }
@@ -217,7 +219,7 @@
 /// Returns the state after the generation of target "a" that started at 1000 was confirmed.
 fn started_at_1000() -> LocalTarget {
     let mut target = LocalTarget::new(INTERVAL);
-    target.hear(heartbeat_of(1_000, 70), at(0));
+    target.record_heartbeat(heartbeat_of(1_000, 70), at(0));
     target.confirm("a#1000");
     target
 }
@@ -237,7 +239,7 @@
 fn a_target_that_starts_again_under_its_id_is_another_life() {
     let mut target = started_at_1000();
     assert_eq!(
-        target.hear(heartbeat_of(2_000, 1), at(100)),
+        target.record_heartbeat(heartbeat_of(2_000, 1), at(100)),
         HeartbeatOutcome::Accepted
     );
     assert_eq!(admitted(&target, at(100)), None, "not confirmed yet");
@@ -250,18 +252,18 @@
 #[test]
 fn a_late_heartbeat_of_the_former_birth_changes_nothing() {
     let mut target = started_at_1000();
-    target.hear(heartbeat_of(2_000, 1), at(100));
+    target.record_heartbeat(heartbeat_of(2_000, 1), at(100));
     target.confirm("a#2000");
     assert_eq!(
-        target.hear(heartbeat_of(1_000, 71), at(200)),
+        target.record_heartbeat(heartbeat_of(1_000, 71), at(200)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        target.hear(heartbeat_of(500, 99), at(200)),
+        target.record_heartbeat(heartbeat_of(500, 99), at(200)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        target.hear(heartbeat("a", 99), at(200)),
+        target.record_heartbeat(heartbeat("a", 99), at(200)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
@@ -272,22 +274,22 @@
 #[test]
 fn a_departure_does_not_bind_the_next_birth_nor_is_it_lifted_by_it() {
     let mut target = started_at_1000();
-    let left = target.life_meant("a", None);
+    let left = target.departing_generation("a", None);
     assert_eq!(left, "a#1000");
-    assert!(target.leave(&left));
+    assert!(target.record_departure(&left));
     assert_eq!(admitted(&target, at(0)), None);
     assert_eq!(
-        target.hear(heartbeat_of(2_000, 1), at(100)),
+        target.record_heartbeat(heartbeat_of(2_000, 1), at(100)),
         HeartbeatOutcome::Accepted
     );
     target.confirm("a#2000");
     assert_eq!(admitted(&target, at(100)), Some("a#2000"));
     assert_eq!(
-        target.hear(heartbeat_of(1_000, 71), at(200)),
+        target.record_heartbeat(heartbeat_of(1_000, 71), at(200)),
         HeartbeatOutcome::Stale
     );
-    assert_eq!(target.life_meant("a", Some(1_000)), "a#1000");
-    assert!(!target.leave("a#1000"), "it is known already");
+    assert_eq!(target.departing_generation("a", Some(1_000)), "a#1000");
+    assert!(!target.record_departure("a#1000"), "it is known already");
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
 }
 
@@ -295,6 +297,6 @@
 #[test]
 fn an_answer_under_the_same_id_keeps_the_present_birth() {
     let mut target = started_at_1000();
-    target.answered_as("a#1000", "a");
+    target.record_answer("a#1000", "a");
     assert_eq!(admitted(&target, at(0)), Some("a#1000"));
 }
--- a/crates/mesh/src/executor/confirm.rs
+++ b/crates/mesh/src/executor/confirm.rs
@@ -60,7 +60,7 @@
     let actual = health.as_ref().and_then(|it| it.upstream.clone());
     let status = health.as_ref().map(|it| it.status.as_u16());
     if let Some(actual) = &actual {
-        learn(node, |target, _| target.answered_as(asked, actual));
+        learn(node, |target, _| target.record_answer(asked, actual));
     }
     let is_well = health.is_some_and(|it| it.status.is_success());
     if is_well && actual.as_deref() == Some(id_of_life(asked)) {
--- a/crates/mesh/src/executor/heard.rs
+++ b/crates/mesh/src/executor/heard.rs
@@ -16,7 +16,7 @@
         return HeartbeatOutcome::UnknownService;
     }
     let slots = beat.slots;
-    let heard = learn(node, |target, now| target.hear(beat, now));
+    let heard = learn(node, |target, now| target.record_heartbeat(beat, now));
     if heard == HeartbeatOutcome::Accepted {
         node.executor.tables.borrow_mut().queue.set_slots(slots);
     }
@@ -36,13 +36,18 @@
 
 /// The target said good-bye under this id.
 pub(crate) fn target_left(node: &Node, id: &str, born: Option<Birth>) {
-    let life = node.executor.tables.borrow().upstream.life_meant(id, born);
+    let life = node
+        .executor
+        .tables
+        .borrow()
+        .upstream
+        .departing_generation(id, born);
     leave(node, &life);
 }
 
 /// A life of the target said good-bye, here or to the process before this one.
 pub(crate) fn leave(node: &Node, upstream: &str) {
-    let is_news = learn(node, |target, _| target.leave(upstream));
+    let is_news = learn(node, |target, _| target.record_departure(upstream));
     if is_news {
         slog::info!(node.log, "target leaves"; fields::UPSTREAM => upstream);
     }
@@ -56,9 +61,9 @@
 ) -> T {
     let now = node.clock.now();
     let mut tables = node.executor.tables.borrow_mut();
-    let before = tables.upstream.admits(now).cloned();
+    let before = tables.upstream.accepting_heartbeat(now).cloned();
     let learned = change(&mut tables.upstream, now);
-    let after = tables.upstream.admits(now).cloned();
+    let after = tables.upstream.accepting_heartbeat(now).cloned();
     drop(tables);
     if let Some(change) = changed_target(before, after) {
         // Idle connections led to the life before, if they lead anywhere.
@@ -87,7 +92,13 @@
 /// must not be sent to it after its drain was acked.
 fn flush_if_closed(node: &Node) {
     let now = node.clock.now();
-    let is_open = node.executor.tables.borrow().upstream.admits(now).is_some();
+    let is_open = node
+        .executor
+        .tables
+        .borrow()
+        .upstream
+        .accepting_heartbeat(now)
+        .is_some();
     if !is_open {
         slot::flush(node, Reason::Draining);
     }
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -135,12 +135,16 @@
 
     /// Whether calls go to the target.
     pub(crate) fn takes_calls(&self, now: stoatstep_calls::Time) -> bool {
-        self.tables.borrow().upstream.admits(now).is_some()
+        self.tables
+            .borrow()
+            .upstream
+            .accepting_heartbeat(now)
+            .is_some()
     }
 
     /// The present life of the target, if one was ever heard of.
     pub(crate) fn upstream(&self) -> Option<UpstreamName> {
-        self.tables.borrow().upstream.life().cloned()
+        self.tables.borrow().upstream.generation().cloned()
     }
 
     /// An order for a roll-out of this service was heard of.
@@ -226,7 +230,7 @@
         return Err(End::Refused(refusal));
     }
     let mut tables = node.executor.tables.borrow_mut();
-    let present = tables.upstream.admits(now);
+    let present = tables.upstream.accepting_heartbeat(now);
     let is_meant = present
         .is_some_and(|it| it.upstream == attempt.upstream && it.service == attempt.call.service);
     let expires = Deadline::after(attempt.left, now).expires();
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -178,7 +178,7 @@
         } => {
             if let Some(actual) = actual {
                 super::learn(node, |target, _| {
-                    target.answered_as(&attempt.upstream, &actual);
+                    target.record_answer(&attempt.upstream, &actual);
                 });
             }
             (End::Refused(refusal), arrived)
