--- a/crates/membership/src/generation.rs
+++ b/crates/membership/src/generation.rs
@@ -9,7 +9,7 @@
 use smol_str::{SmolStr, format_smolstr};
 
 /// Start time of a target, in milliseconds since the Unix epoch by its own clock.
-pub type Birth = u64;
+pub type StartMillis = u64;
 
 /// Separates the target's id from its start time. Ids are parts of paths, in which it
 /// cannot occur.
@@ -18,7 +18,7 @@
 /// Returns the id of the generation of target `id` that started at `born`, which is `id`
 /// alone for a target that does not report its start time.
 #[must_use]
-pub fn life_name(id: &str, born: Option<Birth>) -> SmolStr {
+pub fn generation_id(id: &str, born: Option<StartMillis>) -> SmolStr {
     match born {
         Some(born) => format_smolstr!("{id}{SEPARATOR}{born}"),
         None => id.into(),
@@ -28,13 +28,15 @@
 /// Returns the target's id within a generation's id. The target itself knows only this
 /// part and uses it in messages.
 #[must_use]
-pub fn id_of_life(life: &str) -> &str {
-    life.split_once(SEPARATOR).map_or(life, |(id, _)| id)
+pub fn target_id_of(generation: &str) -> &str {
+    generation
+        .split_once(SEPARATOR)
+        .map_or(generation, |(id, _)| id)
 }
 
 /// Whether a generation that started at `one` has ended, given that another one at the
 /// same address started at `other`. Returns false if either start time is unknown.
 #[must_use]
-pub(crate) fn started_before(one: Option<Birth>, other: Option<Birth>) -> bool {
+pub(crate) fn started_before(one: Option<StartMillis>, other: Option<StartMillis>) -> bool {
     matches!((one, other), (Some(one), Some(other)) if one < other)
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -30,7 +30,7 @@
 
 pub use action::{Action, Input};
 pub use config::Config;
-pub use generation::{Birth, id_of_life, life_name};
+pub use generation::{StartMillis, generation_id, target_id_of};
 pub use local_target::{Heartbeat, HeartbeatOutcome, LocalTarget};
 pub use machine::Membership;
 pub use member::{
--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -12,7 +12,7 @@
 
 use smol_str::SmolStr;
 
-use crate::generation::{self, Birth, id_of_life, life_name};
+use crate::generation::{self, StartMillis, generation_id, target_id_of};
 use crate::member::{AnnouncedTarget, Time};
 
 /// Intervals without a heartbeat after which the target counts as gone. One heartbeat
@@ -26,10 +26,10 @@
 /// A target's report about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Id of this generation of the target; see [`life_name`].
+    /// Id of this generation of the target; see [`generation_id`].
     pub upstream: SmolStr,
     /// Start time of this generation, if the target reports it.
-    pub born: Option<Birth>,
+    pub born: Option<StartMillis>,
     /// Service that the target runs.
     pub service: SmolStr,
     /// Version of the target's software, as free text.
@@ -74,7 +74,7 @@
     /// wait for a target that is gone.
     fn supersedes(&self, heartbeat: &Heartbeat) -> bool {
         let is_same_target =
-            id_of_life(&self.heartbeat.upstream) == id_of_life(&heartbeat.upstream);
+            target_id_of(&self.heartbeat.upstream) == target_id_of(&heartbeat.upstream);
         let lacks_start_time =
             is_same_target && self.heartbeat.born.is_some() && heartbeat.born.is_none();
         lacks_start_time || generation::started_before(heartbeat.born, self.heartbeat.born)
@@ -151,10 +151,10 @@
     /// notice without a start time refers to the current generation, since a former one
     /// can no longer send it.
     #[must_use]
-    pub fn departing_generation(&self, id: &str, born: Option<Birth>) -> SmolStr {
+    pub fn departing_generation(&self, id: &str, born: Option<StartMillis>) -> SmolStr {
         let current = self.current.as_ref().map(|it| &it.heartbeat.upstream);
-        let current = current.filter(|it| born.is_none() && id_of_life(it) == id);
-        current.cloned().unwrap_or_else(|| life_name(id, born))
+        let current = current.filter(|it| born.is_none() && target_id_of(it) == id);
+        current.cloned().unwrap_or_else(|| generation_id(id, born))
     }
 
     /// Records that a generation is departing, and returns whether this was unknown.
@@ -196,11 +196,11 @@
     /// a newer generation; the target's answer shows that it was from an older one. If
     /// the generation has changed since the request, the answer is outdated and ignored.
     pub fn record_answer(&mut self, asked: &str, actual: &str) {
-        if id_of_life(asked) == actual || !self.is_current(asked) {
+        if target_id_of(asked) == actual || !self.is_current(asked) {
             return;
         }
         let mut earlier = self.earlier.iter();
-        let known = earlier.rposition(|it| id_of_life(&it.heartbeat.upstream) == actual);
+        let known = earlier.rposition(|it| target_id_of(&it.heartbeat.upstream) == actual);
         match known.and_then(|at| self.earlier.remove(at)) {
             Some(generation) => self.replace(generation),
             None => self.retire(),
--- a/crates/membership/tests/all/local_target.rs
+++ b/crates/membership/tests/all/local_target.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use stoatstep_membership::{
-    Birth, Heartbeat, HeartbeatOutcome, LocalTarget, id_of_life, life_name,
+    Heartbeat, HeartbeatOutcome, LocalTarget, StartMillis, generation_id, target_id_of,
 };
 
 const INTERVAL: Duration = Duration::from_secs(1);
@@ -209,10 +209,10 @@
     assert_eq!(admitted(&target, at(200)), Some("b"));
 }
 
-fn heartbeat_of(born: Birth, sequence: u64) -> Heartbeat {
+fn heartbeat_of(born: StartMillis, sequence: u64) -> Heartbeat {
     Heartbeat {
         born: Some(born),
-        ..heartbeat(&life_name("a", Some(born)), sequence)
+        ..heartbeat(&generation_id("a", Some(born)), sequence)
     }
 }
 
@@ -226,10 +226,10 @@
 
 #[test]
 fn a_life_is_named_by_id_and_birth() {
-    assert_eq!(life_name("i-7", Some(5)), "i-7#5");
-    assert_eq!(life_name("i-7", None), "i-7");
-    assert_eq!(id_of_life("i-7#5"), "i-7");
-    assert_eq!(id_of_life("i-7"), "i-7");
+    assert_eq!(generation_id("i-7", Some(5)), "i-7#5");
+    assert_eq!(generation_id("i-7", None), "i-7");
+    assert_eq!(target_id_of("i-7#5"), "i-7");
+    assert_eq!(target_id_of("i-7"), "i-7");
 }
 
 /// A target crashes and restarts under its id, and its heartbeats count from one again. By
--- a/crates/mesh/src/executor/confirm.rs
+++ b/crates/mesh/src/executor/confirm.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_membership::{Heartbeat, id_of_life};
+use stoatstep_membership::{Heartbeat, target_id_of};
 use stoatstep_resource::{HEALTH_PATH, Service};
 use stoatstep_telemetry::fields;
 use tokio::time::timeout;
@@ -63,7 +63,7 @@
         learn(node, |target, _| target.record_answer(asked, actual));
     }
     let is_well = health.is_some_and(|it| it.status.is_success());
-    if is_well && actual.as_deref() == Some(id_of_life(asked)) {
+    if is_well && actual.as_deref() == Some(target_id_of(asked)) {
         learn(node, |target, _| target.confirm(asked));
         return;
     }
--- a/crates/mesh/src/executor/heard.rs
+++ b/crates/mesh/src/executor/heard.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 
 use stoatstep_calls::Reason;
-use stoatstep_membership::{Birth, Heartbeat, HeartbeatOutcome, LocalTarget};
+use stoatstep_membership::{Heartbeat, HeartbeatOutcome, LocalTarget, StartMillis};
 use stoatstep_telemetry::fields;
 
 use super::{ask_target, slot};
@@ -35,7 +35,7 @@
 }
 
 /// The target said good-bye under this id.
-pub(crate) fn target_left(node: &Node, id: &str, born: Option<Birth>) {
+pub(crate) fn target_left(node: &Node, id: &str, born: Option<StartMillis>) {
     let life = node
         .executor
         .tables
--- a/crates/mesh/src/executor/target.rs
+++ b/crates/mesh/src/executor/target.rs
@@ -16,7 +16,7 @@
 use slog::Logger;
 use smol_str::{SmolStr, ToSmolStr};
 use stoatstep_calls::{Answer, Header, Reason, Refusal, is_of_connection};
-use stoatstep_membership::id_of_life;
+use stoatstep_membership::target_id_of;
 use stoatstep_resource::UpstreamName;
 use stoatstep_telemetry::fields;
 
@@ -217,7 +217,10 @@
             (&self.names.request_id, call.request_id.as_str()),
             (&self.names.timeout_ms, millis.as_str()),
             (&self.names.caller_service, call.caller_service.as_str()),
-            (&self.names.expected_upstream, id_of_life(&attempt.upstream)),
+            (
+                &self.names.expected_upstream,
+                target_id_of(&attempt.upstream),
+            ),
         ];
         let customer = call.identity.as_ref();
         let customer = customer.map(|it| (&self.names.customer, it.customer.as_str()));
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -44,5 +44,5 @@
 pub use mechanism::{Mechanism, UnknownMechanism};
 pub use node::Mesh;
 pub use stoatstep_calls::{Fingerprint, KeptRequest};
-pub use stoatstep_membership::{Birth, Heartbeat, HeartbeatOutcome, life_name};
+pub use stoatstep_membership::{Heartbeat, HeartbeatOutcome, StartMillis, generation_id};
 pub use stoatstep_rollout::{Order, OrderId, Software, UnixTime};
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -25,7 +25,7 @@
 use crate::{drain, fleet::gossip};
 use stoatstep_calls::Departure;
 use stoatstep_http::{Server, Unwritten};
-use stoatstep_membership::{Birth, Heartbeat, HeartbeatOutcome};
+use stoatstep_membership::{Heartbeat, HeartbeatOutcome, StartMillis};
 use stoatstep_telemetry::fields;
 
 /// Interval of the periodic work. Membership counts its time in it.
@@ -128,7 +128,7 @@
 
     /// The target with this id said good-bye, for the life that began at `born` where
     /// it tells. Once this returns, no further call goes to that life.
-    pub fn target_left(&self, id: &str, born: Option<Birth>) {
+    pub fn target_left(&self, id: &str, born: Option<StartMillis>) {
         executor::target_left(&self.0, id, born);
         gossip::target_changed(&self.0);
     }
