--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -180,10 +180,10 @@
     ///
     /// Never: the own entry is created with the table and never removed.
     #[must_use]
-    pub fn own(&self) -> &Entry {
+    pub fn own_entry(&self) -> &Entry {
         self.table
             .get(self.me)
-            .expect("the own entry is never forgotten")
+            .expect("this daemon's entry is never removed")
     }
 
     /// Returns the table of members.
@@ -196,7 +196,7 @@
     /// platform rows. Some of them may be alive, so this daemon's view of its zone is
     /// still incomplete.
     #[must_use]
-    pub fn is_meeting_zone(&self) -> bool {
+    pub fn has_unconfirmed_in_zone(&self) -> bool {
         let mut entries = self.table.iter();
         entries.any(|(_, entry)| !entry.confirmed && self.is_own_zone(entry))
     }
@@ -239,7 +239,7 @@
     #[must_use]
     pub fn announcement(&self) -> Announcement {
         Announcement {
-            row: Row::from(&self.own().member),
+            row: Row::from(&self.own_entry().member),
             version: self.config_id.version,
         }
     }
@@ -282,7 +282,7 @@
             .map_or(u128::MAX, |age| age.as_millis() / 100 + 1);
         Exchange {
             from: self.me,
-            incarnation: self.own().member.incarnation,
+            incarnation: self.own_entry().member.incarnation,
             mark: self.config_id,
             floor: self.table.get(peer).map_or(0, |entry| entry.version),
             head_age: u16::try_from(age).unwrap_or(u16::MAX),
@@ -341,7 +341,7 @@
     /// rather than on each change, since a start of the whole fleet brings hundreds of
     /// changes.
     pub(crate) fn measure_fleet(&self) -> FleetSize {
-        let own_zone = &self.own().member.zone;
+        let own_zone = &self.own_entry().member.zone;
         let mut own_zone_members = 0;
         let mut other_zones = BTreeSet::new();
         for (_, entry) in self.table.present() {
@@ -366,7 +366,7 @@
     }
 
     pub(crate) fn is_own_zone(&self, entry: &Entry) -> bool {
-        entry.member.zone == self.own().member.zone
+        entry.member.zone == self.own_entry().member.zone
     }
 
     pub(crate) fn send(&mut self, now: Time, peer: MemberKey) {
--- a/crates/membership/src/probe_failure.rs
+++ b/crates/membership/src/probe_failure.rs
@@ -37,7 +37,7 @@
         if self.indirect_probes.is_pending(target) {
             return;
         }
-        let zone = &self.own().member.zone;
+        let zone = &self.own_entry().member.zone;
         let candidates: Vec<_> = self
             .table
             .in_zone(zone)
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -157,7 +157,7 @@
     /// a higher birth but this process has not met a peer yet, this process is not the
     /// older one: it has just started, with a wall clock that went back.
     fn receive_own_row(&mut self, row: &Member) {
-        let birth = self.own().member.birth;
+        let birth = self.own_entry().member.birth;
         if row.birth > birth && self.has_met_peer {
             self.actions.push(Action::Superseded { birth: row.birth });
             return;
@@ -174,7 +174,7 @@
     /// incarnation above that of the update. A leaving daemon stays leaving under the
     /// higher incarnation.
     fn refute(&mut self, incarnation: u64, state: MemberState) {
-        if (incarnation, state) <= self.own().rank() {
+        if (incarnation, state) <= self.own_entry().rank() {
             return;
         }
         self.raise_incarnation(incarnation);
--- a/crates/membership/src/tick.rs
+++ b/crates/membership/src/tick.rs
@@ -96,7 +96,7 @@
     fn expire_suspects(&mut self, now: Time) {
         let is_isolated = self.isolation.is_isolated();
         let extended = now + self.config.suspect_timeout;
-        let zone = self.own().member.zone.clone();
+        let zone = self.own_entry().member.zone.clone();
         let mut due = Vec::new();
         for (key, entry) in self.table.iter_mut() {
             let is_due = entry.suspect_until.is_some_and(|until| until <= now);
@@ -117,7 +117,7 @@
     fn forget_dead(&mut self, now: Time) {
         let after = self.config.forget_after;
         let is_old = |entry: &Entry| entry.dead_since.is_some_and(|since| since + after <= now);
-        let zone = &self.own().member.zone;
+        let zone = &self.own_entry().member.zone;
         let forgotten = self
             .table
             .iter()
@@ -199,7 +199,7 @@
         if self.rng.random_bool(0.5) {
             return None;
         }
-        let zone = self.own().member.zone.clone();
+        let zone = self.own_entry().member.zone.clone();
         let suspects: Vec<_> = self
             .table
             .in_zone(&zone)
--- a/crates/membership/tests/all/failures.rs
+++ b/crates/membership/tests/all/failures.rs
@@ -143,14 +143,14 @@
     fleet.frozen.insert(frozen);
     fleet.cut_nodes.clear();
     fleet.run(Duration::from_secs(4));
-    let before = fleet.nodes[&frozen].own().member.incarnation;
+    let before = fleet.nodes[&frozen].own_entry().member.incarnation;
     fleet.actions.clear();
     fleet.run(Duration::from_secs(20));
     fleet.frozen.clear();
     fleet.run(Duration::from_secs(20));
     let resumed = |it: &(u64, Action)| it.0 == frozen && matches!(it.1, Action::Resumed { .. });
     assert!(fleet.actions.iter().any(resumed));
-    assert!(fleet.nodes[&frozen].own().member.incarnation > before);
+    assert!(fleet.nodes[&frozen].own_entry().member.incarnation > before);
     assert!(fleet.all_see(suspect, MemberState::Alive));
     assert!(fleet.all_see(frozen, MemberState::Alive));
 }
@@ -258,7 +258,7 @@
     };
     let zones = fleet.actions.iter().filter(forgot);
     let zones: Vec<_> = zones
-        .map(|it| fleet.nodes[&it.0].own().member.zone.clone())
+        .map(|it| fleet.nodes[&it.0].own_entry().member.zone.clone())
         .collect();
     assert_eq!(zones, ["z1"; 3]);
 }
--- a/crates/membership/tests/all/fleet.rs
+++ b/crates/membership/tests/all/fleet.rs
@@ -140,7 +140,7 @@
     fn count(&mut self, at: MemberKey, peer: MemberKey, message: &impl serde::Serialize) {
         let bytes = rmp_serde::to_vec(message).expect("encodes").len();
         self.bytes += bytes;
-        let zone = |key| self.nodes.get(&key).map(|it| &it.own().member.zone);
+        let zone = |key| self.nodes.get(&key).map(|it| &it.own_entry().member.zone);
         if zone(at) != zone(peer) {
             self.cross_zone_bytes += bytes;
         }
@@ -150,7 +150,7 @@
         let found = self
             .nodes
             .iter()
-            .find(|(_, it)| it.own().member.peer == addr);
+            .find(|(_, it)| it.own_entry().member.peer == addr);
         found.map(|(key, _)| *key)
     }
 
@@ -158,7 +158,7 @@
         let zone = |key| {
             self.nodes
                 .get(&key)
-                .map(|it| it.own().member.zone.to_string())
+                .map(|it| it.own_entry().member.zone.to_string())
         };
         let (Some(za), Some(zb)) = (zone(a), zone(b)) else {
             return false;
--- a/crates/membership/tests/all/merging.rs
+++ b/crates/membership/tests/all/merging.rs
@@ -92,7 +92,7 @@
     let actions = node.handle(std::time::Duration::ZERO, Input::AnnouncementsRead { rows });
     let stops = |it: &Action| matches!(it, Action::Superseded { .. });
     assert!(!actions.iter().any(stops));
-    assert!(node.own().member.birth > 1000);
+    assert!(node.own_entry().member.birth > 1000);
 }
 
 #[test]
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -128,7 +128,7 @@
     /// Whether a member is of this daemon's own zone.
     fn is_in_own_zone(&self, key: MemberKey) -> bool {
         let membership = self.membership.borrow();
-        let zone = &membership.own().member.zone;
+        let zone = &membership.own_entry().member.zone;
         let entry = membership.table().get(key);
         entry.is_some_and(|it| it.member.zone == *zone)
     }
--- a/crates/mesh/src/fleet/role.rs
+++ b/crates/mesh/src/fleet/role.rs
@@ -52,7 +52,7 @@
 /// Whether this daemon most likely knows but a part of its zone.
 pub(crate) fn is_meeting_zone(node: &Node) -> bool {
     let membership = node.fleet.membership.borrow();
-    let has_strangers = node.cfg.is_first_start || membership.is_meeting_zone();
+    let has_strangers = node.cfg.is_first_start || membership.has_unconfirmed_in_zone();
     has_strangers && node.clock.now() < meets_zone_until(node)
 }
 
