--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -120,7 +120,7 @@
             Input::Replied { peer, reply } => self.replied(now, peer, reply),
             Input::Unreached { peer } => self.unreached(now, peer),
             Input::IndirectProbeResult { target, reached } => {
-                self.indirect_probed(now, target, reached)
+                self.indirect_probed(now, target, reached);
             }
             Input::TablePulled { rows } => self.table_pulled(rows),
             Input::AnnouncementsRead { rows } => self.announcements_read(rows),
