--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stoatstep_membership::{
-    Action, Exchange, GossipReply, GossipRequest, Input, Mark, MemberKey, ZoneDigest,
+    Action, ConfigId, Exchange, GossipReply, GossipRequest, Input, MemberKey, ZoneDigest,
 };
 
 use super::announce;
@@ -59,13 +59,13 @@
             } => {
                 ntex::rt::spawn(exchange(Rc::clone(node), peer, addr, message));
             }
-            Action::AskHelper { addr, target } => {
+            Action::IndirectProbe { addr, target } => {
                 ntex::rt::spawn(ask_helper(Rc::clone(node), addr, target));
             }
             Action::PullTable { addr, zones } => {
                 ntex::rt::spawn(pull_table(Rc::clone(node), addr, zones));
             }
-            Action::PeerHolds {
+            Action::PeerConfig {
                 peer,
                 mark,
                 floor,
@@ -84,7 +84,7 @@
                 slog::warn!(node.log, "way to a zone changed";
                     "zone" => %zone, "reachable" => reachable);
             }
-            Action::Woke { gap } => {
+            Action::Resumed { gap } => {
                 slog::warn!(node.log, "woke from a freeze"; "gap_ms" => gap.as_millis());
                 node.metrics.count("control.freezes", 1);
                 node.control.woke();
@@ -108,7 +108,7 @@
     crate::call::drain::start(node);
 }
 
-fn peer_holds(node: &Rc<Node>, peer: MemberKey, theirs: Mark) {
+fn peer_holds(node: &Rc<Node>, peer: MemberKey, theirs: ConfigId) {
     let control = &node.control;
     let now = control.now();
     let mine = control.replica.borrow().mark();
@@ -123,7 +123,7 @@
 }
 
 /// Takes in what a peer's word means for the version to serve by.
-fn heard(node: &Node, peer: MemberKey, theirs: Mark, floor: u64, answered: bool) {
+fn heard(node: &Node, peer: MemberKey, theirs: ConfigId, floor: u64, answered: bool) {
     let mut serving = node.control.serving.borrow_mut();
     if answered {
         serving.heard_peer(peer, theirs.version, floor);
@@ -162,7 +162,7 @@
     let message = Message::new(GOSSIP, Class::Membership, &request);
     let answer = ask(&node, addr, &message, HELPER_BOUND).await;
     let reached = matches!(answer, Ok(GossipReply::Probe(true)));
-    input(&node, Input::Helped { target, reached });
+    input(&node, Input::IndirectProbeResult { target, reached });
 }
 
 /// Probes a member for a peer that can't reach it.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,41 +1,44 @@
-//! Who is in the fleet, as each daemon finds out from the others.
+//! Gossip-based membership: each daemon learns from its peers which daemons
+//! make up the fleet.
 //!
-//! Membership is soft state: daemons exchange a few dozen bytes with one peer
-//! a second, carry news of joins, suspicions and departures along, and compare
-//! digests of their tables so that whatever was lost is repaired. Nothing here
-//! needs the platform once a daemon has met one live peer, and disagreement
-//! between two tables is safe: it costs a wasted probe or a retried call.
+//! The protocol follows SWIM. Once a second a daemon probes one peer with a
+//! message of a few dozen bytes. Updates about joins, suspicions and departures
+//! are piggybacked on these probes, and table digests are compared so that
+//! updates that were lost are repaired. The platform is not needed once a daemon
+//! has reached one live peer. Disagreement between two tables is safe: it costs
+//! a wasted probe or a retried call.
 //!
-//! [`Membership`] is pure. Time comes in as an argument, randomness from a
-//! seed, and what it wants done goes out as [`Action`]s, so the same code runs
-//! in the daemon, under scripted scenarios and under the model checker. See
-//! `docs/design/membership.md`.
+//! [`Membership`] performs no I/O. Time is passed in as an argument, randomness
+//! comes from a seed, and work for the caller is returned as [`Action`]s, so the
+//! same code runs in the daemon, under scripted scenarios and under the model
+//! checker. See `docs/design/membership.md`.
 
 mod action;
 mod config;
-mod guard;
-mod hearing;
-mod life;
+mod generation;
+mod isolation;
 mod local_target;
 mod machine;
 mod member;
 mod probe;
-mod silence;
+mod probe_failure;
+mod receive;
 mod table;
 mod tick;
-mod updates;
+mod update_queue;
 mod wire;
 
 pub use action::{Action, Input};
 pub use config::Config;
-pub use life::{Birth, id_of_life, life_name};
-pub use local_target::{Heard, Heartbeat, LocalTarget};
+pub use generation::{StartMillis, generation_id, target_id_of};
+pub use local_target::{Heartbeat, HeartbeatOutcome, LocalTarget};
 pub use machine::Membership;
 pub use member::{
-    Announced, Incarnation, Member, MemberKey, MemberState, Time, member_key, starting_incarnation,
+    AnnouncedTarget, Incarnation, Member, MemberKey, MemberState, Time, member_key,
+    starting_incarnation,
 };
 pub use table::{Entry, Table};
 pub use wire::{
-    Announcement, Exchange, GossipReply, GossipRequest, Mark, Row, RowError, WireState, Word,
-    ZoneDigest,
+    Announcement, ConfigId, Exchange, GossipReply, GossipRequest, Row, RowError, StateUpdate,
+    WireState, ZoneDigest,
 };
--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -1,272 +1,287 @@
-//! What is known of the target beside this daemon.
+//! State of the local target, the one that runs beside this daemon.
 //!
-//! Nobody lists targets: each one tells its daemon about itself. Its heartbeats
-//! can come late, and those of an earlier life of the target after those of a
-//! later one, so lives are told apart by their ids and births and the heartbeats
-//! of one life by their sequence. A daemon that restarts remembers neither, so a life
-//! that is new to it takes calls only once the target itself has confirmed it.
+//! There is no list of targets: each one reports itself to its daemon. Heartbeats
+//! can be delayed, so that one of an earlier generation arrives after those of a
+//! later one. Generations are therefore ordered by id and start time, and the
+//! heartbeats of one generation by their sequence number. A restarted daemon has
+//! neither, so a generation that is new to it gets calls only after the target
+//! itself has confirmed it.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use smol_str::SmolStr;
 
-use crate::life::{self, Birth, id_of_life, life_name};
-use crate::member::{Announced, Time};
+use crate::generation::{self, StartMillis, generation_id, target_id_of};
+use crate::member::{AnnouncedTarget, Time};
 
-/// Intervals without a heartbeat after which the target counts as gone. One may
-/// be lost and one be late by nearly two seconds.
-const SILENT_INTERVALS: u32 = 3;
+/// Intervals without a heartbeat after which the target counts as gone. One heartbeat
+/// may be lost and one be late by nearly two seconds.
+const MAX_SILENT_INTERVALS: u32 = 3;
 
-/// Earlier lives that are remembered. A target that restarts each second for a
-/// minute keeps all of its late heartbeats out.
-const EARLIER_LIVES: usize = 64;
+/// Number of earlier generations that are remembered. It suffices to reject all late
+/// heartbeats of a target that restarts every second for a minute.
+const MAX_EARLIER_GENERATIONS: usize = 64;
 
-/// What a target says of itself.
+/// A target's report about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// Names this life of the target; see [`life_name`].
+    /// Id of this generation of the target; see [`generation_id`].
     pub upstream: SmolStr,
-    /// When this life began, where the target tells.
-    pub born: Option<Birth>,
-    /// Service that it runs.
+    /// Start time of this generation, if the target reports it.
+    pub born: Option<StartMillis>,
+    /// Service that the target runs.
     pub service: SmolStr,
-    /// Version of its software, any text.
+    /// Version of the target's software, as free text.
     pub software: SmolStr,
-    /// Calls that it runs at a time.
+    /// Number of calls that the target runs concurrently.
     pub slots: u32,
-    /// Rises with each heartbeat of one life.
+    /// Number that increases with each heartbeat of one generation.
     pub sequence: u64,
-    /// It is about to stop.
+    /// Whether the target is about to stop.
     pub draining: bool,
-    /// How much longer it is slow after its start.
+    /// Remaining warm-up time after the target's start, during which it is slow.
     pub cold: Duration,
 }
 
-/// What became of a heartbeat.
+/// Outcome of processing a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
-    /// It is the newest.
-    Taken,
-    /// It is older than what is known.
+pub enum HeartbeatOutcome {
+    /// The heartbeat is the newest one and was applied.
+    Accepted,
+    /// The heartbeat is older than the known state.
     Stale,
-    /// It names a service that the configuration does not have, so no call could
-    /// ever go by it; whoever wrote it is not the target.
+    /// The heartbeat names a service that the configuration does not have. No call could
+    /// ever use it, so its sender is not the target.
     UnknownService,
 }
 
 #[derive(Clone, Debug)]
-struct Life {
-    beat: Heartbeat,
-    heard: Time,
-    /// The target itself said, asked by this process, that it is this life and
-    /// takes calls.
+struct Generation {
+    heartbeat: Heartbeat,
+    received_at: Time,
+    /// Whether the target has answered a request of this process by stating that it is
+    /// this generation and accepts calls.
     is_confirmed: bool,
 }
 
-impl Life {
-    /// Whether this life began after the one that sent `beat`, or tells its birth
-    /// while a heartbeat under the same id does not.
+impl Generation {
+    /// Whether this generation is newer than the one that sent `heartbeat`: it started later,
+    /// or it reports its start time while `heartbeat` has the same target id and does not.
     ///
-    /// A heartbeat that a partition held up comes in after its sender has crashed.
-    /// Taken for news, it would replace the life that serves, and calls would wait
-    /// for a target that is gone.
-    fn outlives(&self, beat: &Heartbeat) -> bool {
-        let has_same_id = id_of_life(&self.beat.upstream) == id_of_life(&beat.upstream);
-        let hides_birth = has_same_id && self.beat.born.is_some() && beat.born.is_none();
-        hides_birth || life::is_earlier(beat.born, self.beat.born)
+    /// A heartbeat that was delayed by a partition arrives after its sender has crashed.
+    /// If it were accepted, it would replace the generation that serves, and calls would
+    /// wait for a target that is gone.
+    fn supersedes(&self, heartbeat: &Heartbeat) -> bool {
+        let is_same_target =
+            target_id_of(&self.heartbeat.upstream) == target_id_of(&heartbeat.upstream);
+        let lacks_start_time =
+            is_same_target && self.heartbeat.born.is_some() && heartbeat.born.is_none();
+        lacks_start_time || generation::started_before(heartbeat.born, self.heartbeat.born)
     }
 }
 
-/// The target beside this daemon, by its own words.
+/// The local target, as it reported itself.
 #[derive(Clone, Debug)]
 pub struct LocalTarget {
     interval: Duration,
-    present: Option<Life>,
-    earlier: VecDeque<Life>,
-    /// Lives that said good-bye, known or not: this process may have started
-    /// after their last heartbeat.
+    current: Option<Generation>,
+    earlier: VecDeque<Generation>,
+    /// Generations that announced their departure. Some may have no heartbeat on record,
+    /// since this process may have started after their last one.
     departed: VecDeque<SmolStr>,
 }
 
 impl LocalTarget {
-    /// A target that was not heard of yet, and that is heard of each `interval`.
+    /// Creates the state before the first heartbeat of a target that sends one every
+    /// `interval`.
     #[must_use]
     pub fn new(interval: Duration) -> Self {
         Self {
             interval,
-            present: None,
+            current: None,
             earlier: VecDeque::new(),
             departed: VecDeque::new(),
         }
     }
 
-    /// Takes in a heartbeat.
-    pub fn hear(&mut self, mut beat: Heartbeat, now: Time) -> Heard {
-        if self.is_over(&beat.upstream) {
-            return Heard::Stale;
+    /// Processes a heartbeat.
+    pub fn record_heartbeat(&mut self, mut heartbeat: Heartbeat, now: Time) -> HeartbeatOutcome {
+        if self.has_ended(&heartbeat.upstream) {
+            return HeartbeatOutcome::Stale;
         }
-        if let Some(life) = &mut self.present
-            && life.beat.upstream == beat.upstream
+        if let Some(generation) = &mut self.current
+            && generation.heartbeat.upstream == heartbeat.upstream
         {
-            if beat.sequence <= life.beat.sequence {
-                return Heard::Stale;
+            if heartbeat.sequence <= generation.heartbeat.sequence {
+                return HeartbeatOutcome::Stale;
             }
-            // Calls that are sent after a drain was acked fail; a life that has
-            // begun to drain never takes calls again.
-            beat.draining |= life.beat.draining;
-            life.beat = beat;
-            life.heard = now;
-            return Heard::Taken;
+            // Calls that are sent after a drain was acknowledged fail, so a generation
+            // that has begun to drain never gets calls again.
+            heartbeat.draining |= generation.heartbeat.draining;
+            generation.heartbeat = heartbeat;
+            generation.received_at = now;
+            return HeartbeatOutcome::Accepted;
         }
-        if self.present.as_ref().is_some_and(|it| it.outlives(&beat)) {
-            return Heard::Stale;
+        if self
+            .current
+            .as_ref()
+            .is_some_and(|it| it.supersedes(&heartbeat))
+        {
+            return HeartbeatOutcome::Stale;
         }
-        self.replace(Life {
-            beat,
-            heard: now,
+        self.replace(Generation {
+            heartbeat,
+            received_at: now,
             is_confirmed: false,
         });
-        Heard::Taken
+        HeartbeatOutcome::Accepted
     }
 
-    /// The life that calls wait for: heard of lately, and not confirmed yet.
+    /// Returns the last heartbeat of a live generation that is yet to be confirmed. Calls
+    /// wait for its confirmation.
     #[must_use]
     pub fn unconfirmed(&self, now: Time) -> Option<&Heartbeat> {
-        let life = self.heard_lately(now)?;
-        let is_open = !life.is_confirmed && self.takes_calls(life);
-        is_open.then_some(&life.beat)
+        let generation = self.live_generation(now)?;
+        let is_open = !generation.is_confirmed && self.accepts_calls(generation);
+        is_open.then_some(&generation.heartbeat)
     }
 
-    /// The life meant by a good-bye under this id. Where it does not tell its birth,
-    /// it is that of the present life: a former one could not send it any more.
+    /// Returns the generation that a departure notice under this target id refers to. A
+    /// notice without a start time refers to the current generation, since a former one
+    /// can no longer send it.
     #[must_use]
-    pub fn life_meant(&self, id: &str, born: Option<Birth>) -> SmolStr {
-        let present = self.present.as_ref().map(|it| &it.beat.upstream);
-        let present = present.filter(|it| born.is_none() && id_of_life(it) == id);
-        present.cloned().unwrap_or_else(|| life_name(id, born))
+    pub fn departing_generation(&self, id: &str, born: Option<StartMillis>) -> SmolStr {
+        let current = self.current.as_ref().map(|it| &it.heartbeat.upstream);
+        let current = current.filter(|it| born.is_none() && target_id_of(it) == id);
+        current.cloned().unwrap_or_else(|| generation_id(id, born))
     }
 
-    /// This life said good-bye, which holds whatever else comes in of it, and says
-    /// nothing of a later one under the same id. It may still finish what it runs.
-    /// Returns whether that is news.
-    pub fn leave(&mut self, upstream: &str) -> bool {
+    /// Records that a generation is departing, and returns whether this was unknown.
+    ///
+    /// The departure is final whatever else arrives from this generation, and does not
+    /// affect a later one with the same target id. The target may still finish the calls
+    /// that it runs.
+    pub fn record_departure(&mut self, upstream: &str) -> bool {
         if self.departed.iter().any(|it| it == upstream) {
             return false;
         }
         self.departed.push_back(upstream.into());
-        if self.departed.len() > EARLIER_LIVES {
+        if self.departed.len() > MAX_EARLIER_GENERATIONS {
             self.departed.pop_front();
         }
         true
     }
 
-    /// Whether a heartbeat of this life can only be a late one.
-    fn is_over(&self, upstream: &str) -> bool {
-        let earlier = self.earlier.iter().map(|it| &it.beat.upstream);
+    /// Whether this generation has ended or is departing, so that its heartbeats can only
+    /// be late ones.
+    fn has_ended(&self, upstream: &str) -> bool {
+        let earlier = self.earlier.iter().map(|it| &it.heartbeat.upstream);
         earlier.chain(&self.departed).any(|it| it == upstream)
     }
 
-    fn is_present(&self, upstream: &str) -> bool {
-        let life = self.present.as_ref();
-        life.is_some_and(|it| it.beat.upstream == upstream)
+    fn is_current(&self, upstream: &str) -> bool {
+        let generation = self.current.as_ref();
+        generation.is_some_and(|it| it.heartbeat.upstream == upstream)
     }
 
-    fn takes_calls(&self, life: &Life) -> bool {
-        !self.departed.contains(&life.beat.upstream) && !life.beat.draining
+    fn accepts_calls(&self, generation: &Generation) -> bool {
+        !self.departed.contains(&generation.heartbeat.upstream) && !generation.heartbeat.draining
     }
 
-    /// The target itself, asked for the life `asked`, answered with the id `actual`. A
-    /// heartbeat that was held up until after a restart of this daemon looks like
-    /// one of a newer life; the target's own answer shows that it was an older
-    /// one. Where another life was heard of since, the answer is the late one.
-    pub fn answered_as(&mut self, asked: &str, actual: &str) {
-        if id_of_life(asked) == actual || !self.is_present(asked) {
+    /// Records that the target answered a request for generation `asked` with the target
+    /// id `actual`.
+    ///
+    /// A heartbeat that was delayed until after a restart of this daemon looks like one of
+    /// a newer generation; the target's answer shows that it was from an older one. If
+    /// the generation has changed since the request, the answer is outdated and ignored.
+    pub fn record_answer(&mut self, asked: &str, actual: &str) {
+        if target_id_of(asked) == actual || !self.is_current(asked) {
             return;
         }
-        let mut lives = self.earlier.iter();
-        let known = lives.rposition(|it| id_of_life(&it.beat.upstream) == actual);
+        let mut earlier = self.earlier.iter();
+        let known = earlier.rposition(|it| target_id_of(&it.heartbeat.upstream) == actual);
         match known.and_then(|at| self.earlier.remove(at)) {
-            Some(life) => self.replace(life),
+            Some(generation) => self.replace(generation),
             None => self.retire(),
         }
     }
 
-    /// The target said that it is this life and takes calls. It was asked by this
-    /// process, so whatever it says later (that it drains, or good-bye) comes
-    /// here too.
+    /// Records the target's answer that it is this generation and accepts calls. The answer
+    /// went to this process, so a later drain or departure notice reaches it too.
     ///
-    /// Without this, a daemon that restarted would take a late heartbeat for
-    /// news, and send calls to a target whose good-bye the process before it
-    /// acked. The target's own word is enough: it calls itself ready no more
-    /// from the moment on at which it begins to leave, which is before any ack.
+    /// Without the confirmation, a restarted daemon would accept a late heartbeat and send
+    /// calls to a target whose departure the previous process acknowledged. The target's
+    /// answer is sufficient: it stops reporting itself ready when it begins to leave, which
+    /// is before any acknowledgement.
     pub fn confirm(&mut self, upstream: &str) {
-        let life = self.present.as_mut();
-        if let Some(life) = life.filter(|it| it.beat.upstream == upstream) {
-            life.is_confirmed = true;
+        let generation = self.current.as_mut();
+        if let Some(generation) = generation.filter(|it| it.heartbeat.upstream == upstream) {
+            generation.is_confirmed = true;
         }
     }
 
-    /// The target, where it takes new calls.
+    /// Returns the target's last heartbeat if the target accepts new calls.
     #[must_use]
-    pub fn admits(&self, now: Time) -> Option<&Heartbeat> {
-        let life = self.heard_lately(now)?;
-        let is_open = life.is_confirmed && self.takes_calls(life);
-        is_open.then_some(&life.beat)
+    pub fn accepting_heartbeat(&self, now: Time) -> Option<&Heartbeat> {
+        let generation = self.live_generation(now)?;
+        let is_open = generation.is_confirmed && self.accepts_calls(generation);
+        is_open.then_some(&generation.heartbeat)
     }
 
-    /// The service of the target, if one was ever heard of.
+    /// Returns the target's service; none before the first heartbeat.
     #[must_use]
     pub fn service(&self) -> Option<&SmolStr> {
-        self.present.as_ref().map(|it| &it.beat.service)
+        self.current.as_ref().map(|it| &it.heartbeat.service)
     }
 
-    /// The present life of the target, if one was ever heard of.
+    /// Returns the id of the target's current generation; none before the first heartbeat.
     #[must_use]
-    pub fn life(&self) -> Option<&SmolStr> {
-        self.present.as_ref().map(|it| &it.beat.upstream)
+    pub fn generation(&self) -> Option<&SmolStr> {
+        self.current.as_ref().map(|it| &it.heartbeat.upstream)
     }
 
-    /// Whether the target still warms up after its start, by its own last word.
+    /// Whether the target is still warming up, according to its last heartbeat.
     #[must_use]
     pub fn is_cold(&self, now: Time) -> bool {
-        let life = self.present.as_ref();
-        life.is_some_and(|it| it.heard + it.beat.cold > now)
+        let generation = self.current.as_ref();
+        generation.is_some_and(|it| it.received_at + it.heartbeat.cold > now)
     }
 
-    /// What peers are told; nothing of a target that is yet to be confirmed.
+    /// Returns the announcement of the target for peers. There is none while the target is
+    /// silent or is yet to be confirmed.
     #[must_use]
-    pub fn announced(&self, now: Time) -> Option<Announced> {
-        let life = self.heard_lately(now)?;
+    pub fn announced(&self, now: Time) -> Option<AnnouncedTarget> {
+        let generation = self.live_generation(now)?;
         if self.unconfirmed(now).is_some() {
             return None;
         }
-        Some(Announced {
-            upstream: life.beat.upstream.clone(),
-            service: life.beat.service.clone(),
-            slots: life.beat.slots,
-            draining: !self.takes_calls(life),
-            software: life.beat.software.clone(),
+        Some(AnnouncedTarget {
+            upstream: generation.heartbeat.upstream.clone(),
+            service: generation.heartbeat.service.clone(),
+            slots: generation.heartbeat.slots,
+            draining: !self.accepts_calls(generation),
+            software: generation.heartbeat.software.clone(),
         })
     }
 
-    fn heard_lately(&self, now: Time) -> Option<&Life> {
-        let bound = self.interval * SILENT_INTERVALS;
-        let lately = |it: &&Life| now.saturating_sub(it.heard) <= bound;
-        self.present.as_ref().filter(lately)
+    fn live_generation(&self, now: Time) -> Option<&Generation> {
+        let bound = self.interval * MAX_SILENT_INTERVALS;
+        let is_recent = |it: &&Generation| now.saturating_sub(it.received_at) <= bound;
+        self.current.as_ref().filter(is_recent)
     }
 
-    fn replace(&mut self, life: Life) {
+    fn replace(&mut self, generation: Generation) {
         self.retire();
-        self.present = Some(life);
+        self.current = Some(generation);
     }
 
     fn retire(&mut self) {
-        let Some(life) = self.present.take() else {
+        let Some(generation) = self.current.take() else {
             return;
         };
-        self.earlier.push_back(life);
-        if self.earlier.len() > EARLIER_LIVES {
+        self.earlier.push_back(generation);
+        if self.earlier.len() > MAX_EARLIER_GENERATIONS {
             self.earlier.pop_front();
         }
     }
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,4 +1,4 @@
-//! The membership state machine: what it holds and how inputs reach its parts.
+//! The membership state machine: its state, and the dispatch of inputs.
 
 use std::collections::BTreeSet;
 
@@ -7,146 +7,150 @@
 
 use crate::action::{Action, Input};
 use crate::config::Config;
-use crate::guard::Guard;
-use crate::member::{Announced, Member, MemberKey, MemberState, Time};
-use crate::probe::{Helpers, Round};
+use crate::isolation::IsolationDetector;
+use crate::member::{AnnouncedTarget, Member, MemberKey, MemberState, Time};
+use crate::probe::{IndirectProbes, ProbeRound};
 use crate::table::{Entry, Table};
-use crate::updates::{Audience, Reach, Updates};
-use crate::wire::{Announcement, Exchange, Mark, Row, Word, ZoneDigest};
+use crate::update_queue::{FleetSize, Locality, UpdateQueue};
+use crate::wire::{Announcement, ConfigId, Exchange, Row, StateUpdate, ZoneDigest};
 
-/// How the tables of some peers compared with this one.
+/// Results of comparing digests with the tables of a group of peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Comparison {
-    /// Exchanges in a row with another digest.
+pub(crate) struct TableComparison {
+    /// Consecutive exchanges in which the digests differed.
     pub(crate) mismatches: u32,
-    /// When the first of them was.
-    since: Option<Time>,
+    /// Time of the first of these mismatches.
+    mismatch_since: Option<Time>,
     /// Earliest time of the next pull.
     pub(crate) next_pull: Time,
 }
 
-impl Comparison {
-    /// Before anything was compared; the next pull is at `next_pull` or later.
-    pub(crate) fn anew(next_pull: Time) -> Self {
+impl TableComparison {
+    /// Creates an empty comparison that allows the next pull from `next_pull` on.
+    pub(crate) fn with_next_pull(next_pull: Time) -> Self {
         Self {
             next_pull,
             ..Self::default()
         }
     }
 
-    pub(crate) fn note(&mut self, now: Time, is_same: bool) {
+    pub(crate) fn record(&mut self, now: Time, is_same: bool) {
         if is_same {
             self.mismatches = 0;
-            self.since = None;
+            self.mismatch_since = None;
         } else {
             self.mismatches += 1;
-            self.since.get_or_insert(now);
+            self.mismatch_since.get_or_insert(now);
         }
     }
 
-    /// How long the tables have differed.
-    pub(crate) fn lasts(&self, now: Time) -> Time {
-        self.since
+    /// Returns for how long the tables have differed.
+    pub(crate) fn mismatch_duration(&self, now: Time) -> Time {
+        self.mismatch_since
             .map_or(Time::ZERO, |since| now.saturating_sub(since))
     }
 }
 
-/// Membership as one daemon sees it. See the crate's documentation.
+/// The membership state machine of one daemon. See the crate's documentation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Membership {
     pub(crate) config: Config,
     pub(crate) me: MemberKey,
     pub(crate) table: Table,
-    pub(crate) updates: Updates,
-    /// Among whom news goes round.
-    pub(crate) audience: Audience,
-    pub(crate) guard: Guard,
-    pub(crate) round: Round,
-    pub(crate) helpers: Helpers,
+    pub(crate) updates: UpdateQueue,
+    /// Sizes that determine how often an update is sent.
+    pub(crate) fleet_size: FleetSize,
+    pub(crate) isolation: IsolationDetector,
+    pub(crate) round: ProbeRound,
+    pub(crate) indirect_probes: IndirectProbes,
     pub(crate) rng: Xoshiro256PlusPlus,
-    pub(crate) mark: Mark,
+    pub(crate) config_id: ConfigId,
     pub(crate) head_read: Option<Time>,
     pub(crate) last_tick: Option<Time>,
     pub(crate) next_probe: Time,
     pub(crate) probes: u32,
-    /// What was seen of the tables of peers in the own zone, and in others.
-    pub(crate) near: Comparison,
-    pub(crate) far: Comparison,
-    pub(crate) has_met: bool,
+    /// Comparison with the tables of peers in this daemon's zone.
+    pub(crate) own_zone_comparison: TableComparison,
+    /// Comparison with the tables of peers in other zones.
+    pub(crate) other_zones_comparison: TableComparison,
+    /// Whether this process has taken in a message or a table of a peer.
+    pub(crate) has_met_peer: bool,
     pub(crate) actions: Vec<Action>,
 }
 
 impl Membership {
-    /// A machine for the daemon described by `me`, alone in its table.
+    /// Creates a state machine whose table holds only `me`, the member of this daemon.
     #[must_use]
     pub fn new(me: Member, config: Config, seed: u64) -> Self {
         let key = me.key();
         let mut table = Table::default();
         table.merge_row(me, true);
-        let mut updates = Updates::default();
-        let audience = Audience {
-            near: 1,
+        let mut updates = UpdateQueue::default();
+        let fleet_size = FleetSize {
+            own_zone_members: 1,
             other_zones: 0,
         };
-        updates.add(key, audience, true);
+        updates.add(key, fleet_size, true);
         Self {
             config,
             me: key,
             table,
             updates,
-            audience,
-            guard: Guard::default(),
-            round: Round::default(),
-            helpers: Helpers::default(),
+            fleet_size,
+            isolation: IsolationDetector::default(),
+            round: ProbeRound::default(),
+            indirect_probes: IndirectProbes::default(),
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            mark: Mark::default(),
+            config_id: ConfigId::default(),
             head_read: None,
             last_tick: None,
             next_probe: Time::ZERO,
             probes: 0,
-            near: Comparison::default(),
-            far: Comparison::default(),
-            has_met: false,
+            own_zone_comparison: TableComparison::default(),
+            other_zones_comparison: TableComparison::default(),
+            has_met_peer: false,
             actions: Vec::new(),
         }
     }
 
-    /// Takes one input and returns what is to be done, in order.
+    /// Processes one input and returns the requested actions in order.
     pub fn handle(&mut self, now: Time, input: Input) -> Vec<Action> {
         match input {
             Input::Tick => self.tick(now),
             Input::Replied { peer, reply } => self.replied(now, peer, reply),
             Input::Unreached { peer } => self.unreached(now, peer),
-            Input::Helped { target, reached } => self.helped(now, target, reached),
+            Input::IndirectProbeResult { target, reached } => {
+                self.indirect_probed(now, target, reached);
+            }
             Input::TablePulled { rows } => self.table_pulled(rows),
-            Input::Announced { rows } => self.announced(rows),
+            Input::AnnouncementsRead { rows } => self.announcements_read(rows),
             Input::Leave => self.leave(),
-            Input::Holds(mark) => self.mark = mark,
+            Input::ConfigChanged(id) => self.config_id = id,
             Input::HeadRead => self.head_read = Some(now),
             Input::TargetAnnounced(announced) => self.target_announced(announced),
         }
         std::mem::take(&mut self.actions)
     }
 
-    /// Answers a peer's exchange.
+    /// Processes a peer's exchange and returns the reply and the requested actions.
     pub fn answer(&mut self, now: Time, message: Exchange) -> (Exchange, Vec<Action>) {
         let from = message.from;
         let incarnation = message.incarnation;
-        self.note_agreement(message.table);
-        self.hear(now, from, message, false);
+        self.record_agreement(message.table);
+        self.receive_message(now, from, message, false);
         let mut reply = self.compose(now, from);
         let known = self.table.get(from).map(|it| it.member.incarnation);
         reply.introduce = known.is_none();
         if known.is_some_and(|known| incarnation < known) {
-            // A process that was replaced while it was frozen stops only when
-            // it hears of its successor.
-            self.tell(&mut reply, from);
+            // A process that was replaced while it was frozen stops only once it
+            // learns of its successor.
+            self.add_member(&mut reply, from);
         }
         (reply, std::mem::take(&mut self.actions))
     }
 
-    /// Answers a peer's request for the rows of the zones that differ. The dead
-    /// are among them, so that who heard of no death learns it.
+    /// Returns the rows of the zones whose digests differ from `theirs`. Dead members
+    /// are included, so that a peer that missed a death learns of it.
     #[must_use]
     pub fn rows_for(&self, theirs: &[ZoneDigest]) -> Vec<Row> {
         let mine = self.table.zone_digests();
@@ -164,118 +168,122 @@
             .collect()
     }
 
-    /// The key of this daemon.
+    /// Returns the key of this daemon.
     #[must_use]
     pub fn me(&self) -> MemberKey {
         self.me
     }
 
-    /// This daemon's own entry.
+    /// Returns this daemon's own entry.
     ///
     /// # Panics
     ///
-    /// Never: the own entry is made with the table and never forgotten.
+    /// Never: the own entry is created with the table and never removed.
     #[must_use]
-    pub fn own(&self) -> &Entry {
+    pub fn own_entry(&self) -> &Entry {
         self.table
             .get(self.me)
-            .expect("the own entry is never forgotten")
+            .expect("this daemon's entry is never removed")
     }
 
-    /// The table of members.
+    /// Returns the table of members.
     #[must_use]
     pub fn table(&self) -> &Table {
         &self.table
     }
 
-    /// Whether rows that only the platform showed name members of the own zone that were
-    /// not met yet: some of them live, and this daemon's view of its zone is a part.
+    /// Whether the table holds members of this daemon's zone that are known only from
+    /// platform rows. Some of them may be alive, so this daemon's view of its zone is
+    /// still incomplete.
     #[must_use]
-    pub fn is_meeting_zone(&self) -> bool {
+    pub fn has_unconfirmed_in_zone(&self) -> bool {
         let mut entries = self.table.iter();
         entries.any(|(_, entry)| !entry.confirmed && self.is_own_zone(entry))
     }
 
-    /// What this daemon holds.
+    /// Returns the configuration that this daemon holds.
     #[must_use]
-    pub fn mark(&self) -> Mark {
-        self.mark
+    pub fn config_id(&self) -> ConfigId {
+        self.config_id
     }
 
-    /// Whether probes to this zone succeed, as far as was tried. Being
-    /// unreachable never makes anyone dead: only its own zone may say so.
+    /// Whether probes to this zone succeed; true for a zone that was not probed yet.
+    /// Members of an unreachable zone are not declared dead: only daemons of their own
+    /// zone may do so.
     #[must_use]
     pub fn is_reachable(&self, zone: &str) -> bool {
-        self.guard.reachable(zone)
+        self.isolation.is_reachable(zone)
     }
 
-    /// The same for all zones that have members.
+    /// Whether probes succeed to every zone that has present members.
     #[must_use]
     pub fn reaches_every_zone(&self) -> bool {
         let mut present = self.table.present();
-        present.all(|(_, entry)| self.guard.reachable(&entry.member.zone))
+        present.all(|(_, entry)| self.isolation.is_reachable(&entry.member.zone))
     }
 
-    /// Whether this daemon seems to be cut off from everyone.
+    /// Whether this daemon seems to be isolated from all other members.
     #[must_use]
     pub fn is_cut_off(&self) -> bool {
-        self.guard.cut_off()
+        self.isolation.is_isolated()
     }
 
-    /// Time since anyone that this daemon heard of read the platform's head.
+    /// Returns the time since the platform's head was last read, by this daemon or by
+    /// any other whose read is known here.
     #[must_use]
     pub fn head_age(&self, now: Time) -> Option<Time> {
         self.head_read.map(|at| now.saturating_sub(at))
     }
 
-    /// What to write into the announcement row.
+    /// Returns the content of this daemon's announcement row at the platform.
     #[must_use]
     pub fn announcement(&self) -> Announcement {
         Announcement {
-            row: Row::from(&self.own().member),
-            version: self.mark.version,
+            row: Row::from(&self.own_entry().member),
+            version: self.config_id.version,
         }
     }
 
-    /// A probe without news, on behalf of a peer that can't reach the member.
+    /// Returns a probe without updates, to be sent to `member` on behalf of a peer that
+    /// can't reach it.
     #[must_use]
     pub fn probe_message(&self, now: Time, member: MemberKey) -> Exchange {
-        self.bare(now, member)
+        self.base_message(now, member)
     }
 
-    /// A message for one peer with the news that is due.
+    /// Builds a message for one peer with the updates that are due.
     pub(crate) fn compose(&mut self, now: Time, peer: MemberKey) -> Exchange {
-        let mut message = self.bare(now, peer);
+        let mut message = self.base_message(now, peer);
         let Some(entry) = self.table.get(peer) else {
             return message;
         };
-        let reach = self.reach(entry);
-        for key in self.updates.take(reach) {
-            self.tell(&mut message, key);
+        let locality = self.locality_of(entry);
+        for key in self.updates.next_batch(locality) {
+            self.add_member(&mut message, key);
         }
         let Some(entry) = self.table.get(peer) else {
             return message;
         };
         if entry.member.state != MemberState::Alive {
-            self.tell(&mut message, peer);
+            self.add_member(&mut message, peer);
         }
         let knows_me = entry.confirmed && entry.member.is_present() && entry.contacts > 0;
         if !knows_me {
-            self.tell(&mut message, self.me);
+            self.add_member(&mut message, self.me);
         }
         message
     }
 
-    fn bare(&self, now: Time, peer: MemberKey) -> Exchange {
-        // Rounded up: rounded down, two daemons would tell each other "just now"
-        // for ever, and nobody would notice that the platform is gone.
+    fn base_message(&self, now: Time, peer: MemberKey) -> Exchange {
+        // Rounded up: if it were rounded down, daemons would keep confirming an age of
+        // zero to each other, and an outage of the platform would go unnoticed.
         let age = self
             .head_age(now)
             .map_or(u128::MAX, |age| age.as_millis() / 100 + 1);
         Exchange {
             from: self.me,
-            incarnation: self.own().member.incarnation,
-            mark: self.mark,
+            incarnation: self.own_entry().member.incarnation,
+            mark: self.config_id,
             floor: self.table.get(peer).map_or(0, |entry| entry.version),
             head_age: u16::try_from(age).unwrap_or(u16::MAX),
             table: self.table.digest(),
@@ -286,28 +294,29 @@
         }
     }
 
-    /// Adds a member's state to a message: as a row where the receiver may lack
-    /// its addresses, as a word otherwise.
-    fn tell(&self, message: &mut Exchange, key: MemberKey) {
+    /// Adds a member to a message: as a row with its addresses if it is alive, since
+    /// the receiver may lack them, and as a state update otherwise.
+    fn add_member(&self, message: &mut Exchange, key: MemberKey) {
         let Some(entry) = self.table.get(key).filter(|it| it.confirmed) else {
             return;
         };
         let member = &entry.member;
-        let is_told = message.words.iter().any(|it| it.0 == key)
+        let is_included = message.words.iter().any(|it| it.0 == key)
             || message.rows.iter().any(|it| it.key() == key);
-        if is_told {
+        if is_included {
             return;
         }
         if member.state == MemberState::Alive {
             message.rows.push(Row::from(member));
         } else {
-            let word = Word(key, member.incarnation, member.state.into());
-            message.words.push(word);
+            let update = StateUpdate(key, member.incarnation, member.state.into());
+            message.words.push(update);
         }
     }
 
-    /// Only a row of a higher incarnation brings peers a new announcement.
-    fn target_announced(&mut self, announced: Option<Announced>) {
+    /// Stores the local target's announcement. The incarnation is raised because peers
+    /// take a changed announcement only from a row that is newer than theirs.
+    fn target_announced(&mut self, announced: Option<AnnouncedTarget>) {
         let me = self.me;
         let Some(own) = self.table.get_mut(me) else {
             return;
@@ -320,43 +329,44 @@
         self.actions.push(Action::Changed(me));
     }
 
-    pub(crate) fn spread(&mut self, key: MemberKey) {
+    pub(crate) fn queue_update(&mut self, key: MemberKey) {
         let Some(entry) = self.table.get(key) else {
             return;
         };
         let is_own_zone = self.is_own_zone(entry);
-        self.updates.add(key, self.audience, is_own_zone);
+        self.updates.add(key, self.fleet_size, is_own_zone);
     }
 
-    /// Among whom news goes round now. It is taken once a tick and not with each change,
-    /// of which a start of all brings hundreds.
-    pub(crate) fn count_audience(&self) -> Audience {
-        let own = &self.own().member.zone;
-        let mut near = 0;
-        let mut others = BTreeSet::new();
+    /// Counts the members and zones that updates are spread to. It runs once per tick
+    /// rather than on each change, since a start of the whole fleet brings hundreds of
+    /// changes.
+    pub(crate) fn measure_fleet(&self) -> FleetSize {
+        let own_zone = &self.own_entry().member.zone;
+        let mut own_zone_members = 0;
+        let mut other_zones = BTreeSet::new();
         for (_, entry) in self.table.present() {
-            if entry.member.zone == *own {
-                near += 1;
+            if entry.member.zone == *own_zone {
+                own_zone_members += 1;
             } else {
-                others.insert(&entry.member.zone);
+                other_zones.insert(&entry.member.zone);
             }
         }
-        Audience {
-            near,
-            other_zones: others.len(),
+        FleetSize {
+            own_zone_members,
+            other_zones: other_zones.len(),
         }
     }
 
-    fn reach(&self, entry: &Entry) -> Reach {
+    fn locality_of(&self, entry: &Entry) -> Locality {
         if self.is_own_zone(entry) {
-            Reach::Near
+            Locality::SameZone
         } else {
-            Reach::Far
+            Locality::OtherZone
         }
     }
 
     pub(crate) fn is_own_zone(&self, entry: &Entry) -> bool {
-        entry.member.zone == self.own().member.zone
+        entry.member.zone == self.own_entry().member.zone
     }
 
     pub(crate) fn send(&mut self, now: Time, peer: MemberKey) {
--- a/crates/membership/tests/all/fleet.rs
+++ b/crates/membership/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! A handful of machines that talk through a fake network.
+//! Simulated fleet: membership state machines connected by an in-memory network.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -35,15 +35,16 @@
 pub(crate) struct Fleet {
     pub(crate) now: Time,
     pub(crate) nodes: BTreeMap<MemberKey, Membership>,
-    /// When each process started: its machine counts from there.
+    /// Start time of each process, from which its state machine counts time.
     started: BTreeMap<MemberKey, Time>,
     pub(crate) frozen: BTreeSet<MemberKey>,
     pub(crate) cut_zones: BTreeSet<String>,
     pub(crate) cut_nodes: BTreeSet<MemberKey>,
-    pub(crate) seen: Vec<(MemberKey, Action)>,
-    /// Bytes of all messages, and of those between zones.
+    pub(crate) actions: Vec<(MemberKey, Action)>,
+    /// Bytes of all messages.
     pub(crate) bytes: usize,
-    pub(crate) cross_bytes: usize,
+    /// Bytes of the messages between zones.
+    pub(crate) cross_zone_bytes: usize,
 }
 
 impl Fleet {
@@ -65,7 +66,7 @@
         let mut node = Membership::new(me, Config::default(), key);
         let rows = rows.to_vec();
         self.started.insert(key, self.now);
-        node.handle(Time::ZERO, Input::Announced { rows });
+        node.handle(Time::ZERO, Input::AnnouncementsRead { rows });
         self.nodes.insert(key, node);
     }
 
@@ -112,11 +113,11 @@
                     self.act(peer, action, queue);
                 }
             }
-            Action::AskHelper { addr, target } => {
+            Action::IndirectProbe { addr, target } => {
                 let helper = self.at_addr(addr);
                 let reached =
                     helper.is_some_and(|it| self.connected(at, it) && self.connected(it, target));
-                queue.push_back((at, Input::Helped { target, reached }));
+                queue.push_back((at, Input::IndirectProbeResult { target, reached }));
             }
             Action::PullTable { addr, zones } => {
                 if let Some(peer) = self.at_addr(addr).filter(|it| self.connected(at, *it)) {
@@ -127,10 +128,10 @@
             }
             _ => {}
         }
-        self.seen.push((at, action));
+        self.actions.push((at, action));
     }
 
-    /// Time since a process started.
+    /// Returns the time since a process started.
     fn clock(&self, at: MemberKey) -> Time {
         let started = self.started.get(&at).copied().unwrap_or_default();
         self.now.saturating_sub(started)
@@ -139,9 +140,9 @@
     fn count(&mut self, at: MemberKey, peer: MemberKey, message: &impl serde::Serialize) {
         let bytes = rmp_serde::to_vec(message).expect("encodes").len();
         self.bytes += bytes;
-        let zone = |key| self.nodes.get(&key).map(|it| &it.own().member.zone);
+        let zone = |key| self.nodes.get(&key).map(|it| &it.own_entry().member.zone);
         if zone(at) != zone(peer) {
-            self.cross_bytes += bytes;
+            self.cross_zone_bytes += bytes;
         }
     }
 
@@ -149,7 +150,7 @@
         let found = self
             .nodes
             .iter()
-            .find(|(_, it)| it.own().member.peer == addr);
+            .find(|(_, it)| it.own_entry().member.peer == addr);
         found.map(|(key, _)| *key)
     }
 
@@ -157,14 +158,15 @@
         let zone = |key| {
             self.nodes
                 .get(&key)
-                .map(|it| it.own().member.zone.to_string())
+                .map(|it| it.own_entry().member.zone.to_string())
         };
         let (Some(za), Some(zb)) = (zone(a), zone(b)) else {
             return false;
         };
-        let zone_cut = za != zb && (self.cut_zones.contains(&za) || self.cut_zones.contains(&zb));
-        let node_cut = self.cut_nodes.contains(&a) || self.cut_nodes.contains(&b);
-        !zone_cut && !node_cut && !self.frozen.contains(&a) && !self.frozen.contains(&b)
+        let is_zone_cut =
+            za != zb && (self.cut_zones.contains(&za) || self.cut_zones.contains(&zb));
+        let is_node_cut = self.cut_nodes.contains(&a) || self.cut_nodes.contains(&b);
+        !is_zone_cut && !is_node_cut && !self.frozen.contains(&a) && !self.frozen.contains(&b)
     }
 
     pub(crate) fn state(&self, at: MemberKey, of: MemberKey) -> Option<MemberState> {
@@ -178,7 +180,7 @@
             .all(|at| self.state(*at, of) == Some(state))
     }
 
-    pub(crate) fn agreed(&self) -> bool {
+    pub(crate) fn tables_agree(&self) -> bool {
         let mut digests = self.nodes.values().map(|it| it.table().digest());
         let first = digests.next();
         digests.all(|it| Some(it) == first)
--- a/crates/membership/tests/all/local_target.rs
+++ b/crates/membership/tests/all/local_target.rs
@@ -1,6 +1,8 @@
 use std::time::Duration;
 
-use stoatstep_membership::{Birth, Heard, Heartbeat, LocalTarget, id_of_life, life_name};
+use stoatstep_membership::{
+    Heartbeat, HeartbeatOutcome, LocalTarget, StartMillis, generation_id, target_id_of,
+};
 
 const INTERVAL: Duration = Duration::from_secs(1);
 
@@ -8,7 +10,7 @@
     Duration::from_millis(ms)
 }
 
-fn beat(upstream: &str, sequence: u64) -> Heartbeat {
+fn heartbeat(upstream: &str, sequence: u64) -> Heartbeat {
     Heartbeat {
         upstream: upstream.into(),
         service: "floatdesk".into(),
@@ -24,46 +26,54 @@
 fn draining(upstream: &str, sequence: u64) -> Heartbeat {
     Heartbeat {
         draining: true,
-        ..beat(upstream, sequence)
+        ..heartbeat(upstream, sequence)
     }
 }
 
 fn admitted(target: &LocalTarget, now: Duration) -> Option<&str> {
-    target.admits(now).map(|it| it.upstream.as_str())
+    target
+        .accepting_heartbeat(now)
+        .map(|it| it.upstream.as_str())
 }
 
-/// A target of which each life given was heard and confirmed, in this order.
-fn after(lives: &[&str]) -> LocalTarget {
+/// Returns a target after a heartbeat and a confirmation of each given generation, in this
+/// order.
+fn confirmed(generations: &[&str]) -> LocalTarget {
     let mut target = LocalTarget::new(INTERVAL);
-    for life in lives {
-        target.hear(beat(life, 1), at(0));
-        target.confirm(life);
+    for generation in generations {
+        target.record_heartbeat(heartbeat(generation, 1), at(0));
+        target.confirm(generation);
     }
     target
 }
 
-/// A daemon that has just started knows nothing of its target. The target may
-/// have been told by the daemon before it that its drain is known, and a call
-/// sent to it then comes too late.
+/// A daemon that has just started does not know its target's state. The previous daemon
+/// process may have acknowledged the target's drain, after which calls arrive too late.
 #[test]
 fn nothing_is_admitted_before_the_first_heartbeat() {
     let mut target = LocalTarget::new(INTERVAL);
     assert_eq!(admitted(&target, at(0)), None);
     target.confirm("a");
     assert_eq!(admitted(&target, at(0)), None);
-    target.hear(beat("a", 1), at(0));
+    target.record_heartbeat(heartbeat("a", 1), at(0));
     target.confirm("a");
     assert_eq!(admitted(&target, at(0)), Some("a"));
 }
 
-/// A daemon acked its target's good-bye and was restarted. A heartbeat from before
-/// the good-bye arrives late, and no peer has answered yet. It is no reason to
-/// send calls: only the target's own word is.
+/// A daemon acknowledged its target's departure and was restarted. A heartbeat from before
+/// the departure arrives late, and no peer has answered yet. Calls must not be sent before
+/// the target itself has confirmed the generation.
 #[test]
 fn a_heartbeat_alone_admits_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
-    assert_eq!(target.hear(beat("a", 7), at(0)), Heard::Taken);
-    assert_eq!(target.hear(beat("a", 8), at(100)), Heard::Taken);
+    assert_eq!(
+        target.record_heartbeat(heartbeat("a", 7), at(0)),
+        HeartbeatOutcome::Accepted
+    );
+    assert_eq!(
+        target.record_heartbeat(heartbeat("a", 8), at(100)),
+        HeartbeatOutcome::Accepted
+    );
     assert_eq!(admitted(&target, at(100)), None);
     assert_eq!(target.announced(at(100)), None);
     assert!(target.unconfirmed(at(100)).is_some());
@@ -73,182 +83,220 @@
     assert_eq!(target.unconfirmed(at(100)), None);
 }
 
-/// The target says that it drains, or good-bye, while it is being asked, and its
-/// answer from just before comes in after that.
+/// The target announces its drain or its departure while a confirmation is under way, and
+/// its earlier answer arrives after that.
 #[test]
 fn a_confirmation_does_not_undo_a_drain_or_a_good_bye() {
     let mut drains = LocalTarget::new(INTERVAL);
-    drains.hear(beat("a", 1), at(0));
-    drains.hear(draining("a", 2), at(10));
+    drains.record_heartbeat(heartbeat("a", 1), at(0));
+    drains.record_heartbeat(draining("a", 2), at(10));
     drains.confirm("a");
     assert_eq!(admitted(&drains, at(20)), None);
     let mut leaves = LocalTarget::new(INTERVAL);
-    leaves.hear(beat("a", 1), at(0));
-    leaves.leave("a");
+    leaves.record_heartbeat(heartbeat("a", 1), at(0));
+    leaves.record_departure("a");
     leaves.confirm("a");
     assert_eq!(admitted(&leaves, at(20)), None);
     assert_eq!(leaves.unconfirmed(at(20)), None);
 }
 
-/// The target crashes while it is being asked, and starts again. The answer of the
-/// life before says nothing about the present one, whichever comes in first.
+/// The target crashes while a confirmation is under way, and restarts. The answer of the
+/// former generation does not apply to the current one, whichever arrives first.
 #[test]
 fn an_answer_for_an_earlier_life_changes_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
-    target.hear(beat("a", 1), at(0));
-    target.hear(beat("b", 1), at(10));
+    target.record_heartbeat(heartbeat("a", 1), at(0));
+    target.record_heartbeat(heartbeat("b", 1), at(10));
     target.confirm("a");
     assert_eq!(admitted(&target, at(20)), None);
-    target.answered_as("a", "c");
+    target.record_answer("a", "c");
     target.confirm("b");
     assert_eq!(admitted(&target, at(20)), Some("b"));
 }
 
 #[test]
 fn a_target_that_drains_takes_no_new_calls_whatever_comes_late() {
-    let mut target = after(&["a"]);
-    target.hear(draining("a", 3), at(100));
+    let mut target = confirmed(&["a"]);
+    target.record_heartbeat(draining("a", 3), at(100));
     assert_eq!(admitted(&target, at(100)), None);
-    assert_eq!(target.hear(beat("a", 2), at(200)), Heard::Stale);
-    assert_eq!(target.hear(beat("a", 4), at(300)), Heard::Taken);
+    assert_eq!(
+        target.record_heartbeat(heartbeat("a", 2), at(200)),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        target.record_heartbeat(heartbeat("a", 4), at(300)),
+        HeartbeatOutcome::Accepted
+    );
     assert_eq!(admitted(&target, at(300)), None, "a drain is final");
 }
 
 #[test]
 fn a_target_that_said_good_bye_takes_no_new_calls() {
-    let mut target = after(&["a"]);
-    target.leave("a");
+    let mut target = confirmed(&["a"]);
+    target.record_departure("a");
     assert_eq!(admitted(&target, at(0)), None);
     assert!(target.announced(at(0)).is_some_and(|it| it.draining));
-    target.hear(beat("a", 2), at(100));
+    target.record_heartbeat(heartbeat("a", 2), at(100));
     assert_eq!(admitted(&target, at(100)), None);
 }
 
-/// The target crashed and started again. A heartbeat of its earlier life was
-/// held up on the way and comes in last; it must not bring that life back.
+/// The target crashed and restarted. A delayed heartbeat of the earlier generation arrives
+/// last; it must not bring that generation back.
 #[test]
 fn a_late_heartbeat_of_an_earlier_life_changes_nothing() {
-    let mut target = after(&["a", "b"]);
-    assert_eq!(target.hear(beat("a", 8), at(200)), Heard::Stale);
+    let mut target = confirmed(&["a", "b"]);
+    assert_eq!(
+        target.record_heartbeat(heartbeat("a", 8), at(200)),
+        HeartbeatOutcome::Stale
+    );
     assert_eq!(admitted(&target, at(200)), Some("b"));
 }
 
-/// The same, but the daemon was restarted in between and does not know that "a"
-/// is the earlier life. The target's own answer names the life that it is.
+/// A delayed heartbeat of the earlier generation "a" arrives at a daemon that was restarted
+/// and does not know that "a" is the earlier one. The target's answer tells which
+/// generation is running.
 #[test]
 fn the_targets_own_answer_settles_which_life_is_the_present_one() {
-    let mut target = after(&["b"]);
-    target.hear(beat("a", 8), at(100));
+    let mut target = confirmed(&["b"]);
+    target.record_heartbeat(heartbeat("a", 8), at(100));
     assert_eq!(admitted(&target, at(100)), None);
-    target.answered_as("a", "b");
+    target.record_answer("a", "b");
     assert_eq!(admitted(&target, at(100)), Some("b"));
-    assert_eq!(target.hear(beat("a", 9), at(200)), Heard::Stale);
-    assert_eq!(target.hear(beat("b", 2), at(300)), Heard::Taken);
+    assert_eq!(
+        target.record_heartbeat(heartbeat("a", 9), at(200)),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        target.record_heartbeat(heartbeat("b", 2), at(300)),
+        HeartbeatOutcome::Accepted
+    );
 }
 
 #[test]
 fn an_unknown_life_that_answers_leaves_nobody_admitted() {
-    let mut target = after(&["a"]);
-    target.answered_as("a", "c");
+    let mut target = confirmed(&["a"]);
+    target.record_answer("a", "c");
     assert_eq!(admitted(&target, at(0)), None);
-    target.hear(beat("c", 1), at(100));
+    target.record_heartbeat(heartbeat("c", 1), at(100));
     target.confirm("c");
     assert_eq!(admitted(&target, at(100)), Some("c"));
 }
 
 #[test]
 fn a_target_that_falls_silent_is_gone_until_it_is_heard_again() {
-    let mut target = after(&["a"]);
+    let mut target = confirmed(&["a"]);
     assert_eq!(admitted(&target, at(3_000)), Some("a"));
     assert_eq!(admitted(&target, at(3_100)), None);
     assert_eq!(target.announced(at(3_100)), None);
-    target.hear(beat("a", 2), at(3_200));
+    target.record_heartbeat(heartbeat("a", 2), at(3_200));
     assert_eq!(admitted(&target, at(3_200)), Some("a"));
 }
 
-/// A daemon was restarted, and the first that it hears is its target's good-bye,
-/// which it acks. A heartbeat from before the good-bye was held up and comes in
-/// next: it looks like one of a new target that takes calls.
+/// The first message that a restarted daemon gets is its target's departure notice, which
+/// it acknowledges. A delayed heartbeat from before the departure arrives next, and looks
+/// like one of a new target that accepts calls.
 #[test]
 fn a_good_bye_holds_for_a_life_that_was_not_known_before() {
     let mut target = LocalTarget::new(INTERVAL);
-    target.leave("a");
-    assert_eq!(target.hear(beat("a", 7), at(100)), Heard::Stale);
+    target.record_departure("a");
+    assert_eq!(
+        target.record_heartbeat(heartbeat("a", 7), at(100)),
+        HeartbeatOutcome::Stale
+    );
     assert_eq!(admitted(&target, at(100)), None);
-    target.hear(beat("b", 1), at(200));
+    target.record_heartbeat(heartbeat("b", 1), at(200));
     target.confirm("b");
     assert_eq!(admitted(&target, at(200)), Some("b"));
 }
 
-fn beat_of(born: Birth, sequence: u64) -> Heartbeat {
+fn heartbeat_of(born: StartMillis, sequence: u64) -> Heartbeat {
     Heartbeat {
         born: Some(born),
-        ..beat(&life_name("a", Some(born)), sequence)
+        ..heartbeat(&generation_id("a", Some(born)), sequence)
     }
 }
 
-/// The life of target "a" that began at 1000, heard and confirmed.
-fn born_at_1000() -> LocalTarget {
+/// Returns the state after the generation of target "a" that started at 1000 was confirmed.
+fn started_at_1000() -> LocalTarget {
     let mut target = LocalTarget::new(INTERVAL);
-    target.hear(beat_of(1_000, 70), at(0));
+    target.record_heartbeat(heartbeat_of(1_000, 70), at(0));
     target.confirm("a#1000");
     target
 }
 
 #[test]
 fn a_life_is_named_by_id_and_birth() {
-    assert_eq!(life_name("i-7", Some(5)), "i-7#5");
-    assert_eq!(life_name("i-7", None), "i-7");
-    assert_eq!(id_of_life("i-7#5"), "i-7");
-    assert_eq!(id_of_life("i-7"), "i-7");
+    assert_eq!(generation_id("i-7", Some(5)), "i-7#5");
+    assert_eq!(generation_id("i-7", None), "i-7");
+    assert_eq!(target_id_of("i-7#5"), "i-7");
+    assert_eq!(target_id_of("i-7"), "i-7");
 }
 
-/// A target crashes and starts again under its id. Its heartbeats count from one again:
-/// by their numbers alone all of them would be late ones, and the target would get no
-/// calls for as long as the life before had lasted.
+/// A target crashes and restarts under its id, and its heartbeats count from one again. By
+/// their sequence numbers alone they would all be stale, and the target would get no calls
+/// for as long as the former generation had lasted.
 #[test]
 fn a_target_that_starts_again_under_its_id_is_another_life() {
-    let mut target = born_at_1000();
-    assert_eq!(target.hear(beat_of(2_000, 1), at(100)), Heard::Taken);
+    let mut target = started_at_1000();
+    assert_eq!(
+        target.record_heartbeat(heartbeat_of(2_000, 1), at(100)),
+        HeartbeatOutcome::Accepted
+    );
     assert_eq!(admitted(&target, at(100)), None, "not confirmed yet");
     target.confirm("a#2000");
     assert_eq!(admitted(&target, at(100)), Some("a#2000"));
 }
 
-/// The same, and a heartbeat of the life before was held up by a partition.
+/// A target restarted under its id, and a heartbeat of the former generation was delayed by
+/// a partition.
 #[test]
 fn a_late_heartbeat_of_the_former_birth_changes_nothing() {
-    let mut target = born_at_1000();
-    target.hear(beat_of(2_000, 1), at(100));
+    let mut target = started_at_1000();
+    target.record_heartbeat(heartbeat_of(2_000, 1), at(100));
     target.confirm("a#2000");
-    assert_eq!(target.hear(beat_of(1_000, 71), at(200)), Heard::Stale);
-    assert_eq!(target.hear(beat_of(500, 99), at(200)), Heard::Stale);
-    assert_eq!(target.hear(beat("a", 99), at(200)), Heard::Stale);
+    assert_eq!(
+        target.record_heartbeat(heartbeat_of(1_000, 71), at(200)),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        target.record_heartbeat(heartbeat_of(500, 99), at(200)),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(
+        target.record_heartbeat(heartbeat("a", 99), at(200)),
+        HeartbeatOutcome::Stale
+    );
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
 }
 
-/// A target said good-bye, was acked, and starts again under its id. The good-bye
-/// was that of the life before, and still holds for it.
+/// A target announced its departure, got an acknowledgement, and restarts under its id. The
+/// departure still holds for the former generation and must not affect the new one.
 #[test]
 fn a_departure_does_not_bind_the_next_birth_nor_is_it_lifted_by_it() {
-    let mut target = born_at_1000();
-    let left = target.life_meant("a", None);
+    let mut target = started_at_1000();
+    let left = target.departing_generation("a", None);
     assert_eq!(left, "a#1000");
-    assert!(target.leave(&left));
+    assert!(target.record_departure(&left));
     assert_eq!(admitted(&target, at(0)), None);
-    assert_eq!(target.hear(beat_of(2_000, 1), at(100)), Heard::Taken);
+    assert_eq!(
+        target.record_heartbeat(heartbeat_of(2_000, 1), at(100)),
+        HeartbeatOutcome::Accepted
+    );
     target.confirm("a#2000");
     assert_eq!(admitted(&target, at(100)), Some("a#2000"));
-    assert_eq!(target.hear(beat_of(1_000, 71), at(200)), Heard::Stale);
-    assert_eq!(target.life_meant("a", Some(1_000)), "a#1000");
-    assert!(!target.leave("a#1000"), "it is no news");
+    assert_eq!(
+        target.record_heartbeat(heartbeat_of(1_000, 71), at(200)),
+        HeartbeatOutcome::Stale
+    );
+    assert_eq!(target.departing_generation("a", Some(1_000)), "a#1000");
+    assert!(!target.record_departure("a#1000"), "it is known already");
     assert_eq!(admitted(&target, at(200)), Some("a#2000"));
 }
 
-/// The target answers with its id alone, which says nothing about the birth.
+/// The target answers with its id alone, which does not identify a generation.
 #[test]
 fn an_answer_under_the_same_id_keeps_the_present_birth() {
-    let mut target = born_at_1000();
-    target.answered_as("a#1000", "a");
+    let mut target = started_at_1000();
+    target.record_answer("a#1000", "a");
     assert_eq!(admitted(&target, at(0)), Some("a#1000"));
 }
--- a/crates/mesh/src/executor/confirm.rs
+++ b/crates/mesh/src/executor/confirm.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_membership::{Heartbeat, id_of_life};
+use stoatstep_membership::{Heartbeat, target_id_of};
 use stoatstep_resource::{HEALTH_PATH, Service};
 use stoatstep_telemetry::fields;
 use tokio::time::timeout;
@@ -62,10 +62,10 @@
     let actual = health.as_ref().and_then(|it| it.upstream.clone());
     let status = health.as_ref().map(|it| it.status.as_u16());
     if let Some(actual) = &actual {
-        update_target(node, |target, _| target.answered_as(asked, actual));
+        update_target(node, |target, _| target.record_answer(asked, actual));
     }
     let is_healthy = health.is_some_and(|it| it.status.is_success());
-    if is_healthy && actual.as_deref() == Some(id_of_life(asked)) {
+    if is_healthy && actual.as_deref() == Some(target_id_of(asked)) {
         update_target(node, |target, _| target.confirm(asked));
         return;
     }
--- a/crates/mesh/src/executor/heartbeat.rs
+++ b/crates/mesh/src/executor/heartbeat.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use stoatstep_calls::Reason;
-use stoatstep_membership::{Birth, Heard, Heartbeat, LocalTarget};
+use stoatstep_membership::{Heartbeat, HeartbeatOutcome, LocalTarget, StartMillis};
 use stoatstep_telemetry::fields;
 
 use super::{confirm_target, slot};
@@ -12,13 +12,13 @@
 
 /// Processes a heartbeat of the target. If it says that the target drains, no call is sent
 /// to the target after this returns, so that the drain may be acknowledged.
-pub(crate) fn handle_heartbeat(node: &Rc<Node>, beat: Heartbeat) -> Heard {
+pub(crate) fn handle_heartbeat(node: &Rc<Node>, beat: Heartbeat) -> HeartbeatOutcome {
     if !has_known_service(node, &beat) {
-        return Heard::UnknownService;
+        return HeartbeatOutcome::UnknownService;
     }
     let slots = beat.slots;
-    let outcome = update_target(node, |target, now| target.hear(beat, now));
-    if outcome == Heard::Taken {
+    let outcome = update_target(node, |target, now| target.record_heartbeat(beat, now));
+    if outcome == HeartbeatOutcome::Accepted {
         node.executor.tables.borrow_mut().queue.set_slots(slots);
     }
     confirm_target(node);
@@ -37,20 +37,20 @@
 }
 
 /// Deregisters the target that has this id, or the generation of it that started at `born`.
-pub(crate) fn deregister_target(node: &Node, id: &str, born: Option<Birth>) {
+pub(crate) fn deregister_target(node: &Node, id: &str, born: Option<StartMillis>) {
     let generation = node
         .executor
         .tables
         .borrow()
         .local_target
-        .life_meant(id, born);
+        .departing_generation(id, born);
     mark_leaving(node, &generation);
 }
 
 /// Marks a generation of the target as leaving. It deregistered at this process or at the
 /// previous one.
 pub(crate) fn mark_leaving(node: &Node, upstream: &str) {
-    let is_new = update_target(node, |target, _| target.leave(upstream));
+    let is_new = update_target(node, |target, _| target.record_departure(upstream));
     if is_new {
         slog::info!(node.log, "target leaves"; fields::UPSTREAM => upstream);
     }
@@ -64,9 +64,9 @@
 ) -> T {
     let now = node.clock.now();
     let mut tables = node.executor.tables.borrow_mut();
-    let before = tables.local_target.admits(now).cloned();
+    let before = tables.local_target.accepting_heartbeat(now).cloned();
     let result = change(&mut tables.local_target, now);
-    let after = tables.local_target.admits(now).cloned();
+    let after = tables.local_target.accepting_heartbeat(now).cloned();
     drop(tables);
     if let Some(change) = changed_target(before, after) {
         // Idle connections belong to the previous generation, if they are open at all.
@@ -101,7 +101,7 @@
         .tables
         .borrow()
         .local_target
-        .admits(now)
+        .accepting_heartbeat(now)
         .is_some();
     if !accepts_calls {
         slot::flush(node, Reason::Draining);
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -24,7 +24,7 @@
     AnswerStats, Arrival, AttemptId, AttemptStatus, Deadline, Incarnation, Ledger, LedgerConfig,
     Occupancy, Queue, Reason, RecentAnswers, Refusal, Ticket, Uplink,
 };
-use stoatstep_membership::{Announced, LocalTarget};
+use stoatstep_membership::{AnnouncedTarget, LocalTarget};
 use stoatstep_resource::{RouteName, ServiceName, UpstreamName};
 use stoatstep_rollout::{Evidence, OrderId, Tally};
 use tokio::sync::oneshot;
@@ -140,12 +140,16 @@
 
     /// Whether the target accepts calls now.
     pub(crate) fn accepts_calls(&self, now: stoatstep_calls::Time) -> bool {
-        self.tables.borrow().local_target.admits(now).is_some()
+        self.tables
+            .borrow()
+            .local_target
+            .accepting_heartbeat(now)
+            .is_some()
     }
 
     /// The present generation of the target, if it ever sent a heartbeat.
     pub(crate) fn upstream(&self) -> Option<UpstreamName> {
-        self.tables.borrow().local_target.life().cloned()
+        self.tables.borrow().local_target.generation().cloned()
     }
 
     /// Starts counting runs for a roll-out order, if the target belongs to its service.
@@ -176,7 +180,7 @@
     }
 
     /// What peers are told about the target, if anything.
-    pub(crate) fn announced(&self, now: stoatstep_calls::Time) -> Option<Announced> {
+    pub(crate) fn announced(&self, now: stoatstep_calls::Time) -> Option<AnnouncedTarget> {
         self.tables.borrow().local_target.announced(now)
     }
 }
@@ -239,7 +243,7 @@
         return Err(End::Refused(refusal));
     }
     let mut tables = node.executor.tables.borrow_mut();
-    let present = tables.local_target.admits(now);
+    let present = tables.local_target.accepting_heartbeat(now);
     let is_right_target = present
         .is_some_and(|it| it.upstream == attempt.upstream && it.service == attempt.call.service);
     let expires = Deadline::after(attempt.left, now).expires();
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -184,7 +184,7 @@
         } => {
             if let Some(actual) = actual {
                 super::update_target(node, |target, _| {
-                    target.answered_as(&attempt.upstream, &actual);
+                    target.record_answer(&attempt.upstream, &actual);
                 });
             }
             (End::Refused(refusal), arrived)
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -124,7 +124,7 @@
 
 /// Answers [`Ask::Following`] of another daemon in the zone.
 pub(crate) fn answer(node: &Node) -> Reply {
-    let mark = node.fleet.membership.borrow().mark();
+    let mark = node.fleet.membership.borrow().config_id();
     let following = if node.fleet.reaches_store.get() == Some(false) {
         Following::LostStore
     } else if role::polls_for_zone(node) {
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -7,7 +7,7 @@
 
 use stoatstep_distribution::PollRole;
 use stoatstep_membership::{
-    Action, Exchange, GossipReply, GossipRequest, Input, Mark, MemberKey, ZoneDigest,
+    Action, ConfigId, Exchange, GossipReply, GossipRequest, Input, MemberKey, ZoneDigest,
 };
 use stoatstep_rollout::Progress;
 use stoatstep_telemetry::fields;
@@ -101,7 +101,7 @@
 /// The message that announces the configuration which this daemon holds.
 fn held_configuration(node: &Node) -> Ask {
     let membership = node.fleet.membership.borrow();
-    Ask::Holds(membership.me(), membership.mark())
+    Ask::Holds(membership.me(), membership.config_id())
 }
 
 /// Sends a message without waiting for the answer.
@@ -154,7 +154,7 @@
 }
 
 /// Handles a peer's unsolicited announcement of the configuration that it holds.
-pub(crate) fn peer_announced(node: &Rc<Node>, peer: MemberKey, mark: Mark) {
+pub(crate) fn peer_announced(node: &Rc<Node>, peer: MemberKey, mark: ConfigId) {
     let addr = {
         let membership = node.fleet.membership.borrow();
         membership.table().get(peer).map(|it| it.member.peer)
@@ -194,13 +194,13 @@
             } => {
                 ntex::rt::spawn(exchange(Rc::clone(node), peer, addr, message));
             }
-            Action::AskHelper { addr, target } => {
+            Action::IndirectProbe { addr, target } => {
                 ntex::rt::spawn(probe_indirectly(Rc::clone(node), addr, target));
             }
             Action::PullTable { addr, zones } => {
                 ntex::rt::spawn(pull_table(Rc::clone(node), addr, zones));
             }
-            Action::PeerHolds {
+            Action::PeerConfig {
                 peer, addr, mark, ..
             } => versions::pull_if_newer(node, peer, addr, mark),
             Action::Changed(key) => {
@@ -214,7 +214,7 @@
                 slog::warn!(node.log, "way to a zone changed";
                     fields::ZONE => %zone, fields::REACHABLE => reachable);
             }
-            Action::Woke { gap } => resume(node, gap),
+            Action::Resumed { gap } => resume(node, gap),
             Action::TargetDrained(upstream) => executor::mark_leaving(node, &upstream),
             Action::Superseded { birth } => {
                 slog::error!(node.log, "a newer process runs under this id"; fields::BIRTH => birth);
@@ -295,7 +295,7 @@
     )
     .await;
     let reached = matches!(answer, Some(GossipReply::Probe(true)));
-    input(&node, Input::Helped { target, reached });
+    input(&node, Input::IndirectProbeResult { target, reached });
 }
 
 /// Probes a member on behalf of a peer that cannot reach it.
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -20,7 +20,7 @@
 use stoatstep_calls::{Candidate, CandidateState, Time};
 use stoatstep_distribution::{Contact, PollRole};
 use stoatstep_membership::{
-    Config, Entry, Mark, Member, MemberKey, MemberState, Membership, starting_incarnation,
+    Config, ConfigId, Entry, Member, MemberKey, MemberState, Membership, starting_incarnation,
 };
 use stoatstep_resource::{InstanceId, ServiceName, State, UpstreamName};
 use tokio::sync::Notify;
@@ -48,7 +48,7 @@
     membership: RefCell<Membership>,
     in_force: RefCell<Option<Rc<InForce>>>,
     /// Earlier configurations, the newest last, from which differences for peers are computed.
-    earlier_states: RefCell<VecDeque<(Mark, Arc<State>)>>,
+    earlier_states: RefCell<VecDeque<(ConfigId, Arc<State>)>>,
     /// Compressed configuration that was last sent to a peer, reused for peers that hold the same
     /// version.
     compressed_update: RefCell<Option<CompressedUpdate>>,
@@ -131,7 +131,7 @@
     /// Whether a member belongs to this daemon's own zone.
     fn is_in_own_zone(&self, key: MemberKey) -> bool {
         let membership = self.membership.borrow();
-        let zone = &membership.own().member.zone;
+        let zone = &membership.own_entry().member.zone;
         let entry = membership.table().get(key);
         entry.is_some_and(|it| it.member.zone == *zone)
     }
--- a/crates/mesh/src/fleet/role.rs
+++ b/crates/mesh/src/fleet/role.rs
@@ -51,7 +51,7 @@
 /// Whether this daemon probably knows only a part of its zone.
 pub(crate) fn is_discovering_zone(node: &Node) -> bool {
     let membership = node.fleet.membership.borrow();
-    let may_miss_members = node.cfg.is_first_start || membership.is_meeting_zone();
+    let may_miss_members = node.cfg.is_first_start || membership.has_unconfirmed_in_zone();
     may_miss_members && node.clock.now() < zone_discovery_end(node)
 }
 
--- a/crates/mesh/src/fleet/roster.rs
+++ b/crates/mesh/src/fleet/roster.rs
@@ -155,7 +155,7 @@
         let is_own = |it: &Row| it.instance == cfg.instance && it.peer == cfg.addresses.peers;
         self.is_announced |= rows.iter().any(is_own);
         let of_zone = rows.iter().filter(|it| it.zone == cfg.zone).count();
-        gossip::input(&self.node, Input::Announced { rows });
+        gossip::input(&self.node, Input::AnnouncementsRead { rows });
         self.reads += 1;
         self.node
             .fleet
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use stoatstep_distribution::Mark;
+use stoatstep_distribution::ConfigId;
 use stoatstep_membership::{Input, MemberKey};
 use stoatstep_resource::State;
 use stoatstep_telemetry::fields;
@@ -53,7 +53,7 @@
     let mark = activate(node, state);
     slog::info!(node.log, "configuration in force";
         fields::VERSION => version, fields::BEFORE => held, fields::SOURCE => ?source);
-    gossip::input(node, Input::Holds(mark));
+    gossip::input(node, Input::ConfigChanged(mark));
     announce(node, source);
     // The first configuration contains the path at which the target is probed.
     executor::confirm_target(node);
@@ -74,7 +74,7 @@
 }
 
 /// Puts a state in force and keeps the previous one for peers that still hold it.
-fn activate(node: &Node, state: State) -> Mark {
+fn activate(node: &Node, state: State) -> ConfigId {
     let before = node.fleet.in_force();
     let state = match &before {
         Some(before) => state.sharing(&before.state),
@@ -94,7 +94,7 @@
 }
 
 /// The update for a peer that holds an older configuration.
-pub(crate) fn newer_than(node: &Node, theirs: Mark) -> Newer {
+pub(crate) fn newer_than(node: &Node, theirs: ConfigId) -> Newer {
     let Some(held) = node.fleet.in_force() else {
         return Newer::Nothing;
     };
@@ -117,14 +117,14 @@
 }
 
 /// The cached update, if it was compressed for the same pair of configurations.
-fn cached_update(node: &Node, from: Mark, to: Mark) -> Option<Bytes> {
+fn cached_update(node: &Node, from: ConfigId, to: ConfigId) -> Option<Bytes> {
     let update = node.fleet.compressed_update.borrow();
     let update = update.as_ref();
     let update = update.filter(|it| it.from == from && it.to == to);
     update.map(|it| it.bytes.clone())
 }
 
-fn update_from(node: &Node, theirs: Mark, held: &InForce) -> Newer {
+fn update_from(node: &Node, theirs: ConfigId, held: &InForce) -> Newer {
     let earlier_states = node.fleet.earlier_states.borrow();
     match earlier_states.iter().find(|(mark, _)| *mark == theirs) {
         Some((_, state)) => Newer::Difference((&state.difference(&held.state)).into()),
@@ -135,7 +135,7 @@
 /// Handles a peer's announcement of the configuration that it holds. If it is newer, it is pulled
 /// from the peer: at once within the own zone, and otherwise only if no other source delivers it
 /// within `REMOTE_PULL_DELAY`.
-pub(crate) fn pull_if_newer(node: &Rc<Node>, peer: MemberKey, addr: SocketAddr, theirs: Mark) {
+pub(crate) fn pull_if_newer(node: &Rc<Node>, peer: MemberKey, addr: SocketAddr, theirs: ConfigId) {
     if theirs.version <= held(node).version || node.fleet.is_pulling.get() {
         return;
     }
@@ -152,7 +152,7 @@
     });
 }
 
-fn held(node: &Node) -> Mark {
+fn held(node: &Node) -> ConfigId {
     node.fleet.in_force().map(|it| it.mark).unwrap_or_default()
 }
 
--- a/crates/mesh/src/lib.rs
+++ b/crates/mesh/src/lib.rs
@@ -43,5 +43,5 @@
 pub use mechanism::{Mechanism, UnknownMechanism};
 pub use node::Mesh;
 pub use stoatstep_calls::{Fingerprint, QuarantinedRequest};
-pub use stoatstep_membership::{Birth, Heard, Heartbeat, life_name};
+pub use stoatstep_membership::{Heartbeat, HeartbeatOutcome, StartMillis, generation_id};
 pub use stoatstep_rollout::{Order, OrderId, Software, UnixTime};
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -25,7 +25,7 @@
 use crate::{drain, fleet::gossip};
 use stoatstep_calls::Shutdown;
 use stoatstep_http::{Server, Unwritten};
-use stoatstep_membership::{Birth, Heard, Heartbeat};
+use stoatstep_membership::{Heartbeat, HeartbeatOutcome, StartMillis};
 use stoatstep_telemetry::fields;
 
 /// Interval of the periodic work, including the membership protocol.
@@ -120,7 +120,7 @@
     /// Handles a heartbeat of the target beside the daemon. Once this returns, no further call goes
     /// to a target that drains.
     #[must_use = "a stale heartbeat is acked like any other, but may be worth a log line"]
-    pub fn handle_heartbeat(&self, beat: Heartbeat) -> Heard {
+    pub fn handle_heartbeat(&self, beat: Heartbeat) -> HeartbeatOutcome {
         let heard = executor::handle_heartbeat(&self.0, beat);
         gossip::target_changed(&self.0);
         heard
@@ -128,7 +128,7 @@
 
     /// Handles the departure of the target with this id, for the generation that started at `born`
     /// if it reports one. Once this returns, no further call goes to that generation.
-    pub fn target_left(&self, id: &str, born: Option<Birth>) {
+    pub fn target_left(&self, id: &str, born: Option<StartMillis>) {
         executor::deregister_target(&self.0, id, born);
         gossip::target_changed(&self.0);
     }
--- a/crates/mesh/src/wire.rs
+++ b/crates/mesh/src/wire.rs
@@ -12,7 +12,7 @@
     Answer, AttemptId, AttemptStatus, Fingerprint, Header, Occupancy, QuarantineFinding, Refusal,
     Ticket, TokenGrant,
 };
-use stoatstep_membership::{GossipReply, GossipRequest, Mark, MemberKey};
+use stoatstep_membership::{ConfigId, GossipReply, GossipRequest, MemberKey};
 use stoatstep_resource::wire::{DifferenceWire, SnapshotWire};
 use stoatstep_resource::{CustomerName, KeyId, RouteName, ServiceName, UpstreamName, Version};
 use stoatstep_rollout::{Evidence, OrderId, Progress};
@@ -50,10 +50,10 @@
     Gossip(GossipRequest, Piggyback),
     /// Asks for the configuration, if it is newer than this one.
     #[serde(rename = "n")]
-    Newer(Mark),
+    Newer(ConfigId),
     /// Announces that the sender has just put this configuration in force; answered like a ping.
     #[serde(rename = "h")]
-    Holds(MemberKey, Mark),
+    Holds(MemberKey, ConfigId),
     /// Reports the progress of a roll-out; answered like a ping.
     #[serde(rename = "o")]
     Rollout(Progress),
@@ -113,7 +113,7 @@
     Confirmed(Option<ConfirmedVersion>),
     /// Answers [`Ask::Following`].
     #[serde(rename = "w")]
-    Following(Following, Mark),
+    Following(Following, ConfigId),
     /// Answers [`Ask::Tokens`] and [`Ask::Borrow`]; `None` if the receiver is not the home.
     #[serde(rename = "t")]
     Tokens(Option<GrantWire>),
--- a/crates/scenario/src/daemon/gossip.rs
+++ b/crates/scenario/src/daemon/gossip.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use stoatstep_membership::{Action, Exchange, Input, Mark, MemberKey, Time, ZoneDigest};
+use stoatstep_membership::{Action, ConfigId, Exchange, Input, MemberKey, Time, ZoneDigest};
 
 use super::{Node, index_of};
 use crate::world::net::{Way, ask};
@@ -28,13 +28,13 @@
                 addr,
                 message,
             } => Rc::clone(&node).spawn(exchange(node, peer, addr, message)),
-            Action::AskHelper { addr, target } => {
+            Action::IndirectProbe { addr, target } => {
                 Rc::clone(&node).spawn(ask_helper(node, addr, target));
             }
             Action::PullTable { addr, zones } => {
                 Rc::clone(&node).spawn(pull_table(node, addr, zones));
             }
-            Action::PeerHolds {
+            Action::PeerConfig {
                 peer, mark, floor, ..
             } => peer_holds(&node, peer, mark, floor),
             Action::Superseded { .. } => node.drain(),
@@ -44,7 +44,7 @@
     }
 }
 
-fn peer_holds(node: &Node, peer: MemberKey, theirs: Mark, floor: u64) {
+fn peer_holds(node: &Node, peer: MemberKey, theirs: ConfigId, floor: u64) {
     let now = node.now();
     let mut control = node.control.borrow_mut();
     let mine = control.replica.mark();
@@ -79,7 +79,7 @@
     let probe = async move |helper: Rc<Node>| reaches(&helper, target).await;
     let answer = ask(&node, index_of(addr), Way::Control, HELPER_BOUND, probe).await;
     let reached = answer == Ok(true);
-    input(&node, Input::Helped { target, reached });
+    input(&node, Input::IndirectProbeResult { target, reached });
 }
 
 async fn reaches(node: &Rc<Node>, target: MemberKey) -> bool {
