--- a/crates/rollout/src/book.rs
+++ b/crates/rollout/src/book.rs
@@ -11,119 +11,124 @@
 /// Time since the process started.
 type Time = Duration;
 
-/// Time for which peers are told of an end. Every daemon exchanges words with some peer
-/// each second, so by then all have heard of it that take part.
-const TOLD_FOR: Duration = Duration::from_secs(15);
+/// Time for which the end of a roll-out is gossiped. Every daemon exchanges gossip with some peer
+/// each second, so after this time all daemons that take part have received it.
+const GOSSIP_ENDED_FOR: Duration = Duration::from_secs(15);
 
-/// Time for which the old side is left out after a completion. Its targets end at once,
-/// and within that time membership knows. Targets that join later are used whatever
-/// their version.
-const OLD_SIDE_ENDS: Duration = Duration::from_secs(15);
+/// Time for which the old side is excluded after a completion. Its targets exit at once, and
+/// membership notices within this time. Targets that join later are used whatever their version.
+const EXCLUDE_OLD_FOR: Duration = Duration::from_secs(15);
 
-/// Services with roll-outs that are remembered. Words of more would be of a broken peer.
+/// Maximum number of services whose roll-outs are remembered. Progress of more services can only
+/// come from a faulty peer.
 const MAX_SERVICES: usize = 256;
 
-/// What a word changed.
+/// What a reported progress changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing: as much was known, or more.
+    /// Nothing: the reported progress was already known or is older.
     None,
-    /// The service's roll-out is another, or at another step.
+    /// The service has a newer order, or its roll-out is at another step.
     Moved {
-        /// The step that was known of this order before; none where the order is news.
+        /// The previously known step of this order; `None` if the order is new.
         from: Option<Step>,
     },
 }
 
 #[derive(Clone, Debug)]
-struct Page {
+struct Entry {
     progress: Progress,
-    /// When the order was heard of, and when its present step was.
-    heard: Time,
-    moved: Time,
+    /// When this daemon learned of the order, and when it learned of the present step.
+    received: Time,
+    updated: Time,
 }
 
-/// Roll-outs by service, the newest order of each.
+/// The newest known progress of each service's roll-out.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
-    pages: BTreeMap<SmolStr, Page>,
+    entries: BTreeMap<SmolStr, Entry>,
 }
 
 impl Book {
-    /// Takes in a word.
+    /// Applies a progress that was reported by a peer, read from the store or decided here.
     pub fn hear(&mut self, progress: Progress, now: Time) -> Change {
         let service = &progress.order.service;
-        let Some(page) = self.pages.get_mut(service) else {
-            if self.pages.len() < MAX_SERVICES {
+        let Some(entry) = self.entries.get_mut(service) else {
+            if self.entries.len() < MAX_SERVICES {
                 let service = service.clone();
-                self.pages.insert(service, Page::new(progress, now));
+                self.entries.insert(service, Entry::new(progress, now));
                 return Change::Moved { from: None };
             }
             return Change::None;
         };
-        if !progress.overrules(&page.progress) {
+        if !progress.overrules(&entry.progress) {
             return Change::None;
         }
-        let is_same = progress.order.id == page.progress.order.id;
-        let from = is_same.then_some(page.progress.step);
-        let heard = if is_same { page.heard } else { now };
-        *page = Page {
-            heard,
-            ..Page::new(progress, now)
+        let is_same = progress.order.id == entry.progress.order.id;
+        let from = is_same.then_some(entry.progress.step);
+        let received = if is_same { entry.received } else { now };
+        *entry = Entry {
+            received,
+            ..Entry::new(progress, now)
         };
         Change::Moved { from }
     }
 
-    /// What is known of a service's roll-out.
+    /// Returns the known progress of a service's roll-out.
     #[must_use]
     pub fn get(&self, service: &str) -> Option<&Progress> {
-        self.pages.get(service).map(|it| &it.progress)
+        self.entries.get(service).map(|it| &it.progress)
     }
 
-    /// Roll-outs that have not ended, each with the time since it was heard of and the
-    /// time since its present step was.
+    /// Iterates over the roll-outs that have not ended, each with the time since this daemon
+    /// learned of the order and the time since it learned of the present step.
     pub fn open(&self, now: Time) -> impl Iterator<Item = (&Progress, Duration, Duration)> {
         let open = self
-            .pages
+            .entries
             .values()
             .filter(|it| !it.progress.step.is_final());
         open.map(move |it| {
             let since = |at: Time| now.saturating_sub(at);
-            (&it.progress, since(it.heard), since(it.moved))
+            (&it.progress, since(it.received), since(it.updated))
         })
     }
 
-    /// What peers are told: whatever has not ended, or has lately.
+    /// Returns the progress to gossip: roll-outs that have not ended or ended recently.
     #[must_use]
     pub fn news(&self, now: Time) -> Vec<Progress> {
-        let is_news =
-            |it: &&Page| !it.progress.step.is_final() || now.saturating_sub(it.moved) < TOLD_FOR;
-        let pages = self.pages.values().filter(is_news);
-        pages.map(|it| it.progress.clone()).collect()
+        let should_gossip = |it: &&Entry| {
+            !it.progress.step.is_final() || now.saturating_sub(it.updated) < GOSSIP_ENDED_FOR
+        };
+        let entries = self.entries.values().filter(should_gossip);
+        entries.map(|it| it.progress.clone()).collect()
     }
 
-    /// Everything, for a peer that has just started.
+    /// Returns the progress of all services, for a peer that has just started.
     #[must_use]
     pub fn all(&self) -> Vec<Progress> {
-        self.pages.values().map(|it| it.progress.clone()).collect()
+        self.entries
+            .values()
+            .map(|it| it.progress.clone())
+            .collect()
     }
 
-    /// The step that binds calls for a service now, with the version that it is about.
+    /// Returns the step that calls for a service must follow now, with the version it is about.
     #[must_use]
     pub fn binding(&self, service: &str, now: Time) -> Option<(Step, &Software)> {
-        let page = self.pages.get(service)?;
-        let step = page.progress.step;
-        let is_over = step == Step::Completed && now.saturating_sub(page.moved) > OLD_SIDE_ENDS;
-        (!is_over).then_some((step, &page.progress.order.target))
+        let entry = self.entries.get(service)?;
+        let step = entry.progress.step;
+        let is_over =
+            step == Step::Completed && now.saturating_sub(entry.updated) > EXCLUDE_OLD_FOR;
+        (!is_over).then_some((step, &entry.progress.order.target))
     }
 }
 
-impl Page {
+impl Entry {
     fn new(progress: Progress, now: Time) -> Self {
         Self {
             progress,
-            heard: now,
-            moved: now,
+            received: now,
+            updated: now,
         }
     }
 }
--- a/crates/rollout/src/canaries.rs
+++ b/crates/rollout/src/canaries.rs
@@ -1,30 +1,30 @@
-//! Which targets of the new side are tried first.
+//! Choice of the targets of the new side that are tried first.
 
 use smol_str::SmolStr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use crate::order::OrderId;
 
-/// Targets that are tried, at most. They tell a bad version from bad targets: where a
-/// sixth of all targets are slow, all of three are in one of 200 roll-outs, and all of
+/// Maximum number of canaries. More than one is needed to tell a bad version from a bad target: if
+/// a sixth of all targets are slow, all of three canaries are in one of 200 roll-outs, and all of
 /// five in one of 8,000.
-const MOST: usize = 5;
+const MAX_CANARIES: usize = 5;
 
-/// Part of the service's calls that the targets tried may take at full load. It bounds
-/// their number where a service has few targets.
-const MOST_LOADED: f64 = 0.16;
+/// Maximum part of the service's calls that the canaries may take at full load. It limits the
+/// number of canaries of a service with few targets.
+const MAX_LOAD: f64 = 0.16;
 
-/// The targets that are tried. Every daemon that knows the same members takes the same
-/// ones, and nobody has to be told.
+/// The targets of the new side that are tried first. Every daemon that knows the same members
+/// chooses the same ones, so no message about them is needed.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Canaries {
     names: Vec<SmolStr>,
-    /// Part of the service's calls that makes them as occupied as the old side.
+    /// The part of the service's calls at which the canaries are as occupied as the old side.
     load: f64,
 }
 
 impl Canaries {
-    /// Those of the new side's targets that are tried, where the old side has so many.
+    /// Chooses the canaries among the targets of the new side; `old` is the size of the old side.
     #[must_use]
     pub fn choose(order: OrderId, new: impl IntoIterator<Item = SmolStr>, old: usize) -> Self {
         let count = Self::count(old);
@@ -36,14 +36,14 @@
         }
     }
 
-    /// How many are tried where the old side has so many targets.
+    /// Returns the number of canaries for an old side with `old` targets.
     #[must_use]
     pub fn count(old: usize) -> usize {
-        let fit = (1..=MOST).take_while(|count| load(*count, old) <= MOST_LOADED);
+        let fit = (1..=MAX_CANARIES).take_while(|count| load(*count, old) <= MAX_LOAD);
         fit.count().max(1)
     }
 
-    /// Targets in the order in which they are tried.
+    /// Sorts targets by the order in which they become canaries.
     #[must_use]
     pub fn ranked(order: OrderId, targets: impl IntoIterator<Item = SmolStr>) -> Vec<SmolStr> {
         let mut names: Vec<SmolStr> = targets.into_iter().collect();
@@ -51,31 +51,32 @@
         names
     }
 
-    /// Puts targets into that order, by a hash of the order's number and their names.
+    /// Sorts targets by a hash of the order's id and their names.
     pub fn rank<T>(order: OrderId, targets: &mut [T], name: impl Fn(&T) -> &str) {
         targets.sort_by_cached_key(|it| xxh3_64_with_seed(name(it).as_bytes(), order));
     }
 
-    /// Their names, the first one first.
+    /// Returns the names of the canaries, in rank order.
     #[must_use]
     pub fn names(&self) -> &[SmolStr] {
         &self.names
     }
 
-    /// Whether this target is among them.
+    /// Returns whether this target is a canary.
     #[must_use]
     pub fn has(&self, upstream: &str) -> bool {
         self.names.iter().any(|it| it == upstream)
     }
 
-    /// Part of the service's calls that makes them as occupied as the old side.
+    /// Returns the part of the service's calls at which the canaries are as occupied as the old
+    /// side.
     #[must_use]
     pub fn load(&self) -> f64 {
         self.load
     }
 }
 
-/// The old side's calls for as many of its targets.
+/// The part of the calls that `count` of `old` targets take when all are equally occupied.
 fn load(count: usize, old: usize) -> f64 {
     let of = |number: usize| f64::from(u32::try_from(number).unwrap_or(u32::MAX));
     of(count) / of(old.max(1))
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -1,11 +1,11 @@
-//! Whether a version is bad, from what targets of both sides answered.
+//! Decides whether a version is bad, from the answers of targets of both sides.
 //!
-//! The new side is compared with the old one on the same route and over the same time,
-//! so that a burst, a short service that both call, or callers that leave weigh on
-//! both. What is tested is how likely so many failures, or so many slow runs, would be
-//! if the new version were no worse than the old one with some allowance. A target that
-//! is bad for reasons of its own is told from a bad version by the others that are
-//! tried: without the worst one they have to be worse than the old side as well.
+//! The new side is compared with the old one on the same route and over the same time, so that a
+//! burst of calls, a shared dependency that fails, or callers that disconnect affect both sides
+//! alike. The test computes how likely the observed number of failures or slow runs would be if the
+//! new version were no worse than the old one plus an allowance. A bad target is told from a bad
+//! version by the other canaries: without the worst canary, the others must still be worse than the
+//! old side.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,41 +13,42 @@
 
 use crate::tally::{Evidence, Sums};
 
-/// Probability below which chance is ruled out. A roll-out of 15 s is looked at some 50
-/// times, on a few routes, for two kinds of badness over two spans; with looks that share
-/// most of their evidence, fewer than one good version in 1,000 is condemned by chance.
-const CHANCE: f64 = 1e-5;
+/// Significance level: a probability below it is taken to rule out chance. A roll-out of 15 s is
+/// evaluated some 50 times, on a few routes, for two kinds of regression over two spans. Since the
+/// evaluations share most of their evidence, fewer than one good version in 1,000 is rejected by
+/// chance.
+const SIGNIFICANCE: f64 = 1e-5;
 
-/// The same for what the targets tried show without the worst one of them. One that fails
-/// for reasons of its own would else condemn a good version: with a vote of the targets in
-/// place of this, 84 of 1,000 simulated good versions with one such target were.
-const CHANCE_OF_OTHERS: f64 = 1e-4;
+/// Significance level for the canaries without the worst one. Without this test, a canary that
+/// fails for reasons of its own would reject a good version. A majority vote of the targets in its
+/// place rejected 84 of 1,000 simulated good versions with one such target.
+const SIGNIFICANCE_OF_OTHERS: f64 = 1e-4;
 
-/// Bad runs below which nothing is decided. A handful can be one broken connection.
-const LEAST_BAD: u32 = 6;
+/// Minimum number of bad runs for a rejection. A handful can come from one broken connection.
+const MIN_BAD_RUNS: u32 = 6;
 
-/// What the new side may be worse than the old one, as a factor and as a part of all runs.
-const WORSE: f64 = 1.5;
-const WORSE_BY: f64 = 0.04;
+/// Allowance by which the new side may be worse than the old one: a factor, and a part of all runs.
+const ALLOWED_FACTOR: f64 = 1.5;
+const ALLOWED_PART: f64 = 0.04;
 
-/// A run counts as slow from so many classes of run times above the old side's middle one:
-/// 3.4 times as long. Targets of one version differ by less than that, also when nearly
+/// Number of run-time classes above the old side's median class from which a run counts as slow,
+/// which is 3.4 times as long. Targets of one version differ by less than that, even when nearly
 /// full, and bad versions are several times slower.
 const SLOW_CLASSES: usize = 3;
 
-/// Runs from which each target tried has to be worse than the old side by itself. Where
-/// a sixth of all targets are slow, two of three that are tried may be, and a good version
-/// would pay for it.
-const LEAST_SAY: u32 = 4;
+/// Minimum number of runs from which each canary has to be worse than the old side by itself. If a
+/// sixth of all targets are slow, two of three canaries may be, and a good version would be
+/// rejected.
+const MIN_CANARY_RUNS: u32 = 4;
 
-/// Runs of the new side from which a service that is called is called judged.
-const LEAST_RUNS: u32 = 8;
+/// Minimum number of runs of the new side for a verdict, if the service is called regularly.
+const MIN_RUNS: u32 = 8;
 
-/// Runs of the old side below which the service counts as one that hardly anybody calls:
-/// the same part of them would not bring the new side enough.
-const HARDLY_CALLED: u32 = 40;
+/// Number of runs of the old side below which the service counts as rarely called: the canaries'
+/// part of so few calls would not give enough runs for a verdict.
+const RARELY_CALLED: u32 = 40;
 
-/// What is wrong with a version.
+/// How a version is worse than the old one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Badness {
     /// Too many of its answers are failures.
@@ -57,7 +58,7 @@
 }
 
 impl Badness {
-    /// Its name in logs.
+    /// Returns the name that is written to logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -67,62 +68,61 @@
     }
 }
 
-/// What speaks against a version.
+/// A regression of the new version that chance does not explain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seen {
-    /// What is wrong.
+    /// The kind of regression.
     pub badness: Badness,
-    /// On which route; none where it shows over all of them.
+    /// The route that shows it; `None` if it shows over all routes together.
     pub route: Option<SmolStr>,
-    /// Bad runs and all runs of the new side.
+    /// Number of bad runs and of all runs of the new side.
     pub new: (u32, u32),
-    /// The same of the old side.
+    /// Number of bad runs and of all runs of the old side.
     pub old: (u32, u32),
 }
 
-/// What follows from the evidence.
+/// The result of comparing both sides.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against the version.
+    /// No regression was found.
     Good,
-    /// It was called too seldom to tell.
+    /// The new side had too few runs for a verdict.
     Unclear,
-    /// It is bad.
+    /// The version is worse than the old one.
     Bad(Seen),
 }
 
-/// Judges by what the targets tried answered, each for itself, and by what some targets of
-/// the old side did.
+/// Compares the evidence of each canary with the evidence of some targets of the old side.
 #[must_use]
 pub fn judge(new: &[Evidence], old: &[Evidence]) -> Verdict {
-    if let Some(seen) = badness(new, old) {
+    if let Some(seen) = find_regression(new, old) {
         return Verdict::Bad(seen);
     }
     let runs = |side: &[Evidence]| -> u32 {
         let routes = side.iter().flat_map(|it| &it.routes);
         routes.map(|it| it.whole.runs).sum()
     };
-    if runs(new) < LEAST_RUNS && runs(old) >= HARDLY_CALLED {
+    if runs(new) < MIN_RUNS && runs(old) >= RARELY_CALLED {
         return Verdict::Unclear;
     }
     Verdict::Good
 }
 
-/// Over which time evidence is compared.
+/// The time over which evidence is compared.
 #[derive(Clone, Copy, Debug)]
 enum Span {
     Whole,
     Recent,
 }
 
-fn badness(new: &[Evidence], old: &[Evidence]) -> Option<Seen> {
+fn find_regression(new: &[Evidence], old: &[Evidence]) -> Option<Seen> {
     let whole = Sides::of(new, old, Span::Whole);
     let recent = Sides::of(new, old, Span::Recent);
     let kinds = [Badness::Failures, Badness::Slowness];
     whole.routes().into_iter().find_map(|route| {
         kinds.into_iter().find_map(|badness| {
             let whole = whole.counts(badness, route);
-            if !whole.do_targets_agree() {
+            if !whole.do_canaries_agree() {
                 return None;
             }
             let recent = recent.counts(badness, route);
@@ -139,9 +139,9 @@
 
 type Routes<'a> = BTreeMap<&'a SmolStr, Sums>;
 
-/// What targets of both sides answered over one span of time.
+/// Runs of both sides over one span of time.
 struct Sides<'a> {
-    /// By target.
+    /// One entry for each canary.
     new: Vec<Routes<'a>>,
     old: Routes<'a>,
 }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// What is to be tested: each route, and all of them together, where a bad version
+    /// Returns what is tested: each route, and all routes together (`None`), where a bad version
     /// shows sooner than on any single one.
     fn routes(&self) -> Vec<Option<&'a SmolStr>> {
         let named: BTreeSet<&SmolStr> = self.new.iter().flat_map(BTreeMap::keys).copied().collect();
@@ -183,38 +183,38 @@
     routes
 }
 
-/// Bad runs and all runs.
+/// Number of bad runs and of all runs.
 type Count = (u32, u32);
 
-/// What is compared in one test.
+/// The counts that one test compares.
 struct Counts {
-    /// Of each target tried.
+    /// One entry for each canary.
     each: Vec<Count>,
     old: Count,
 }
 
 impl Counts {
-    /// Whether chance is ruled out, also without the worst of the targets.
+    /// Returns whether chance is ruled out, with all canaries and without the worst one.
     fn is_bad(&self) -> bool {
         let all = total(&self.each);
         let allowed = allowed(self.old);
-        if all.0 < LEAST_BAD || chance(all, allowed) >= CHANCE {
+        if all.0 < MIN_BAD_RUNS || tail_probability(all, allowed) >= SIGNIFICANCE {
             return false;
         }
         let others = without_worst(&self.each);
-        others.is_none_or(|it| chance(it, allowed) < CHANCE_OF_OTHERS)
+        others.is_none_or(|it| tail_probability(it, allowed) < SIGNIFICANCE_OF_OTHERS)
     }
 
-    /// Whether all targets but one were called a few times, and every one that was is worse
-    /// than the old side. That one may be cut off.
-    fn do_targets_agree(&self) -> bool {
+    /// Returns whether all canaries but one have a minimum number of runs and each of those is
+    /// worse than the old side. The one without runs may be cut off from the network.
+    fn do_canaries_agree(&self) -> bool {
         let allowed = allowed(self.old);
-        let with_say = self.each.iter().filter(|it| it.1 >= LEAST_SAY);
-        let (say, worse) = with_say.fold((0, 0), |(say, worse), it| {
-            (say + 1, worse + usize::from(part(*it) > allowed))
+        let counted = self.each.iter().filter(|it| it.1 >= MIN_CANARY_RUNS);
+        let (compared, worse) = counted.fold((0, 0), |(compared, worse), it| {
+            (compared + 1, worse + usize::from(ratio(*it) > allowed))
         });
-        let needed = self.each.len().saturating_sub(1).max(1);
-        say >= needed && worse == say
+        let required = self.each.len().saturating_sub(1).max(1);
+        compared >= required && worse == compared
     }
 }
 
@@ -224,7 +224,7 @@
         .fold((0, 0), |sum, it| (sum.0 + it.0, sum.1 + it.1))
 }
 
-/// The sum without the target that has the most bad runs; `None` where it is the only one.
+/// Sums the counts without the target that has the most bad runs; `None` for a single target.
 fn without_worst(each: &[Count]) -> Option<Count> {
     if each.len() < 2 {
         return None;
@@ -240,14 +240,14 @@
     target: &Routes<'_>,
     old: &Routes<'_>,
 ) -> Count {
-    let is_meant = |name: &&SmolStr| route.is_none_or(|it| it == *name);
+    let is_included = |name: &&SmolStr| route.is_none_or(|it| it == *name);
     let mut bad = 0;
     let mut runs = 0;
-    for (name, sums) in target.iter().filter(|(name, _)| is_meant(name)) {
+    for (name, sums) in target.iter().filter(|(name, _)| is_included(name)) {
         match badness {
             Badness::Failures => bad += sums.failures,
             Badness::Slowness => {
-                // Without runs of the old side nothing says what is slow.
+                // Without runs of the old side there is no reference for what is slow.
                 let Some(middle) = old.get(*name).and_then(Sums::middle) else {
                     continue;
                 };
@@ -259,24 +259,25 @@
     (bad, runs)
 }
 
-/// Part of bad runs that the new side may have. One bad run more than were seen stands for
-/// those that were not.
+/// The part of bad runs that the new side may have, from Laplace's estimate of the old side's: one
+/// bad run and one good run are added, so that a side without bad runs is not taken to be perfect.
 fn allowed((bad, runs): Count) -> f64 {
     let known = (f64::from(bad) + 1.0) / (f64::from(runs) + 2.0);
-    (known * WORSE + WORSE_BY).min(1.0)
+    (known * ALLOWED_FACTOR + ALLOWED_PART).min(1.0)
 }
 
-fn part((bad, runs): Count) -> f64 {
+fn ratio((bad, runs): Count) -> f64 {
     f64::from(bad) / f64::from(runs.max(1))
 }
 
-/// How likely at least `bad` of `runs` are bad where each is with probability `allowed`.
-fn chance((bad, runs): Count, allowed: f64) -> f64 {
+/// The probability that at least `bad` of `runs` runs are bad if each is with probability
+/// `allowed`.
+fn tail_probability((bad, runs): Count, allowed: f64) -> f64 {
     if allowed >= 1.0 {
         return 1.0;
     }
-    // The terms of the binomial distribution, each from the one before it, summed from
-    // its upper end would underflow; logarithms do not.
+    // Sums the terms of the binomial distribution, each computed from the one before it. The terms
+    // are kept as logarithms, since the first ones would underflow.
     let odds = (allowed / (1.0 - allowed)).ln();
     let mut term = f64::from(runs) * (1.0 - allowed).ln();
     let mut sum = 0.0;
--- a/crates/rollout/src/lane.rs
+++ b/crates/rollout/src/lane.rs
@@ -1,24 +1,24 @@
-//! Which side of a service under a roll-out takes a call.
+//! Routing of calls to one side of a service under a roll-out.
 
 use crate::canaries::Canaries;
 use crate::order::Software;
 use crate::plan::TRIAL_SHARE;
 use crate::progress::{Step, UnixTime};
 
-/// The two sides of a service under a roll-out.
+/// The groups of targets between which the calls of a service under a roll-out are divided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Side {
     /// Targets of every version but the ordered one.
     Old,
-    /// The targets of the ordered version that are tried.
+    /// The canaries: the targets of the ordered version that are tried first.
     Tried,
     /// All targets of the ordered version.
     New,
 }
 
 impl Side {
-    /// Where a call goes that this side refused without running it: the one that refused
-    /// has heard of a later step.
+    /// Returns the side to which a call goes that this side refused without running it: the
+    /// executor that refused knows of a later step.
     #[must_use]
     pub fn other(self) -> Self {
         match self {
@@ -28,30 +28,31 @@
     }
 }
 
-/// How the calls for one service are divided.
+/// The state of a roll-out by which calls for one service are routed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lane {
     /// The version that was ordered.
     pub target: Software,
-    /// How far the roll-out has come.
+    /// The present step of the roll-out.
     pub step: Step,
-    /// The targets that are tried.
+    /// The targets of the new version that are tried first.
     pub canaries: Canaries,
-    /// Targets of the old side that are known.
+    /// Number of known targets of the old side.
     pub old: usize,
-    /// When the roll-out has to be over.
+    /// The deadline of the roll-out.
     pub due: UnixTime,
 }
 
 impl Lane {
-    /// The side of a call, by a number drawn evenly from 0 to 1. Calls of its route are
-    /// tried `weight` times as often as the service's on the whole, see [`Mix`](crate::Mix).
+    /// Chooses the side of a call by `draw`, a number drawn evenly from 0 to 1. Calls of a route
+    /// with weight `weight` are tried that many times as often as the service's calls on average,
+    /// see [`Mix`](crate::Mix).
     #[must_use]
     pub fn side(&self, draw: f64, weight: f64, now: UnixTime) -> Side {
         match self.step_at(now) {
-            // Nobody is left that could serve: either the service runs the ordered
-            // version already, or this daemon has just met its first peers. In that case
-            // the executors know better, and refuse.
+            // No target of the old side is known: either the service runs the ordered version
+            // already, or this daemon has just met its first peers. In the second case the
+            // executors know more and refuse.
             Step::Ordered | Step::Trial | Step::Load if self.old == 0 => Side::New,
             Step::Trial if draw < TRIAL_SHARE * weight => Side::Tried,
             Step::Load if draw < self.canaries.load() => Side::Tried,
@@ -60,8 +61,9 @@
         }
     }
 
-    /// The step that holds now. A load step that nobody ended in time has found what it
-    /// could: it lasts while the host is away, and must not cost more calls than a trial.
+    /// The step in effect at `now`. A load step that is still open at the deadline has found what
+    /// it could. It stays open while the store is unreachable, and must not cost more calls than a
+    /// trial.
     fn step_at(&self, now: UnixTime) -> Step {
         match self.step {
             Step::Load if now > self.due => Step::Trial,
@@ -69,8 +71,8 @@
         }
     }
 
-    /// Whether the daemon beside a target may have it run a call now. Entries that have
-    /// heard less than this one send calls that would harm.
+    /// Returns whether an executor may run a call on its target. It protects against entries that
+    /// do not know the present step yet.
     #[must_use]
     pub fn admits(&self, software: &str, upstream: &str) -> bool {
         let is_new = software == self.target;
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,25 +1,24 @@
-//! Roll-outs: a service is moved to another version of its targets in steps, while
-//! it serves, and the move is completed or rolled back.
+//! Roll-outs: a service is moved to another version of its targets in steps while it serves, and
+//! the move is completed or rolled back.
 //!
-//! An operator orders it: this service, that version, by then. Targets of the new
-//! version join beside the old ones. From then on the service has two [`Side`]s, and
-//! every daemon decides by the newest [`Progress`] that it heard of:
+//! An operator orders it by service, version and time. Targets of the new version join beside the
+//! old ones. From then on the service has two [`Side`]s, and every daemon decides by the newest
+//! [`Progress`] that it knows:
 //!
 //! * *Entries* send calls to one side or the other, see [`Lane`].
-//! * *Executors* beside targets of the new side refuse, unrun, what the step does not
-//!   allow, so that an entry that has not heard of a step can do no harm.
-//! * The daemons beside the few targets that are tried, the [`Canaries`], see every
-//!   answer of theirs. They compare those with what a few daemons of the old side saw
-//!   ([`judge`]), and take the next step when it is due ([`Plan`]).
+//! * *Executors* of targets of the new side refuse, without running it, any call that the step does
+//!   not allow, so that an entry that does not know the present step does no harm.
+//! * The daemons of the [`Canaries`], the few targets that are tried first, see every answer of
+//!   their targets. They compare those with what a few daemons of the old side saw ([`judge`]), and
+//!   take the next step when it is due ([`Plan`]).
 //!
-//! A version that is bad may get but a part of the service's calls between order and
-//! deadline. [`Plan`] spends that part: a trickle for most of the time, a few targets
-//! at full load, and everything only in the last moments. So the bound holds even
-//! where badness shows at the very end.
+//! A bad version may get only a limited part of the service's calls between order and deadline.
+//! [`Plan`] spends that part: a small share of the calls for most of the time, then full load on a
+//! few targets, and all calls only shortly before the deadline. So the limit holds even if the
+//! version turns bad at the very end.
 //!
-//! Nothing here opens a socket or reads a clock. What ends a roll-out is settled by
-//! one conditional write, which is the business of whoever uses this crate. See
-//! `docs/concepts/rollouts.md`.
+//! This crate opens no socket and reads no clock. The end of a roll-out is fixed by one conditional
+//! write, which is up to the user of this crate. See `docs/concepts/rollouts.md`.
 
 mod book;
 mod canaries;
--- a/crates/rollout/src/mix.rs
+++ b/crates/rollout/src/mix.rs
@@ -1,26 +1,25 @@
-//! How a service's calls divide among its routes, as one entry sees them.
+//! The share of each route in a service's calls, as one entry sees it.
 
 use std::collections::BTreeMap;
 
 use smol_str::SmolStr;
 
-/// Routes that are told apart. A service has a few; calls of others are tried like those
-/// of the mean route.
-const MOST_ROUTES: usize = 64;
+/// Maximum number of routes that are counted separately. A service has a few; calls of other routes
+/// are tried as often as those of the average route.
+const MAX_ROUTES: usize = 64;
 
-/// Calls before which nothing is known of the mix.
-const LEAST_CALLS: u32 = 20;
+/// Minimum number of calls before routes are weighted.
+const MIN_CALLS: u32 = 20;
 
-/// How much more of a rare route's calls are tried than of the mean one's. It bounds what
-/// the callers of one route take on.
-const MOST_WEIGHT: f64 = 6.0;
+/// Maximum weight of a rare route. It limits how many of one route's callers a bad version affects.
+const MAX_WEIGHT: f64 = 6.0;
 
-/// Calls of a service by route, since its roll-out began.
+/// The calls of a service by route since its roll-out began.
 ///
-/// A trickle of all calls hardly brings any of a rare route, and a version that is bad on
-/// that route alone is found late: of 1,000 simulated ones, on a route with a tenth of the
-/// calls, two were not found before the deadline. With the same number of calls of each
-/// route all are, and the number of calls tried is the same.
+/// An equal share of all calls would hardly try any of a rare route, and a version that is bad on
+/// that route alone would be found late: of 1,000 simulated versions that are bad on a route with a
+/// tenth of the calls, two were not found before the deadline. With equally many calls of each
+/// route all of them are found, and the total number of calls tried is the same.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Mix {
     calls: BTreeMap<SmolStr, u32>,
@@ -28,11 +27,11 @@
 }
 
 impl Mix {
-    /// A call came in. Gives the factor by which calls of its route are tried more often
-    /// than the service's calls on the whole.
+    /// Counts a call and returns the weight of its route: how many times as often its calls are
+    /// tried as the service's calls on average.
     pub fn take(&mut self, route: &SmolStr) -> f64 {
         let is_known = self.calls.contains_key(route);
-        if !is_known && self.calls.len() >= MOST_ROUTES {
+        if !is_known && self.calls.len() >= MAX_ROUTES {
             return 1.0;
         }
         self.all = self.all.saturating_add(1);
@@ -41,10 +40,10 @@
         self.weight(route)
     }
 
-    /// That factor.
+    /// Returns the weight of a route.
     #[must_use]
     pub fn weight(&self, route: &str) -> f64 {
-        if self.all < LEAST_CALLS {
+        if self.all < MIN_CALLS {
             return 1.0;
         }
         let Some(calls) = self.calls.get(route) else {
@@ -52,6 +51,6 @@
         };
         let routes = u32::try_from(self.calls.len()).unwrap_or(u32::MAX);
         let mean = f64::from(self.all) / f64::from(routes);
-        (mean / f64::from((*calls).max(1))).min(MOST_WEIGHT)
+        (mean / f64::from((*calls).max(1))).min(MAX_WEIGHT)
     }
 }
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -1,26 +1,26 @@
-//! What an operator orders.
+//! The order of an operator to roll out a version.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Version of a target's software. Any text: which of two is the newer one follows
-/// from the order alone.
+/// Version of a target's software. It may be any text: only the order says which of two versions is
+/// the newer one.
 pub type Software = SmolStr;
 
-/// Orders are numbered as their keeper wrote them; a later one has a higher number.
+/// Number of an order, assigned by the store when it is written; a later order has a higher one.
 pub type OrderId = u64;
 
-/// A service is to be moved to another version.
+/// An order to move a service to another version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Order {
-    /// Tells it from earlier orders for the service.
+    /// Distinguishes the order from earlier ones for the service.
     pub id: OrderId,
     /// The service.
     pub service: SmolStr,
-    /// The version that all of its calls are to go to in the end.
+    /// The version to which all of the service's calls are moved.
     pub target: Software,
-    /// Time given for it.
+    /// The time from the order to its deadline.
     pub lasts: Duration,
 }
--- a/crates/rollout/src/progress.rs
+++ b/crates/rollout/src/progress.rs
@@ -1,4 +1,4 @@
-//! How far a roll-out has come.
+//! The progress of a roll-out.
 
 use std::time::Duration;
 
@@ -6,46 +6,46 @@
 
 use crate::order::Order;
 
-/// Time since the Unix epoch. Whoever takes over a roll-out has only that in common
-/// with whoever began it.
+/// Time since the Unix epoch. The daemons that take part in a roll-out have no other clock in
+/// common.
 pub type UnixTime = Duration;
 
-/// Steps of a roll-out. A later variant overrules an earlier one of the same order,
-/// so that words that cross each other lead every daemon to the same end.
+/// The steps of a roll-out. A later variant supersedes an earlier one of the same order, so that
+/// all daemons reach the same end in whatever order they receive updates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Step {
-    /// Nobody has begun, or this daemon does not know. The new side gets no calls.
+    /// No daemon has begun, as far as this one knows. The new side gets no calls.
     #[serde(rename = "o")]
     Ordered,
-    /// A trickle goes to a few targets of the new side.
+    /// A small share of the calls goes to the canaries, a few targets of the new side.
     #[serde(rename = "t")]
     Trial,
-    /// The same few targets are as occupied as those of the old side.
+    /// The canaries get enough calls to be as occupied as the targets of the old side.
     #[serde(rename = "l")]
     Load,
-    /// All calls go to the new side, and the old one runs empty.
+    /// All calls go to the new side, and the old one finishes its calls.
     #[serde(rename = "a")]
     All,
-    /// The new version is bad, or the order was withdrawn: it gets no more calls. This
-    /// is not settled yet, and a completion that was settled first stands.
+    /// The new version is bad, or the order was withdrawn: it gets no more calls. This is not
+    /// stored yet, and a completion that was stored first takes precedence.
     #[serde(rename = "h")]
     Halted,
-    /// Settled: the service has moved. The old side ends at once.
+    /// Stored: the service has moved. The old side's targets exit at once.
     #[serde(rename = "c")]
     Completed,
-    /// Settled: the service stays where it was.
+    /// Stored: the service stays at the old version.
     #[serde(rename = "r")]
     RolledBack,
 }
 
 impl Step {
-    /// Whether this is the end.
+    /// Returns whether the roll-out has ended.
     #[must_use]
     pub fn is_final(self) -> bool {
         matches!(self, Self::Completed | Self::RolledBack)
     }
 
-    /// Its name in logs.
+    /// Returns the name that is written to logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -60,19 +60,19 @@
     }
 }
 
-/// What daemons tell each other of a roll-out.
+/// The state of a roll-out, as daemons send it to each other.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Progress {
-    /// What was ordered.
+    /// The order.
     pub order: Order,
-    /// How far it has come.
+    /// The present step.
     pub step: Step,
-    /// When it has to be over.
+    /// The deadline.
     pub due: UnixTime,
 }
 
 impl Progress {
-    /// An order that was just heard of, `age` after it was given.
+    /// Builds the progress of an order that was received `age` after it was given.
     #[must_use]
     pub fn ordered(order: Order, age: Duration, now: UnixTime) -> Self {
         let due = (now + order.lasts).saturating_sub(age);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The same roll-out at another step.
+    /// Returns the progress of the same roll-out at another step.
     #[must_use]
     pub fn at(&self, step: Step) -> Self {
         Self {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether this says more than `other` about the same service.
+    /// Returns whether this progress is newer than `other`, which is of the same service.
     #[must_use]
     pub fn overrules(&self, other: &Self) -> bool {
         (self.order.id, self.step) > (other.order.id, other.step)
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -1,4 +1,4 @@
-//! What the daemon beside a target has seen of its answers.
+//! Counts of a target's answers, kept by its daemon.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,48 +11,48 @@
 /// Time since the process started.
 type Time = Duration;
 
-/// Classes of run times; each reaches half as far again as the one before it, so that
-/// the longest is some 50 s.
+/// Number of run-time classes. Each reaches half as far again as the one before it, so the longest
+/// is some 50 s.
 const CLASSES: usize = 24;
 
-/// Upper end of the shortest class.
-const SHORTEST: Duration = Duration::from_millis(5);
+/// Upper bound of the shortest class.
+const FIRST_BOUND: Duration = Duration::from_millis(5);
 
-/// How much longer each class reaches.
-const RATIO: f64 = 1.5;
+/// Ratio of the upper bounds of neighbouring classes.
+const CLASS_RATIO: f64 = 1.5;
 
-/// Spans of recent time that are kept apart, and the length of each. Badness that comes
-/// late shows in them before it does in the sums since the order.
-const SPANS: usize = 3;
+/// Number of recent spans that are counted separately, and the length of each. A regression that
+/// begins late shows in them before it does in the counts since the order.
+const RECENT_SPANS: usize = 3;
 const SPAN: Duration = Duration::from_secs(1);
 
-/// Routes that are told apart. A target serves a few.
+/// Maximum number of routes that are counted. A target serves a few.
 const MAX_ROUTES: usize = 32;
 
-/// Answers of a target, added up.
+/// Counts of a target's runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sums {
-    /// Runs that ended, well or not.
+    /// Number of runs that ended, whether or not they failed.
     pub runs: u32,
-    /// Those that ended with a failure.
+    /// Number of runs that ended with a failure.
     pub failures: u32,
-    /// How many took how long, by class; classes after the last one are empty.
+    /// Number of runs in each run-time class; classes after the last element are empty.
     pub times: Vec<u32>,
 }
 
 impl Sums {
-    /// A run ended.
-    pub fn record(&mut self, is_failure: bool, took: Duration) {
+    /// Counts a run that ended.
+    pub fn record(&mut self, is_failure: bool, run_time: Duration) {
         self.runs += 1;
         self.failures += u32::from(is_failure);
-        let class = class_of(took);
+        let class = class_of(run_time);
         if self.times.len() <= class {
             self.times.resize(class + 1, 0);
         }
         self.times[class] += 1;
     }
 
-    /// Adds the sums of another target, or of another span.
+    /// Adds the counts of another target or span.
     pub fn add(&mut self, other: &Self) {
         self.runs = self.runs.saturating_add(other.runs);
         self.failures = self.failures.saturating_add(other.failures);
@@ -65,13 +65,13 @@
         }
     }
 
-    /// Runs that took longer than those of this class.
+    /// Returns the number of runs in classes above this one.
     #[must_use]
     pub fn slower_than(&self, class: usize) -> u32 {
         self.times.iter().skip(class + 1).sum()
     }
 
-    /// The class of the middle run; `None` without runs.
+    /// Returns the class of the median run; `None` without runs.
     #[must_use]
     pub fn middle(&self) -> Option<usize> {
         let all: u32 = self.times.iter().sum();
@@ -84,33 +84,33 @@
     }
 }
 
-fn class_of(took: Duration) -> usize {
-    let mut reach = SHORTEST;
+fn class_of(run_time: Duration) -> usize {
+    let mut bound = FIRST_BOUND;
     let mut class = 0;
-    while took > reach && class + 1 < CLASSES {
-        reach = reach.mul_f64(RATIO);
+    while run_time > bound && class + 1 < CLASSES {
+        bound = bound.mul_f64(CLASS_RATIO);
         class += 1;
     }
     class
 }
 
-/// One route's part of the evidence.
+/// The evidence of one route.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteEvidence {
     /// The route.
     pub route: SmolStr,
-    /// Since the order was heard of.
+    /// Counts since the order was received.
     pub whole: Sums,
-    /// In the last seconds.
+    /// Counts of the last seconds.
     pub recent: Sums,
 }
 
-/// What one daemon has seen of its target since an order.
+/// What one daemon has counted of its target's runs since an order.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Evidence {
-    /// By route.
+    /// One entry for each route.
     pub routes: Vec<RouteEvidence>,
-    /// Calls that run or wait at this moment.
+    /// Number of calls that run or wait at this moment.
     pub occupied: u32,
 }
 
@@ -120,7 +120,7 @@
     spans: VecDeque<(u64, Sums)>,
 }
 
-/// Adds up what a target answers, by route, since the newest order for its service.
+/// Counts a target's runs by route since the newest order for its service.
 #[derive(Clone, Debug, Default)]
 pub struct Tally {
     order: OrderId,
@@ -128,7 +128,7 @@
 }
 
 impl Tally {
-    /// Begins anew where the order is another one.
+    /// Clears the counts if the order is another one.
     pub fn begin(&mut self, order: OrderId) {
         if self.order != order {
             self.order = order;
@@ -136,29 +136,29 @@
         }
     }
 
-    /// A run ended.
-    pub fn record(&mut self, route: &SmolStr, is_failure: bool, took: Duration, now: Time) {
+    /// Counts a run that ended.
+    pub fn record(&mut self, route: &SmolStr, is_failure: bool, run_time: Duration, now: Time) {
         if self.routes.len() >= MAX_ROUTES && !self.routes.contains_key(route) {
             return;
         }
         let tally = self.routes.entry(route.clone()).or_default();
-        tally.whole.record(is_failure, took);
+        tally.whole.record(is_failure, run_time);
         let span = span_of(now);
         if tally.spans.back().is_none_or(|(at, _)| *at != span) {
             tally.spans.push_back((span, Sums::default()));
         }
-        if tally.spans.len() > SPANS {
+        if tally.spans.len() > RECENT_SPANS {
             tally.spans.pop_front();
         }
         if let Some((_, sums)) = tally.spans.back_mut() {
-            sums.record(is_failure, took);
+            sums.record(is_failure, run_time);
         }
     }
 
-    /// What was seen, with the calls that run or wait now.
+    /// Returns the counts, with the number of calls that run or wait now.
     #[must_use]
     pub fn evidence(&self, occupied: u32, now: Time) -> Evidence {
-        let from = span_of(now).saturating_sub(SPANS as u64 - 1);
+        let from = span_of(now).saturating_sub(RECENT_SPANS as u64 - 1);
         let routes = self.routes.iter().map(|(route, tally)| {
             let mut recent = Sums::default();
             for (_, sums) in tally.spans.iter().filter(|(at, _)| *at >= from) {
