--- a/crates/distribution/src/cold_start.rs
+++ b/crates/distribution/src/cold_start.rs
@@ -1,4 +1,4 @@
-//! How a daemon that holds nothing gets its first configuration.
+//! How a daemon without a configuration gets its first one.
 
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -8,50 +8,50 @@
 
 use crate::jitter::{backoff, full_jitter};
 
-/// Longest wait before the first read of the platform. A zone of 76 that
-/// restarts at once stays under 100 reads a second by it.
+/// Upper bound of the random delay before the first read of the platform. With it, a zone of 76
+/// daemons that restart at once stays under 100 reads a second.
 const START_SPREAD: Time = Time::from_millis(1200);
 
-/// Tries at own-zone peers, and as many at those of other zones, before the
+/// Number of attempts with peers of the own zone, and again with those of other zones, before the
 /// platform's snapshot is read.
 const PEER_TRIES: u32 = 3;
 
-/// Daemons a second that may read the snapshot when a whole fleet starts.
+/// Snapshot reads a second that a fleet may make when all of it starts at once.
 const SNAPSHOTS_PER_S: f64 = 50.0;
 
-/// Shortest bound of the wait before the snapshot is read.
+/// Minimum upper bound of the random delay before the snapshot is read.
 const MIN_SNAPSHOT_SPREAD: Time = Time::from_millis(500);
 
 const FIRST_BACKOFF: Time = Time::from_secs(2);
 const MAX_BACKOFF: Time = Time::from_secs(8);
 
-/// Wait between two peers that had nothing.
-const PEER_PAUSE: Time = Time::from_millis(100);
+/// Upper bound of the random delay between two peers that had nothing newer.
+const PEER_DELAY: Time = Time::from_millis(100);
 
-/// Time within which someone from the roster should have answered.
-const MEET_WAIT: Time = Time::from_secs(1);
+/// Time within which some instance of the roster should have answered.
+const CONTACT_TIMEOUT: Time = Time::from_secs(1);
 
-/// What to do next.
+/// What a starting daemon does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
     /// Read the platform's head and announcement rows in one read.
     ReadRoster {
-        /// Read all rows, and not only a few neighbours': those that were read
-        /// first are all of instances that are gone.
+        /// Whether to read all rows instead of a few neighbours', because the instances of the rows
+        /// that were read first are all gone.
         wide: bool,
     },
-    /// Ask this peer for its whole state.
+    /// Request the whole state from this peer.
     PullPeer(MemberKey),
     /// Read the platform's snapshot and the log after it.
     PullPlatform,
 }
 
-/// Where the daemon stands at a tick.
+/// The state of the daemon at a tick of [`ColdStart`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Standing<'a> {
-    /// The version that it holds.
+    /// The version that the daemon holds.
     pub held: Version,
-    /// Whether it has learned enough to serve; see [`crate::Serving`].
+    /// Whether the daemon knows enough to serve; see [`crate::Serving`].
     pub may_serve: bool,
     /// Peers of the own zone that answered.
     pub near: &'a [MemberKey],
@@ -67,13 +67,12 @@
     Done,
 }
 
-/// Leads a starting daemon from nothing to the newest version.
+/// Brings a starting daemon from nothing to the newest version.
 ///
-/// Its one early read of the platform tells it the head and a few neighbours;
-/// whom they know, it learns from them. The configuration comes from peers, so
-/// that a zone of 76 that restarts costs the platform at most 76 small reads
-/// and, in the usual case, no snapshot. Where the platform does not answer, peers
-/// that know this daemon find it, and it does without the read.
+/// A single early read of the platform returns the head and a few neighbours; the daemon learns of
+/// other members from these. The configuration comes from peers, so that a zone of 76 daemons that
+/// restarts costs the platform at most 76 small reads and usually no snapshot. If the platform does
+/// not answer, peers that know this daemon contact it, and it starts without the read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ColdStart {
     rng: Xoshiro256PlusPlus,
@@ -85,12 +84,12 @@
     head: Version,
     has_read: bool,
     has_read_wide: bool,
-    meet_until: Time,
+    contact_deadline: Time,
     candidates: usize,
 }
 
 impl ColdStart {
-    /// A machine for a daemon that starts at `now`.
+    /// Creates the state machine of a daemon that starts at `now`.
     #[must_use]
     pub fn new(now: Time, seed: u64) -> Self {
         let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
@@ -105,26 +104,26 @@
             head: 0,
             has_read: false,
             has_read_wide: false,
-            meet_until: Time::ZERO,
+            contact_deadline: Time::ZERO,
             candidates: 0,
         }
     }
 
-    /// Whether the daemon holds what it started to look for.
+    /// Returns whether the cold start has ended.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.phase == Phase::Done
     }
 
-    /// Whether the platform answered once since the start.
+    /// Returns whether the platform has answered since the start.
     #[must_use]
     pub fn has_read_roster(&self) -> bool {
         self.has_read
     }
 
-    /// The next step, if one is due.
+    /// Returns the next step, if one is due.
     pub fn tick(&mut self, now: Time, standing: Standing<'_>) -> Option<Step> {
-        if self.has_all(standing) {
+        if self.is_complete(standing) {
             self.phase = Phase::Done;
         }
         if self.under_way || now < self.next {
@@ -142,19 +141,19 @@
         Some(step)
     }
 
-    fn has_all(&self, standing: Standing<'_>) -> bool {
-        let knows_someone = !standing.near.is_empty() || !standing.far.is_empty();
+    fn is_complete(&self, standing: Standing<'_>) -> bool {
+        let knows_peer = !standing.near.is_empty() || !standing.far.is_empty();
         if self.phase == Phase::Roster {
-            return knows_someone && standing.held > 0 && standing.may_serve;
+            return knows_peer && standing.held > 0 && standing.may_serve;
         }
         let is_alone = self.candidates == 0;
-        standing.held >= self.head && (knows_someone || is_alone)
+        standing.held >= self.head && (knows_peer || is_alone)
     }
 
     fn choose_peer(&mut self, now: Time, standing: Standing<'_>) -> Option<Step> {
         let Standing { near, far, .. } = standing;
         if near.is_empty() && far.is_empty() {
-            return self.meet_someone(now);
+            return self.await_contact(now);
         }
         let own_first = self.tries < PEER_TRIES && !near.is_empty();
         let from = if own_first || far.is_empty() {
@@ -164,17 +163,17 @@
         };
         self.tries += 1;
         if self.tries > 2 * PEER_TRIES {
-            self.turn_to_platform(now, near.len() + far.len() + 1);
+            self.schedule_snapshot(now, near.len() + far.len() + 1);
             return None;
         }
         from.choose(&mut self.rng).copied().map(Step::PullPeer)
     }
 
-    /// Nobody has answered yet. Neighbours' rows outlive a crash, and where all
-    /// that were read are of the dead, a daemon that read no further would
-    /// stay alone for ever.
-    fn meet_someone(&mut self, now: Time) -> Option<Step> {
-        if self.candidates > 0 && now < self.meet_until {
+    /// Handles the time in which no peer has answered. The rows of neighbours outlive a crash. If
+    /// all rows that were read are of crashed instances, a daemon that read no more rows would stay
+    /// alone for ever.
+    fn await_contact(&mut self, now: Time) -> Option<Step> {
+        if self.candidates > 0 && now < self.contact_deadline {
             return None;
         }
         if self.candidates > 0 && !self.has_read_wide {
@@ -182,13 +181,13 @@
             return Some(Step::ReadRoster { wide: true });
         }
         self.candidates = 0;
-        self.turn_to_platform(now, 1);
+        self.schedule_snapshot(now, 1);
         None
     }
 
-    /// Waits so that a fleet which starts as a whole reads its first few
-    /// snapshots and passes them on, while the others still wait.
-    fn turn_to_platform(&mut self, now: Time, fleet: usize) {
+    /// Turns to the platform after a random delay, so that a fleet that starts as a whole reads
+    /// only a few snapshots and passes them on while the other daemons still wait.
+    fn schedule_snapshot(&mut self, now: Time, fleet: usize) {
         self.phase = Phase::Platform;
         let fleet = u32::try_from(fleet).unwrap_or(u32::MAX);
         let bound = Time::from_secs_f64(f64::from(fleet) / SNAPSHOTS_PER_S);
@@ -196,26 +195,26 @@
         self.next = now + full_jitter(&mut self.rng, bound);
     }
 
-    /// The roster was read: `head` is the newest version, and `candidates` others
-    /// announced themselves.
+    /// Records that the roster was read: `head` is the newest version, and `candidates` other
+    /// instances have announcement rows.
     pub fn roster_read(&mut self, now: Time, head: Version, candidates: usize) {
         self.under_way = false;
         self.has_read = true;
         self.candidates = candidates;
-        self.meet_until = now + MEET_WAIT;
+        self.contact_deadline = now + CONTACT_TIMEOUT;
         self.failures = 0;
         self.head = head;
         self.phase = Phase::Peers;
         self.next = now;
     }
 
-    /// The platform did not answer. Peers may still find this daemon, and then
-    /// what they hold is pulled without it.
+    /// Records that the platform did not answer. Peers may still contact this daemon, and then it
+    /// pulls the configuration from them without the read.
     pub fn roster_failed(&mut self, now: Time) {
         self.fail(now);
     }
 
-    /// A pull ended.
+    /// Records the end of a pull.
     pub fn pulled(&mut self, now: Time, held: Version) {
         if held >= self.head {
             self.under_way = false;
@@ -226,7 +225,7 @@
             self.fail(now);
         } else {
             self.under_way = false;
-            self.next = now + full_jitter(&mut self.rng, PEER_PAUSE);
+            self.next = now + full_jitter(&mut self.rng, PEER_DELAY);
         }
     }
 
--- a/crates/distribution/src/collect.rs
+++ b/crates/distribution/src/collect.rs
@@ -1,4 +1,4 @@
-//! Where each version holds, gathered up the same trees.
+//! The versions that the fleet's instances hold, aggregated up the trees that spread changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,33 +6,33 @@
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::Version;
 
-/// Longest reason that is carried.
+/// Maximum length of a refusal's reason.
 const MAX_REASON: usize = 256;
 
-/// One instance that serves by a version.
+/// An instance that serves by a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Hold {
     /// The instance.
     pub member: MemberKey,
-    /// Since when, in milliseconds since the Unix epoch by its own clock.
+    /// The start of the service, in milliseconds since the Unix epoch by the instance's clock.
     pub since_unix_ms: u64,
 }
 
-/// A version that an instance refused.
+/// A version that one or more instances refused for the same reason.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Refusal {
     /// The version.
     pub version: Version,
-    /// Why.
+    /// The reason of the refusal.
     pub reason: String,
-    /// Who refused it.
+    /// The instances that refused the version.
     pub members: BTreeSet<MemberKey>,
 }
 
-/// What one daemon, or all daemons below it in a tree, hold.
+/// The versions held by one daemon, or by all daemons below it in a tree.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
-    /// For each version, who serves by it.
+    /// The instances that serve by each version.
     pub holds: BTreeMap<Version, Vec<Hold>>,
     /// Refused versions.
     pub refusals: Vec<Refusal>,
@@ -41,7 +41,7 @@
 }
 
 impl Holdings {
-    /// Holdings of one daemon.
+    /// Builds the holdings of one daemon.
     #[must_use]
     pub fn of_one(version: Version, hold: Hold) -> Self {
         Self {
@@ -61,13 +61,13 @@
         });
     }
 
-    /// Notes that a member did not answer.
+    /// Records that a member did not answer.
     pub fn note_silent(&mut self, member: MemberKey) {
         self.silent.insert(member);
     }
 
-    /// Takes in the holdings of another part of the fleet. Views differ a
-    /// little, so a member may be reported twice; its newest report counts.
+    /// Merges the holdings of another part of the fleet. Membership views differ a little, so a
+    /// member may be reported twice; the report with the newest version counts.
     pub fn merge(&mut self, other: Self) {
         for (version, holds) in other.holds {
             for hold in holds {
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Everyone who reported.
+    /// Iterates over all members that reported a version.
     pub fn heard(&self) -> impl Iterator<Item = MemberKey> {
         self.holds.values().flatten().map(|hold| hold.member)
     }
--- a/crates/distribution/src/contact.rs
+++ b/crates/distribution/src/contact.rs
@@ -1,73 +1,72 @@
-//! Which daemons of the own zone can't tell this one of versions, from the questions of those
-//! that learn of versions from them.
+//! Members of the own zone that cannot report new versions, as seen by the daemons that ask them.
 //!
-//! Membership takes seconds to say that a daemon is gone, since a wrong word about it
-//! would reach everyone. A version has to be in force sooner than that. What a daemon
-//! finds here concerns nobody else: it only takes others for the ones that follow the
-//! platform, or asks the platform for itself.
+//! Membership takes seconds to declare a daemon failed, since a false report would reach the whole
+//! fleet. A new version has to be in force sooner than that. The findings here stay local: the
+//! daemon only chooses other members as the ones that follow the platform, or asks the platform
+//! itself.
 
 use std::collections::BTreeMap;
 
 use stoatstep_membership::{MemberKey, Time};
 
-/// Time for which a member is passed over. By then membership has found out whether one that
-/// did not answer is gone, and one that the platform did not answer asks it again.
-const PASSED_OVER: Time = Time::from_secs(5);
+/// Time for which a member is excluded. Within it, membership finds out whether a member that did
+/// not answer has failed, and a member that got no answer from the platform asks it again.
+const EXCLUDED_FOR: Time = Time::from_secs(5);
 
-/// Why a member can't tell of versions.
+/// Why a member cannot report new versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Loss {
-    /// It does not answer.
+enum Fault {
+    /// The member does not answer.
     Silent,
-    /// It answers, and the platform does not answer it.
-    Platform,
+    /// The member answers, but the platform does not answer the member.
+    NoPlatform,
 }
 
-/// Members that can't tell of versions, this daemon itself among them.
+/// The members that cannot report new versions; this daemon may be one of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Contact {
-    losses: BTreeMap<MemberKey, (Loss, Time)>,
+    faults: BTreeMap<MemberKey, (Fault, Time)>,
     turn: usize,
 }
 
 impl Contact {
-    /// This member did not answer.
+    /// Records that this member did not answer.
     pub fn missed(&mut self, member: MemberKey, now: Time) {
-        self.lose(member, Loss::Silent, now);
+        self.record(member, Fault::Silent, now);
     }
 
-    /// The platform did not answer this member.
+    /// Records that the platform did not answer this member.
     pub fn lost_platform(&mut self, member: MemberKey, now: Time) {
-        self.lose(member, Loss::Platform, now);
+        self.record(member, Fault::NoPlatform, now);
     }
 
-    /// This member follows the platform, which answers it.
+    /// Records that this member follows the platform and gets answers from it.
     pub fn regained(&mut self, member: MemberKey) {
-        self.losses.remove(&member);
+        self.faults.remove(&member);
     }
 
-    /// Whether this member did not answer lately.
+    /// Returns whether this member recently did not answer.
     #[must_use]
     pub fn is_silent(&self, member: MemberKey, now: Time) -> bool {
-        self.loss(member, now) == Some(Loss::Silent)
+        self.fault_of(member, now) == Some(Fault::Silent)
     }
 
-    /// Whether the platform did not answer this member lately.
+    /// Returns whether the platform recently did not answer this member.
     #[must_use]
     pub fn has_lost_platform(&self, member: MemberKey, now: Time) -> bool {
-        self.loss(member, now) == Some(Loss::Platform)
+        self.fault_of(member, now) == Some(Fault::NoPlatform)
     }
 
-    /// Whether anybody did not answer lately.
+    /// Returns whether any member recently did not answer.
     #[must_use]
     pub fn misses_any(&self, now: Time) -> bool {
-        let mut members = self.losses.keys();
+        let mut members = self.faults.keys();
         members.any(|it| self.is_silent(*it, now))
     }
 
-    /// Of these members of a zone, those from among whom the ones are chosen that follow the
-    /// platform for it. Where it answers none of those that answer, that is any of them: they
-    /// go on asking it, and the others don't join them.
+    /// Returns the members of a zone among which those that follow the platform are chosen. If the
+    /// platform answers none of the members that answer, these are all eligible: the ones that ask
+    /// it go on, and the others do not join them.
     #[must_use]
     pub fn eligible(&self, zone: &[MemberKey], now: Time) -> Vec<MemberKey> {
         let answering = zone.iter().filter(|it| !self.is_silent(**it, now));
@@ -79,8 +78,8 @@
         if able.is_empty() { answering } else { able }
     }
 
-    /// These in the order in which they are asked. Each time another one is the first, so
-    /// that all of them are asked as often.
+    /// Returns the followers in the order in which they are asked. Each call starts with another
+    /// one, so that all of them are asked equally often.
     pub fn in_turn<T>(&mut self, mut followers: Vec<T>) -> Vec<T> {
         self.turn = self.turn.wrapping_add(1);
         if let Some(first) = self.turn.checked_rem(followers.len()) {
@@ -89,13 +88,13 @@
         followers
     }
 
-    fn lose(&mut self, member: MemberKey, loss: Loss, now: Time) {
-        self.losses.retain(|_, (_, until)| *until > now);
-        self.losses.insert(member, (loss, now + PASSED_OVER));
+    fn record(&mut self, member: MemberKey, fault: Fault, now: Time) {
+        self.faults.retain(|_, (_, until)| *until > now);
+        self.faults.insert(member, (fault, now + EXCLUDED_FOR));
     }
 
-    fn loss(&self, member: MemberKey, now: Time) -> Option<Loss> {
-        let (loss, until) = self.losses.get(&member)?;
-        (*until > now).then_some(*loss)
+    fn fault_of(&self, member: MemberKey, now: Time) -> Option<Fault> {
+        let (fault, until) = self.faults.get(&member)?;
+        (*until > now).then_some(*fault)
     }
 }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,16 +1,15 @@
-//! How configuration reaches every daemon and stays there.
+//! Distribution of the configuration to all daemons.
 //!
-//! The platform orders versions; everything after that is done by the daemons
-//! themselves. A change goes down a hash-chosen [`Tree`] once to each daemon
-//! ([`Spread`]); what a lost push or a cut left behind shows in the marks that
-//! peers exchange and is pulled from one of them ([`Repair`]). Two daemons a
-//! zone ask the platform for its head ([`Poller`]), and a daemon that starts
-//! asks the platform once and its peers for the rest ([`ColdStart`]). What
-//! arrives goes through one gate, the [`Replica`], which never goes back and
-//! never takes a version in part.
+//! The platform assigns versions; the daemons distribute them among themselves. A change is pushed
+//! once to each daemon along a hash-chosen [`Tree`] ([`Spread`]). A daemon that missed a push sees
+//! in the version and digest that peers exchange that it is behind, and pulls from one of them
+//! ([`Repair`]). Two daemons in each zone poll the platform for its head ([`Poller`]), and a daemon
+//! that starts asks the platform once and its peers for the rest ([`ColdStart`]). Every version
+//! passes the checks of the [`Replica`], which never goes back to an older version and never
+//! applies one in part.
 //!
-//! All of it is pure: time and randomness come in, typed requests go out. See
-//! `docs/design/spreading.md`.
+//! All of it is deterministic and does no input or output: time and randomness are passed in, and
+//! typed requests are returned. See `docs/design/spreading.md`.
 
 mod cold_start;
 mod collect;
@@ -41,12 +40,12 @@
 pub use tree::{Tree, View, first_of, rendezvous, seed_of};
 pub use wire::{CollectReply, CollectRequest, LogReply, LogRequest, LogTail, PushRequest};
 
-/// Which version a daemon holds, as peers tell each other.
+/// Version and digest of the configuration that a daemon holds, as peers exchange them.
 pub use stoatstep_membership::Mark;
 
 use stoatstep_resource::{Digest, State};
 
-/// The mark of a state.
+/// Returns the version and shortened digest of a state.
 #[must_use]
 pub fn mark_of(state: &State) -> Mark {
     Mark {
@@ -55,8 +54,8 @@
     }
 }
 
-/// The part of a digest that peers exchange each second. Eight bytes tell two
-/// states of one version apart; the whole digest is checked on apply.
+/// Returns the part of a digest that peers exchange each second. Eight bytes are enough to tell two
+/// states of one version apart; the whole digest is checked when a version is applied.
 #[must_use]
 pub fn short_digest(digest: &Digest) -> u64 {
     let mut bytes = [0; 8];
--- a/crates/distribution/src/quarantine.rs
+++ b/crates/distribution/src/quarantine.rs
@@ -1,12 +1,12 @@
-//! Versions that arrived and were refused.
+//! Versions that were received and refused.
 
 use std::fmt;
 
 use stoatstep_membership::Time;
 use stoatstep_resource::{ApplyError, Digest, Version};
 
-/// Refused versions that are remembered. More than a few at a time means that
-/// something is wrong with this daemon, and the newest say what.
+/// Maximum number of refused versions that are kept. More than a few at a time mean that something
+/// is wrong with this daemon, and the newest ones show what.
 const MAX_QUARANTINED: usize = 16;
 
 /// Why a version was refused.
@@ -14,18 +14,18 @@
 pub enum Reason {
     /// It could not be applied.
     Apply(ApplyError),
-    /// The platform states another digest for this version.
+    /// The platform's digest of this version differs.
     NotTheHead {
-        /// The digest that the platform states.
+        /// The platform's digest.
         expected: Digest,
-        /// The digest of what was offered.
+        /// The digest of the version that was offered.
         found: Digest,
     },
     /// A peer holds the same version with another digest.
     Forked {
-        /// Digest held here, shortened.
+        /// The digest held here, shortened.
         held: u64,
-        /// Digest that the peer holds, shortened.
+        /// The peer's digest, shortened.
         theirs: u64,
     },
 }
@@ -52,38 +52,38 @@
 pub struct Quarantined {
     /// The version.
     pub version: Version,
-    /// Its digest, as far as it was stated.
+    /// The digest of the version, if it is known.
     pub digest: Option<Digest>,
-    /// Why it was refused.
+    /// The reason of the refusal.
     pub reason: Reason,
-    /// When it was first refused.
+    /// The time of the first refusal.
     pub since: Time,
 }
 
-/// All refused versions that nothing newer has replaced.
+/// The refused versions that no newer version has replaced.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Quarantine {
-    rows: Vec<Quarantined>,
+    entries: Vec<Quarantined>,
 }
 
 impl Quarantine {
-    pub(crate) fn add(&mut self, row: Quarantined) {
-        let is_known = |it: &Quarantined| it.version == row.version && it.reason == row.reason;
-        if self.rows.iter().any(is_known) {
+    pub(crate) fn add(&mut self, entry: Quarantined) {
+        let is_known = |it: &Quarantined| it.version == entry.version && it.reason == entry.reason;
+        if self.entries.iter().any(is_known) {
             return;
         }
-        if self.rows.len() == MAX_QUARANTINED {
-            self.rows.remove(0);
+        if self.entries.len() == MAX_QUARANTINED {
+            self.entries.remove(0);
         }
-        self.rows.push(row);
+        self.entries.push(entry);
     }
 
-    /// A good state of this version is in force: what was wrong before is over.
+    /// Removes the entries up to this version, because a valid state of it is in force.
     pub(crate) fn release(&mut self, version: Version) {
-        self.rows.retain(|it| it.version > version);
+        self.entries.retain(|it| it.version > version);
     }
 
-    pub(crate) fn rows(&self) -> &[Quarantined] {
-        &self.rows
+    pub(crate) fn entries(&self) -> &[Quarantined] {
+        &self.entries
     }
 }
--- a/crates/distribution/src/repair.rs
+++ b/crates/distribution/src/repair.rs
@@ -1,4 +1,4 @@
-//! Pulling what pushes did not bring.
+//! Pulls of versions that no push has delivered.
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
@@ -6,11 +6,11 @@
 
 use crate::jitter::{backoff, full_jitter};
 
-/// Longest wait after a peer showed a newer version. Most often the push is on
-/// its way, and pulling at once would bring everything twice.
-const MAX_PATIENCE: Time = Time::from_millis(300);
+/// Maximum delay after a peer reported a newer version. Usually the push is on its way, and an
+/// immediate pull would transfer the change twice.
+const MAX_PULL_DELAY: Time = Time::from_millis(300);
 
-/// Time after which a pull without an end counts as failed.
+/// Time after which a pull without a result counts as failed.
 const PULL_TIMEOUT: Time = Time::from_secs(5);
 
 const FIRST_BACKOFF: Time = Time::from_millis(200);
@@ -19,7 +19,7 @@
 /// Where to pull from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// A peer that showed a newer version.
+    /// A peer that reported a newer version.
     Peer(MemberKey),
     /// The platform.
     Platform,
@@ -28,25 +28,25 @@
 /// A pull that is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pull {
-    /// From whom.
+    /// Where to pull from.
     pub source: Source,
-    /// Whether to ask for the whole state.
+    /// Whether to request the whole state instead of the missing deltas.
     pub whole: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Lead {
+struct Candidate {
     peer: MemberKey,
     mark: Mark,
     due: Time,
 }
 
-/// Decides when to pull and from whom; at most one pull is under way, so that
-/// a daemon that is far behind does not ask everyone at once.
+/// Decides when to pull and from which source. At most one pull is under way, so that a daemon that
+/// is far behind does not ask all its peers at once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Repair {
     rng: Xoshiro256PlusPlus,
-    lead: Option<Lead>,
+    candidate: Option<Candidate>,
     ask_platform: Option<Time>,
     under_way: Option<Time>,
     not_before: Time,
@@ -54,12 +54,12 @@
 }
 
 impl Repair {
-    /// A machine with randomness from `seed`.
+    /// Creates a repair that draws its random delays from `seed`.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            lead: None,
+            candidate: None,
             ask_platform: None,
             under_way: None,
             not_before: Time::ZERO,
@@ -67,34 +67,34 @@
         }
     }
 
-    /// A peer showed what it holds.
+    /// Records the configuration that a peer reported.
     pub fn peer_holds(&mut self, now: Time, peer: MemberKey, theirs: Mark, mine: Mark) {
         if theirs.version <= mine.version {
             return;
         }
         if self
-            .lead
+            .candidate
             .is_some_and(|it| it.mark.version >= theirs.version)
         {
             return;
         }
-        let due = match self.lead {
-            Some(lead) => lead.due,
-            None => now + full_jitter(&mut self.rng, MAX_PATIENCE),
+        let due = match self.candidate {
+            Some(candidate) => candidate.due,
+            None => now + full_jitter(&mut self.rng, MAX_PULL_DELAY),
         };
         let mark = theirs;
-        self.lead = Some(Lead { peer, mark, due });
+        self.candidate = Some(Candidate { peer, mark, due });
     }
 
-    /// Only the platform can tell which of two states is right, or has what no
-    /// peer could give.
+    /// Schedules a pull from the platform, which alone can tell which of two states is right and
+    /// has what no peer could deliver.
     pub fn ask_platform(&mut self, now: Time) {
         if self.ask_platform.is_none() {
             self.ask_platform = Some(now + full_jitter(&mut self.rng, MAX_BACKOFF));
         }
     }
 
-    /// The pull that is due now, if any.
+    /// Returns the pull that is due now, if any.
     pub fn tick(&mut self, now: Time, mine: Mark, needs_state: bool) -> Option<Pull> {
         if self
             .under_way
@@ -102,8 +102,11 @@
         {
             self.failed(now);
         }
-        if self.lead.is_some_and(|it| it.mark.version <= mine.version) {
-            self.lead = None;
+        if self
+            .candidate
+            .is_some_and(|it| it.mark.version <= mine.version)
+        {
+            self.candidate = None;
         }
         if self.under_way.is_some() || now < self.not_before {
             return None;
@@ -121,22 +124,22 @@
             self.ask_platform = None;
             return Some(Source::Platform);
         }
-        let lead = self.lead.filter(|it| it.due <= now)?;
-        Some(Source::Peer(lead.peer))
+        let candidate = self.candidate.filter(|it| it.due <= now)?;
+        Some(Source::Peer(candidate.peer))
     }
 
-    /// The pull ended well, whether or not it brought anything.
+    /// Records that the pull succeeded, whether or not it brought anything new.
     pub fn succeeded(&mut self) {
         self.under_way = None;
-        self.lead = None;
+        self.candidate = None;
         self.failures = 0;
     }
 
-    /// The pull failed or brought something that was refused. The next one asks
-    /// someone else, later.
+    /// Records that the pull failed or brought something that was refused. The next pull goes to
+    /// another source after a delay.
     pub fn failed(&mut self, now: Time) {
         self.under_way = None;
-        self.lead = None;
+        self.candidate = None;
         let bound = backoff(FIRST_BACKOFF, self.failures, MAX_BACKOFF);
         self.not_before = now + full_jitter(&mut self.rng, bound);
         self.failures = self.failures.saturating_add(1);
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -1,4 +1,4 @@
-//! The gate through which every version goes, whoever brought it.
+//! The configuration that a daemon holds, and the checks that every new version has to pass.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -9,27 +9,27 @@
 use crate::quarantine::{Quarantine, Quarantined, Reason};
 use crate::short_digest;
 
-/// Deltas kept for peers and watches that are a little behind.
+/// Default number of deltas that are kept for peers and watches that are a little behind.
 const DEFAULT_TAIL: usize = 256;
 
-/// Deltas that arrived ahead of their turn and are kept until the gap closes.
+/// Maximum number of deltas that arrived out of order and are kept until the gap closes.
 const MAX_PENDING: usize = 64;
 
-/// What became of an offer.
+/// The result of offering a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Offer {
     /// These versions came into force, in this order.
     Applied(Vec<Arc<Delta>>),
     /// A whole state came into force.
     Replaced(Version),
-    /// Nothing new.
+    /// The version is not newer than the one in force.
     Held,
-    /// Kept until the versions before it arrive.
+    /// The version is kept until the versions before it arrive.
     Waiting {
         /// The first version that is missing.
         missing: Version,
     },
-    /// Refused whole; the old version stays in force.
+    /// The version was refused as a whole; the old one stays in force.
     Refused(Quarantined),
 }
 
@@ -65,28 +65,28 @@
 }
 
 impl Replica {
-    /// Deltas kept for others. Default 256. A longer tail lets peers and
-    /// watches that were away for longer catch up without the full state.
+    /// Sets the number of deltas that are kept for others. Default 256. With more, peers and
+    /// watches that were away for longer can catch up without the full state.
     #[must_use]
     pub fn tail_capacity(mut self, capacity: usize) -> Self {
         self.tail_capacity = capacity;
         self
     }
 
-    /// The state in force. It is immutable: who holds it keeps one consistent
-    /// view, whatever comes into force meanwhile.
+    /// Returns the state in force. It is immutable, so its holder keeps one consistent view
+    /// whatever comes into force later.
     #[must_use]
     pub fn state(&self) -> &Arc<State> {
         &self.state
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     #[must_use]
     pub fn version(&self) -> Version {
         self.state.version()
     }
 
-    /// Version and digest in force, in the form that peers exchange.
+    /// Returns the version and digest in force, in the form that peers exchange.
     #[must_use]
     pub fn mark(&self) -> Mark {
         Mark {
@@ -95,41 +95,40 @@
         }
     }
 
-    /// When the version in force came into force.
+    /// Returns the time at which the version in force came into force.
     #[must_use]
     pub fn since(&self) -> Time {
         self.since
     }
 
-    /// Refused versions that no good one has replaced.
+    /// Returns the refused versions that no valid one has replaced.
     #[must_use]
     pub fn quarantine(&self) -> &[Quarantined] {
-        self.quarantine.rows()
+        self.quarantine.entries()
     }
 
-    /// Whether deltas can't help any more, so that a whole state must be asked
-    /// for elsewhere.
+    /// Returns whether deltas are no longer enough, so that a whole state must be requested.
     #[must_use]
     pub fn needs_state(&self) -> bool {
         self.needs_state
     }
 
-    /// Notes what the platform states of its newest version. A version of that
-    /// number with another digest is refused from then on, whoever offers it.
+    /// Records the platform's newest version and its digest. From then on, any other state under
+    /// that version's number is refused.
     pub fn learn_head(&mut self, version: Version, digest: Digest) {
         if self.head.is_none_or(|(known, _)| known < version) {
             self.head = Some((version, digest));
         }
     }
 
-    /// Offers the next version, or one that is ahead of its turn.
+    /// Offers the next version or a later one.
     pub fn offer_delta(&mut self, now: Time, delta: Arc<Delta>) -> Offer {
         if delta.version <= self.version() {
             return Offer::Held;
         }
         let missing = self.version() + 1;
         if delta.version > missing {
-            self.keep_for_later(delta);
+            self.keep_pending(delta);
             return Offer::Waiting { missing };
         }
         if let Err(reason) = self.apply(now, delta.clone()) {
@@ -140,16 +139,16 @@
         Offer::Applied(applied)
     }
 
-    /// Offers several versions, oldest first, as a log's tail brings them. The
-    /// first that is refused ends it.
+    /// Offers several versions, oldest first, such as a part of the log. Stops at the first
+    /// refusal.
     pub fn offer_deltas(&mut self, now: Time, deltas: Vec<Arc<Delta>>) -> Offer {
         let mut all = Vec::new();
         let mut last = Offer::Held;
         for delta in deltas {
             match self.offer_delta(now, delta) {
                 Offer::Applied(applied) => all.extend(applied),
-                Offer::Refused(row) => {
-                    last = Offer::Refused(row);
+                Offer::Refused(refused) => {
+                    last = Offer::Refused(refused);
                     break;
                 }
                 other => last = other,
@@ -164,8 +163,8 @@
 
     /// Offers a whole state, whose digest was checked when it was decoded.
     pub fn offer_state(&mut self, now: Time, state: State) -> Offer {
-        // Without this test a snapshot that was slow on its way would replace a
-        // newer version, and callers would see a removed route come back.
+        // Without this check, a snapshot that was delayed in transit would replace a newer version,
+        // and callers would see a removed route come back.
         if state.version() <= self.version() {
             return Offer::Held;
         }
@@ -184,14 +183,14 @@
         Offer::Replaced(self.version())
     }
 
-    /// Notes that a peer holds the same version with another digest. One of the
-    /// two is wrong, and only the platform can tell which.
+    /// Records that a peer holds another digest for the same version. One of the two is wrong, and
+    /// only the platform can tell which.
     pub fn note_fork(&mut self, now: Time, theirs: Mark) -> Option<Quarantined> {
         let mine = self.mark();
         if theirs.version != mine.version || theirs.digest == mine.digest {
             return None;
         }
-        let row = Quarantined {
+        let refused = Quarantined {
             version: theirs.version,
             digest: None,
             reason: Reason::Forked {
@@ -200,20 +199,19 @@
             },
             since: now,
         };
-        self.quarantine.add(row.clone());
-        Some(row)
+        self.quarantine.add(refused.clone());
+        Some(refused)
     }
 
-    /// The platform states the digest that is held here for this version: the
-    /// peer's was the wrong one.
+    /// Ends the quarantine of a fork if the platform's digest for this version is the one held
+    /// here, so that the peer's was the wrong one.
     pub fn settle_fork(&mut self, version: Version, digest: Digest) {
         if version == self.version() && digest == self.digest {
             self.quarantine.release(version);
         }
     }
 
-    /// Deltas after `version`, oldest first; `None` where some are no longer
-    /// held.
+    /// Returns the deltas after `version`, oldest first; `None` if some of them are no longer kept.
     #[must_use]
     pub fn tail_after(&self, version: Version) -> Option<Vec<Arc<Delta>>> {
         let first = self
@@ -227,7 +225,7 @@
         Some(newer.cloned().collect())
     }
 
-    fn keep_for_later(&mut self, delta: Arc<Delta>) {
+    fn keep_pending(&mut self, delta: Arc<Delta>) {
         if self.pending.len() < MAX_PENDING {
             self.pending.insert(delta.version, delta);
         }
@@ -276,8 +274,8 @@
         self.quarantine.release(self.version());
     }
 
-    /// Keeps the old version, remembers why, and asks for a whole state: the
-    /// delta may be broken, or the state that it was applied to.
+    /// Keeps the old version, records the reason and requests a whole state: either the delta or
+    /// the state that it was applied to may be corrupt.
     fn refuse(
         &mut self,
         now: Time,
@@ -289,14 +287,14 @@
             reason,
             Reason::Apply(ApplyError::OutOfOrder { .. })
         ));
-        let row = Quarantined {
+        let refused = Quarantined {
             version,
             digest,
             reason,
             since: now,
         };
-        self.quarantine.add(row.clone());
+        self.quarantine.add(refused.clone());
         self.needs_state = true;
-        Offer::Refused(row)
+        Offer::Refused(refused)
     }
 }
--- a/crates/distribution/src/roster_looks.rs
+++ b/crates/distribution/src/roster_looks.rs
@@ -6,60 +6,61 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use stoatstep_membership::Time;
 
-/// Earliest look after the own row is written, and how far such looks are spread.
-/// The first read of a start comes before the row is written, so two daemons that
-/// start together miss each other in it, and their fleet could go on in parts that
-/// do not know of each other. A herd writes its rows within 1.7 s (the spread of
-/// its first reads and one step of the daemon), so this look shows all of them.
-const SECOND_LOOK: Duration = Duration::from_secs(2);
-const SECOND_LOOK_SPREAD: Duration = Duration::from_secs(1);
+/// Minimum delay of the second read after the daemon's row is written, and the random spread of
+/// such reads. The first read of a start comes before the row is written, so two daemons that start
+/// together do not find each other by it, and their fleet could stay split into parts that do not
+/// know of each other. Daemons that start at once write their rows within 1.7 s (the spread of
+/// their first reads and one step of the daemon), so the second read shows all of them.
+const SECOND_READ: Duration = Duration::from_secs(2);
+const SECOND_READ_SPREAD: Duration = Duration::from_secs(1);
 
-/// The same for one more look, for herds whose processes take seconds to start.
-const THIRD_LOOK: Duration = Duration::from_secs(6);
-const THIRD_LOOK_SPREAD: Duration = Duration::from_secs(6);
+/// Minimum delay and random spread of a third read, for daemons that start at once but whose
+/// processes take seconds to start.
+const THIRD_READ: Duration = Duration::from_secs(6);
+const THIRD_READ_SPREAD: Duration = Duration::from_secs(6);
 
-/// Time between two looks of a daemon that has been up for longer.
+/// Interval between the later reads.
 const INTERVAL: Duration = Duration::from_mins(10);
 
-/// First further look of a daemon that met nobody.
-const FIRST_LOOK_ALONE: Duration = Duration::from_millis(750);
+/// Delay of the first further read of a daemon that knows no other.
+const FIRST_READ_ALONE: Duration = Duration::from_millis(750);
 
-/// Says when the roster is to be read again.
+/// Schedules the reads of the roster after the first one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RosterLooks {
     rng: Xoshiro256PlusPlus,
-    /// The next looks, the latest first.
+    /// The times of the next reads, latest first.
     due: Vec<Time>,
     due_alone: Time,
-    pause_alone: Duration,
+    interval_alone: Duration,
 }
 
 impl RosterLooks {
-    /// The looks of a daemon whose row is written at `now`.
+    /// Schedules the reads of a daemon whose row is written at `now`.
     #[must_use]
     pub fn new(now: Time, mut rng: Xoshiro256PlusPlus) -> Self {
         let mut at = |earliest, spread: Duration| {
             now + earliest + spread.mul_f64(rng.random_range(0.0..1.0))
         };
         let due = vec![
-            at(THIRD_LOOK, THIRD_LOOK_SPREAD),
-            at(SECOND_LOOK, SECOND_LOOK_SPREAD),
+            at(THIRD_READ, THIRD_READ_SPREAD),
+            at(SECOND_READ, SECOND_READ_SPREAD),
         ];
         Self {
             rng,
             due,
-            due_alone: now + FIRST_LOOK_ALONE,
-            pause_alone: FIRST_LOOK_ALONE,
+            due_alone: now + FIRST_READ_ALONE,
+            interval_alone: FIRST_READ_ALONE,
         }
     }
 
-    /// Whether the roster is to be read now. A daemon that knows nobody looks
-    /// sooner, and ever more seldom: it may be the only one that there is.
+    /// Returns whether the roster is to be read now. A daemon that knows no other reads sooner, and
+    /// then at growing intervals, since it may be the only one there is.
     pub fn is_due(&mut self, now: Time, is_alone: bool) -> bool {
         if is_alone && self.due_alone <= now {
-            self.pause_alone = (self.pause_alone * 2).min(INTERVAL);
+            self.interval_alone = (self.interval_alone * 2).min(INTERVAL);
             let share = self.rng.random_range(0.5..1.5);
-            self.due_alone = now + self.pause_alone.mul_f64(share);
+            self.due_alone = now + self.interval_alone.mul_f64(share);
             return true;
         }
         let is_due = self.due.last().is_some_and(|due| *due <= now);
--- a/crates/distribution/src/serving.rs
+++ b/crates/distribution/src/serving.rs
@@ -1,65 +1,62 @@
-//! When a daemon that started may serve.
+//! When a daemon may serve after a start.
 //!
-//! An instance keeps nothing, so after a restart it has forgotten which version
-//! it served by. Serving an older one would show callers a route that was
-//! removed, or hide one that they used. It is therefore told by those who
-//! remember.
+//! An instance stores nothing, so after a restart it does not know which version it served by.
+//! Serving by an older one would show callers a route that was removed, or hide one that they used.
+//! The daemon therefore learns its former version from the platform or its peers.
 //!
 //! A daemon serves once all of this holds:
 //!
-//! 1. the platform's head was read; or the platform was asked and did not answer,
-//!    and as many peers answered as are required (two, or all others where there
-//!    are fewer, but at least one);
-//! 2. its version is at least its *floor*: the highest that the peers which
-//!    answered, or its own announcement row, ever saw this instance report;
-//! 3. before its first service only: its version is at least the newest that
-//!    the platform or any such peer held.
+//! 1. the platform's head was read; or the platform was asked and did not answer, and enough peers
+//!    answered (two, or all others if there are fewer, but at least one);
+//! 2. its version is at least its *floor*: the highest version that this instance ever reported, as
+//!    known from its own announcement row or the peers that answered;
+//! 3. before its first service only: its version is at least the newest that the platform or any
+//!    such peer held.
 //!
-//! Afterwards only the floor binds, since being a little behind a peer is the
-//! normal state while a change spreads.
+//! Afterwards only the floor applies, since being a little behind a peer is the normal state while
+//! a change spreads.
 //!
-//! A process that wakes from a freeze forgets nothing, but what it remembers is
-//! old: others have moved on, and by its clock no time has passed. It serves
-//! again once it has heard as many peers, or the platform, as after a start, and
-//! holds the newest of what they hold.
+//! A process that resumes after a freeze has lost nothing, but its knowledge is old: the fleet has
+//! moved on, while no time has passed by the clock of the process. It serves again once it has
+//! received answers from as many peers, or from the platform, as after a start, and holds the
+//! newest version that they hold.
 //!
-//! Covered: restart with the platform up, whatever happened to peers, because
-//! the head is never older than what anyone served; restart with the platform
-//! out while one of the peers that answered had exchanged with the former life
-//! after its last change, or holds that version itself. Not covered: the
-//! platform is out, and all who answered hold an older version and never heard
-//! of the newer one, because every daemon that did is dead or cut off. Waiting
-//! for the platform instead would keep a whole cut-off zone from serving after
-//! a restart, which the users' brief rules out.
+//! A restart while the platform is up is covered whatever happened to peers, because the head is
+//! never older than what any instance served by. A restart while the platform is out is covered if
+//! one of the peers that answered had exchanged gossip with the former process after that process's
+//! last change, or holds that version itself. One case is not covered: the platform is out, and all
+//! peers that answered hold an older version and never learned of the newer one, because every
+//! daemon that did has failed or is cut off. To wait for the platform in this case would keep a
+//! whole cut-off zone from serving after a restart, which the requirements rule out.
 
 use std::collections::BTreeSet;
 
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::Version;
 
-/// Answers of peers that replace the platform's.
+/// Number of peers whose answers replace the platform's.
 const PEERS_NEEDED: usize = 2;
 
-/// What a daemon learned about the version by which it may serve.
+/// What a daemon knows about the version by which it may serve.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Serving {
     floor: Version,
     newest: Version,
-    platform: Platform,
-    heard_peers: BTreeSet<MemberKey>,
+    platform: PlatformRead,
+    answered_peers: BTreeSet<MemberKey>,
     service: Service,
 }
 
-/// What the platform said.
+/// The state of the read of the platform's head.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-enum Platform {
+enum PlatformRead {
     #[default]
-    Unasked,
-    Silent,
-    Heard,
+    Pending,
+    Failed,
+    Answered,
 }
 
-/// Whether this life serves.
+/// Whether this process serves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 enum Service {
     #[default]
@@ -69,93 +66,93 @@
 }
 
 impl Serving {
-    /// The platform's head was read at this version.
+    /// Records that the platform's head was read at this version.
     pub fn heard_platform(&mut self, version: Version) {
-        self.platform = Platform::Heard;
+        self.platform = PlatformRead::Answered;
         self.newest = self.newest.max(version);
     }
 
-    /// The platform was asked and gave no answer: peers' words stand in for its.
+    /// Records that the platform was asked and did not answer, so that answers of peers replace
+    /// its.
     ///
-    /// Before that they don't. Peers that have not heard of the version by which
-    /// the former life served, because it died before any exchange, would let
-    /// this life serve by an older one, although the platform could have told.
+    /// Without a failed read they do not. If the former process exited before any exchange of
+    /// gossip, peers do not know the version by which it served. They would let this process serve
+    /// by an older one, although the platform knows the newer one.
     pub fn platform_failed(&mut self) {
-        if self.platform == Platform::Unasked {
-            self.platform = Platform::Silent;
+        if self.platform == PlatformRead::Pending {
+            self.platform = PlatformRead::Failed;
         }
     }
 
-    /// A peer answered a message of this daemon: what it holds, and the highest
-    /// version that it saw this instance report. What peers say unasked counts
-    /// for the floor only, by [`Self::learn_floor`].
+    /// Records a peer's answer to a message of this daemon: the version that it holds, and the
+    /// highest version that it saw this instance report. What peers send unasked counts for the
+    /// floor only, by [`Self::learn_floor`].
     pub fn heard_peer(&mut self, peer: MemberKey, holds: Version, floor: Version) {
         self.floor = self.floor.max(floor);
         if self.service == Service::Running {
             return;
         }
-        self.heard_peers.insert(peer);
+        self.answered_peers.insert(peer);
         self.newest = self.newest.max(holds);
     }
 
-    /// The process was frozen. Without this it would go on by a version that the
-    /// fleet left minutes ago, and a caller that was just served by a newer one
-    /// elsewhere would see it go back.
+    /// Records that the process was frozen. Without this it would go on by a version that the fleet
+    /// left minutes ago, and a caller that was just served by a newer one elsewhere would see it go
+    /// back.
     pub fn woke(&mut self) {
         if self.service == Service::Never {
-            if self.platform == Platform::Heard {
-                self.platform = Platform::Unasked;
+            if self.platform == PlatformRead::Answered {
+                self.platform = PlatformRead::Pending;
             }
         } else {
             self.service = Service::Suspended;
-            self.platform = Platform::Silent;
+            self.platform = PlatformRead::Failed;
         }
-        self.heard_peers.clear();
+        self.answered_peers.clear();
         self.newest = 0;
     }
 
-    /// Nobody answered for a while after a wake. What is held is then the best
-    /// there is, and a daemon that is cut off goes on serving by it.
+    /// Lets the daemon serve by what it holds if no one answered for a while after a freeze. A
+    /// daemon that is cut off has nothing better and goes on serving.
     pub fn serve_alone(&mut self) {
         if self.service == Service::Suspended {
             self.service = Service::Running;
         }
     }
 
-    /// The announcement row of the former life, or a peer, names this version.
+    /// Raises the floor to a version that a peer or the former process's announcement row names.
     pub fn learn_floor(&mut self, version: Version) {
         self.floor = self.floor.max(version);
     }
 
-    /// The highest version that this instance is known to have served by.
+    /// Returns the highest version by which this instance is known to have served.
     #[must_use]
     pub fn floor(&self) -> Version {
         self.floor
     }
 
-    /// Whether a daemon that holds `version`, in a fleet of `others` more, may
-    /// serve now.
+    /// Returns whether a daemon that holds `version`, in a fleet of `others` more, may serve now.
     pub fn may_serve(&mut self, version: Version, others: usize) -> bool {
         if version < self.floor {
             return false;
         }
         let is_running = self.service == Service::Running;
-        let is_confirmed = self.heard_enough(others) && version >= self.newest;
+        let is_confirmed = self.has_enough_answers(others) && version >= self.newest;
         if !is_running && !is_confirmed {
             return false;
         }
         self.service = Service::Running;
         self.floor = version;
-        self.heard_peers.clear();
+        self.answered_peers.clear();
         true
     }
 
-    fn heard_enough(&self, others: usize) -> bool {
+    fn has_enough_answers(&self, others: usize) -> bool {
         let needed = others.clamp(1, PEERS_NEEDED);
         match self.platform {
-            Platform::Unasked => false,
-            Platform::Silent => self.heard_peers.len() >= needed,
-            Platform::Heard => true,
+            PlatformRead::Pending => false,
+            PlatformRead::Failed => self.answered_peers.len() >= needed,
+            PlatformRead::Answered => true,
         }
     }
 }
--- a/crates/distribution/src/spread.rs
+++ b/crates/distribution/src/spread.rs
@@ -1,20 +1,19 @@
-//! Whom a change is pushed to.
+//! The daemons to which a change is pushed.
 
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::Version;
 
 use crate::tree::{Tree, View};
 
-/// Children of an inner node. At 76 daemons a zone a change takes four steps,
-/// and nobody sends it more than a handful of times.
+/// Number of children of an inner node. At 76 daemons a zone a change takes four steps, and no
+/// daemon sends it more than a handful of times.
 const DEFAULT_FAN_OUT: usize = 4;
 
-/// Generations of failed pushes that a sender reaches past. Beyond that the
-/// zone is more likely cut off than full of dead daemons, and exchanges of
-/// marks repair what is left.
+/// Levels of failed pushes that a sender bypasses. Beyond that the zone is more likely cut off than
+/// full of failed daemons, and the regular exchanges between peers repair the rest.
 const MAX_BYPASSES: u32 = 2;
 
-/// Decides who passes a version on to whom.
+/// Decides which daemon passes a version on to which.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Spread {
     fan_out: usize,
@@ -31,24 +30,24 @@
 }
 
 impl Spread {
-    /// Children of an inner node. Default 4. More make the tree flatter and the
-    /// load of its inner nodes less even.
+    /// Sets the number of children of an inner node. Default 4. More children make the tree flatter
+    /// and the load of its inner nodes less even.
     #[must_use]
     pub fn fan_out(mut self, fan_out: usize) -> Self {
         self.fan_out = fan_out.max(1);
         self
     }
 
-    /// The tree of one zone's members.
+    /// Returns the tree of one zone's members.
     #[must_use]
     pub fn tree(&self, seed: u64, members: &[MemberKey]) -> Tree {
         Tree::new(seed, members, self.fan_out)
     }
 
-    /// Whom the daemon that accepted a change, or was the first of its zone to
-    /// find it at the platform, pushes it to: the roots of every zone in
-    /// `view`, and its own children, since nobody else will push to those once
-    /// this daemon answers that it holds the version already.
+    /// Returns the members to which the daemon pushes a change that it accepted, or that it was the
+    /// first of its zone to find at the platform: the roots of every zone in `view`, and its own
+    /// children. No other daemon pushes to these once this one answers that it holds the version
+    /// already.
     pub fn originate(&mut self, version: Version, view: &View, me: MemberKey) -> Vec<MemberKey> {
         let mut targets: Vec<_> = view
             .values()
@@ -61,10 +60,10 @@
         targets
     }
 
-    /// Whom a daemon that was pushed a version passes it on to: its children,
-    /// once for each version, however it came to hold it. A daemon that pulled
-    /// the version before the push arrived still owes it to its children. The
-    /// origin is left out: it holds the version, and serves its own children.
+    /// Returns the members to which a daemon passes on a version that was pushed to it: its
+    /// children, once for each version, however it came to hold it. A daemon that pulled the
+    /// version before the push arrived still has to push it to its children. The origin is left
+    /// out: it holds the version, and pushes to its own children.
     pub fn forward(
         &mut self,
         version: Version,
@@ -81,7 +80,7 @@
         targets
     }
 
-    /// Whom a sender pushes to in place of one that did not answer. `bypassed`
+    /// Returns the members to which a sender pushes in place of one that did not answer. `bypassed`
     /// counts the failures above it on this branch.
     #[must_use]
     pub fn bypass(
--- a/crates/distribution/src/tree.rs
+++ b/crates/distribution/src/tree.rs
@@ -1,4 +1,4 @@
-//! The tree along which a change goes to a zone's daemons.
+//! The tree along which a change spreads to a zone's daemons.
 
 use std::collections::BTreeMap;
 
@@ -6,36 +6,36 @@
 use stoatstep_resource::ZoneName;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Members that take part, by zone, the daemon itself included.
+/// The members that take part, by zone, including the daemon itself.
 pub type View = BTreeMap<ZoneName, Vec<MemberKey>>;
 
-/// Roots in each zone: the death of one leaves the other half of the zone
-/// untouched, and the origin reaches past it to its children.
+/// Number of roots in each zone. If one fails, the other half of the zone is not affected, and the
+/// origin bypasses the failed root and pushes to its children.
 pub(crate) const ROOTS: usize = 2;
 
-/// Weight of a member for one purpose. Whoever knows the same members comes to
-/// the same order without talking to anyone; a member more or less moves only
-/// its own place.
+/// Returns the weight of a member for one purpose, by rendezvous hashing. Daemons that know the
+/// same members compute the same order without communication; adding or removing a member does not
+/// change the order of the others.
 #[must_use]
 pub fn rendezvous(seed: u64, key: MemberKey) -> u64 {
     xxh3_64_with_seed(&key.to_le_bytes(), seed)
 }
 
-/// Seed for a purpose that has a name.
+/// Returns the hash seed for a named purpose.
 #[must_use]
 pub fn seed_of(purpose: &str) -> u64 {
     xxh3_64(purpose.as_bytes())
 }
 
-/// The member with the least weight for a purpose.
+/// Returns the member with the lowest weight for a purpose.
 #[must_use]
 pub fn first_of(seed: u64, members: impl IntoIterator<Item = MemberKey>) -> Option<MemberKey> {
     let members = members.into_iter();
     members.min_by_key(|key| (rendezvous(seed, *key), *key))
 }
 
-/// A zone's members in the order of their weights, read as a forest with two
-/// roots in which each member has up to `fan_out` children.
+/// A zone's members sorted by weight and read as a forest with two roots, in which each member has
+/// up to `fan_out` children.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Tree {
     order: Vec<MemberKey>,
@@ -43,8 +43,8 @@
 }
 
 impl Tree {
-    /// The tree of these members for one purpose, such as one version, so that
-    /// the work of inner nodes moves from member to member.
+    /// Builds the tree of these members for one purpose. With a seed for each version, the work of
+    /// inner nodes moves from member to member.
     #[must_use]
     pub fn new(seed: u64, members: &[MemberKey], fan_out: usize) -> Self {
         let mut order = members.to_vec();
@@ -54,13 +54,13 @@
         Self { order, fan_out }
     }
 
-    /// Who hears first.
+    /// Returns the members that receive a change first.
     #[must_use]
     pub fn roots(&self) -> &[MemberKey] {
         &self.order[..self.order.len().min(ROOTS)]
     }
 
-    /// Whom `parent` passes a change on to.
+    /// Returns the members to which `parent` passes a change on.
     #[must_use]
     pub fn children(&self, parent: MemberKey) -> &[MemberKey] {
         let Some(index) = self.order.iter().position(|it| *it == parent) else {
--- a/crates/distribution/src/wire.rs
+++ b/crates/distribution/src/wire.rs
@@ -1,4 +1,4 @@
-//! What daemons send each other about configuration.
+//! Messages about configuration between daemons.
 
 use std::sync::Arc;
 
@@ -9,28 +9,28 @@
 
 use crate::collect::Holdings;
 
-/// Body of `/peer/push`: the next version, on its way down the tree.
+/// Body of `/peer/push`: the next version, pushed down the tree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PushRequest {
-    /// The daemon at which the change began its way, which needs no push.
+    /// The daemon that first pushed the change. It needs no push itself.
     pub origin: MemberKey,
     /// The change.
     pub delta: DeltaWire,
 }
 
-/// Body of `/peer/log`: asks for what the sender lacks.
+/// Body of `/peer/log`: requests the versions that the sender lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogRequest {
-    /// What the sender holds.
+    /// The configuration that the sender holds.
     pub held: Mark,
-    /// Deltas won't do: the sender refused one.
+    /// Whether the sender needs the whole state because it refused a delta.
     pub whole: bool,
 }
 
 /// Answer to a [`LogRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogReply {
-    /// The answering daemon holds nothing newer.
+    /// The configuration of the answering daemon, which is not newer than the sender's.
     #[serde(rename = "n")]
     Nothing(Mark),
     /// The versions after the sender's, oldest first.
@@ -41,14 +41,14 @@
     Snapshot(SnapshotWire),
 }
 
-/// A [`LogReply`] after its checks.
+/// A [`LogReply`] whose contents were checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogTail {
-    /// Nothing newer.
+    /// The configuration of the answering daemon, which is not newer than the sender's.
     Nothing(Mark),
     /// Versions, oldest first.
     Deltas(Vec<Arc<Delta>>),
-    /// A whole state whose digest is right.
+    /// A whole state whose digest is correct.
     Snapshot(State),
 }
 
@@ -70,15 +70,15 @@
 /// Body of `/peer/collect`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CollectRequest {
-    /// Whether the receiver also asks those below it in its zone's tree.
+    /// Whether the receiver also asks the daemons below it in its zone's tree.
     pub below: bool,
-    /// Milliseconds within which the sender wants the answer.
+    /// Time within which the sender needs the answer, in milliseconds.
     pub bound_ms: u16,
 }
 
 /// Answer to a [`CollectRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CollectReply {
-    /// What the receiver and those below it hold.
+    /// The holdings of the receiver and, if requested, of the daemons below it.
     pub holdings: Holdings,
 }
