--- a/crates/distribution/tests/all/cold_start.rs
+++ b/crates/distribution/tests/all/cold_start.rs
@@ -1,4 +1,4 @@
-//! A zone that restarts as a whole.
+//! Cold starts of a zone that restarts as a whole.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
     far: &[],
 };
 
-struct Herd {
+struct Restart {
     reads_by_second: Vec<usize>,
     snapshots: usize,
     last_done: Option<Duration>,
 }
 
-/// Starts `n` daemons at once whose near peers are as cold as they are; far
-/// peers hold version 7 where `far_hold`.
-fn start(n: u64, far_hold: bool) -> Herd {
-    let mut herd = Herd {
+/// Starts `n` daemons at once, whose peers of the own zone start as well; peers of other zones hold
+/// version 7 if `far_hold`.
+fn start(n: u64, far_hold: bool) -> Restart {
+    let mut restart = Restart {
         reads_by_second: vec![0; 60],
         snapshots: 0,
         last_done: None,
@@ -49,7 +49,7 @@
             };
             match it.tick(now, standing) {
                 Some(Step::ReadRoster { .. }) => {
-                    herd.reads_by_second[second] += 1;
+                    restart.reads_by_second[second] += 1;
                     it.roster_read(now, 7, 3);
                 }
                 Some(Step::PullPeer(peer)) => {
@@ -58,50 +58,50 @@
                     it.pulled(now, versions[i]);
                 }
                 Some(Step::PullPlatform) => {
-                    herd.reads_by_second[second] += 2;
-                    herd.snapshots += 1;
+                    restart.reads_by_second[second] += 2;
+                    restart.snapshots += 1;
                     versions[i] = 7;
                     it.pulled(now, 7);
                 }
                 None => {}
             }
         }
-        if herd.last_done.is_none() && versions.iter().all(|it| *it == 7) {
-            herd.last_done = Some(now);
+        if restart.last_done.is_none() && versions.iter().all(|it| *it == 7) {
+            restart.last_done = Some(now);
         }
     }
-    herd
+    restart
 }
 
 #[test]
-fn a_zone_that_restarts_reads_little_and_holds_all_within_three_seconds() {
-    // A zone's 76 daemons restart together. If each read the snapshot at once,
-    // the platform would see hundreds of reads in that second; if all asked
-    // only each other, nobody would ever have anything.
-    let herd = start(76, true);
-    let most = herd.reads_by_second.iter().max().copied();
-    assert!(most < Some(100), "{:?}", herd.reads_by_second);
-    assert_eq!(herd.snapshots, 0, "peers of other zones have it");
-    assert!(herd.last_done < Some(Duration::from_secs(3)));
+fn a_zone_that_restarts_reads_little_and_is_up_to_date_within_three_seconds() {
+    // A zone's 76 daemons restart together. If each read the snapshot at once, the platform would
+    // get hundreds of reads in that second; if they asked only each other, none would ever get the
+    // configuration.
+    let restart = start(76, true);
+    let most = restart.reads_by_second.iter().max().copied();
+    assert!(most < Some(100), "{:?}", restart.reads_by_second);
+    assert_eq!(restart.snapshots, 0, "peers of other zones have it");
+    assert!(restart.last_done < Some(Duration::from_secs(3)));
 }
 
 #[test]
 fn a_fleet_that_starts_as_a_whole_takes_few_snapshots() {
-    // Nobody holds anything, so somebody must read the snapshot. The others
-    // wait their turn and get it from those who did.
-    let herd = start(76, false);
-    assert!(herd.snapshots >= 1);
+    // No daemon holds a configuration, so some must read the snapshot. The others wait and get it
+    // from those.
+    let restart = start(76, false);
+    assert!(restart.snapshots >= 1);
     assert!(
-        herd.last_done < Some(Duration::from_secs(4)),
+        restart.last_done < Some(Duration::from_secs(4)),
         "{:?}",
-        herd.last_done
+        restart.last_done
     );
-    let most = herd.reads_by_second.iter().max().copied();
-    assert!(most < Some(100), "{:?}", herd.reads_by_second);
+    let most = restart.reads_by_second.iter().max().copied();
+    assert!(most < Some(100), "{:?}", restart.reads_by_second);
 }
 
 #[test]
-fn a_platform_that_is_out_is_asked_ever_more_seldom() {
+fn reads_of_a_failed_platform_become_rarer() {
     let mut reads = 0;
     let mut it = ColdStart::new(Duration::ZERO, 3);
     for step in 0..1200 {
@@ -115,10 +115,10 @@
 }
 
 #[test]
-fn neighbours_that_are_gone_do_not_leave_a_daemon_alone() {
-    // The few rows that a starting daemon reads are of instances that crashed.
-    // Nobody answers; without a second, wider read it would take itself for the
-    // whole fleet and never hear of a change again.
+fn crashed_neighbours_do_not_leave_a_daemon_alone() {
+    // The few rows that a starting daemon reads are of instances that crashed, and none answers.
+    // Without a second read of all rows, the daemon would take itself for the whole fleet and never
+    // receive a change again.
     let mut it = ColdStart::new(Duration::ZERO, 3);
     let mut steps = Vec::new();
     for step in 0..100 {
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn who_may_serve_by_what_peers_gave_does_without_the_platform() {
+fn a_daemon_that_may_serve_by_peers_does_not_need_the_platform() {
     let mut it = ColdStart::new(Duration::ZERO, 3);
     let standing = Standing {
         held: 7,
--- a/crates/distribution/tests/all/collect.rs
+++ b/crates/distribution/tests/all/collect.rs
@@ -1,4 +1,4 @@
-//! Status of the fleet from its parts.
+//! Aggregation of the fleet's status from its parts.
 
 use stoatstep_distribution::{Hold, Holdings};
 
@@ -15,9 +15,9 @@
 
 #[test]
 fn a_member_reported_twice_counts_once_at_its_newest() {
-    // Views differ while a daemon joins, and two inner nodes ask it. Counted
-    // twice, an operator would see more instances than there are, or one that
-    // holds the old and the new version at the same time.
+    // Membership views differ while a daemon joins, so two inner nodes may ask it. If it counted
+    // twice, an operator would see more instances than there are, or one that holds the old and the
+    // new version at the same time.
     let mut all = one(4, 1);
     all.merge(one(5, 1));
     all.merge(one(4, 1));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn who_answers_another_asker_is_not_silent() {
+fn a_member_that_answers_another_daemon_is_not_silent() {
     let mut all = Holdings::default();
     all.note_silent(7);
     all.note_silent(8);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn one_reason_gathers_all_who_gave_it() {
+fn refusals_with_one_reason_are_merged() {
     let mut all = Holdings::default();
     all.refuse(6, "digest differs".into(), 1);
     let mut more = Holdings::default();
--- a/crates/distribution/tests/all/confirmation.rs
+++ b/crates/distribution/tests/all/confirmation.rs
@@ -1,4 +1,4 @@
-//! How long a daemon may act on a configuration that it cannot confirm.
+//! Tests of how long a daemon may act on a configuration that it cannot confirm.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
     assert!(!confirmation.is_within(BOUND, ms(6000)));
 }
 
-/// An answer that was held up on its way makes an old configuration look recent.
+/// An answer that was delayed in transit must not make an old configuration look recent.
 #[test]
 fn an_answer_of_a_peer_counts_from_the_question() {
     let mut confirmation = Confirmation::default();
@@ -35,13 +35,13 @@
     assert_eq!(young.age(ms(600)), None);
 }
 
-/// A wait without a change confirms nothing but the moment at which it began, and a daemon
-/// has to ask more often than there are changes.
+/// If a wait without a change confirmed only the time at which it began, a daemon would have to ask
+/// more often than there are changes.
 #[test]
-fn a_long_wait_is_dated_by_the_hosts_clock() {
+fn a_long_wait_is_dated_by_the_stores_clock() {
     let mut clock = HostClock::default();
-    let host = Some(ms(70_000));
-    assert_eq!(clock.given_at(ms(100), ms(104), host), ms(100));
+    let store = Some(ms(70_000));
+    assert_eq!(clock.given_at(ms(100), ms(104), store), ms(100));
     let given = clock.given_at(ms(104), ms(3110), Some(ms(73_000)));
     assert!((ms(3090)..=ms(3100)).contains(&given), "{given:?}");
     assert_eq!(clock.given_at(ms(3110), ms(6110), None), ms(3110));
@@ -51,13 +51,13 @@
 }
 
 proptest! {
-    /// An answer is never dated later than it was given, whatever the delays both ways and
-    /// the drift of the clocks, nor after it came.
+    /// An answer is never dated later than it was given or received, whatever the delays both ways
+    /// and the drift of the clocks.
     #[test]
     fn no_answer_is_dated_too_late(
         answers in proptest::collection::vec((0_u64..500, 0_u64..3000, 0_u64..2000), 1..60),
         drift_ppm in -500_i64..500,
-        host_begins in 0_u64..100_000,
+        store_begins in 0_u64..100_000,
     ) {
         let mut clock = HostClock::default();
         let mut now = 0_u64;
@@ -66,18 +66,18 @@
             let given = asked_at + there + waits;
             now = given + back;
             let drifted = i64::try_from(given).expect("small") * drift_ppm / 1_000_000;
-            let host = (host_begins + given).saturating_add_signed(drifted);
-            let dated = clock.given_at(ms(asked_at), ms(now), Some(ms(host)));
-            // The host's clock is told in whole milliseconds here.
+            let store = (store_begins + given).saturating_add_signed(drifted);
+            let dated = clock.given_at(ms(asked_at), ms(now), Some(ms(store)));
+            // The store's clock is passed in whole milliseconds here.
             prop_assert!(dated <= ms(given + 1) && dated <= ms(now));
             prop_assert!(dated >= ms(asked_at));
         }
     }
 
-    /// A key that was taken away is not acted on later than the bound at any daemon of a
-    /// chain in which each asks the one before it, whatever the delays.
+    /// Each daemon of a chain asks the one before it. None of them accepts a revoked key for longer
+    /// than the bound, whatever the delays.
     #[test]
-    fn no_chain_of_peers_makes_it_younger(
+    fn no_chain_of_peers_makes_a_confirmation_younger(
         steps in proptest::collection::vec((0_u64..800, 0_u64..800, 0_u64..1500), 1..8),
         first in 0_u64..1000,
     ) {
@@ -85,8 +85,8 @@
         let mut asked = Confirmation::default();
         asked.confirm(confirmed_at);
         let mut now: Time = confirmed_at;
-        for (pause, there, back) in steps {
-            now += ms(pause);
+        for (delay, there, back) in steps {
+            now += ms(delay);
             let asked_at = now;
             now += ms(there);
             let age = asked.age(now).expect("it was confirmed");
--- a/crates/distribution/tests/all/contact.rs
+++ b/crates/distribution/tests/all/contact.rs
@@ -1,4 +1,4 @@
-//! Which followers are silent, and whose turn it is to be asked.
+//! Which followers of the platform are silent, and in which order they are asked.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 const AT: Duration = Duration::from_secs(100);
 
 #[test]
-fn one_that_missed_a_question_is_silent_for_a_while() {
+fn a_member_that_did_not_answer_is_silent_for_a_while() {
     let mut contact = Contact::default();
     contact.missed(7, AT);
     assert!(contact.is_silent(7, AT));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn one_that_answers_is_not_silent_any_more() {
+fn a_member_that_answers_is_not_silent() {
     let mut contact = Contact::default();
     contact.missed(7, AT);
     contact.missed(8, AT);
@@ -28,7 +28,7 @@
     assert!(contact.is_silent(8, AT));
 }
 
-/// One of two followers would be asked by a whole zone, and the other by nobody.
+/// Without the rotation, a whole zone would ask one of two followers, and none the other.
 #[test]
 fn followers_are_asked_in_turn() {
     let mut contact = Contact::default();
@@ -41,10 +41,10 @@
 /// Members of a zone.
 const ZONE: [u64; 4] = [1, 2, 3, 4];
 
-/// The followers that the platform does not answer would go on being taken for the ones that
-/// tell of versions.
+/// Followers that get no answer from the platform must not be chosen as the ones that report
+/// versions.
 #[test]
-fn whoever_lost_the_platform_leaves_it_to_others() {
+fn members_that_lost_the_platform_are_not_eligible() {
     let mut contact = Contact::default();
     contact.lost_platform(1, AT);
     contact.missed(2, AT);
@@ -55,9 +55,10 @@
     assert_eq!(contact.eligible(&ZONE, AT + Duration::from_secs(6)), ZONE);
 }
 
-/// With the platform away from all of them, each member in turn would ask it.
+/// If all members have lost the platform, the first ones go on asking it. Otherwise each member in
+/// turn would start to ask.
 #[test]
-fn where_all_lost_the_platform_the_first_go_on_asking() {
+fn all_are_eligible_if_all_lost_the_platform() {
     let mut contact = Contact::default();
     for member in ZONE {
         contact.lost_platform(member, AT);
@@ -69,10 +70,10 @@
     assert_eq!(contact.eligible(&ZONE, AT), [3]);
 }
 
-/// A zone cut off from the store alone would read the list of instances as one that is cut
-/// off from the others.
+/// A zone that is cut off from the store alone must not read the list of instances, as one does
+/// that is cut off from its peers.
 #[test]
-fn one_that_lost_the_platform_is_not_out_of_reach() {
+fn a_member_that_lost_the_platform_is_not_silent() {
     let mut contact = Contact::default();
     contact.lost_platform(1, AT);
     assert!(!contact.misses_any(AT));
--- a/crates/distribution/tests/all/poller.rs
+++ b/crates/distribution/tests/all/poller.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform's head, by the whole fleet together.
+//! Reads of the platform's head by the whole fleet.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 
 const STEP: Duration = Duration::from_millis(250);
 
-/// Most reads in any second of `steps` steps, with the given platform.
+/// Returns the most reads in any second, and the reads of each second, with the given platform.
 fn most_reads(silent_at_once: bool, platform_up: impl Fn(Duration) -> bool) -> (usize, Vec<usize>) {
     let view = view(8, 76);
     let mut pollers: BTreeMap<_, _> = view
@@ -48,18 +48,18 @@
 }
 
 #[test]
-fn a_fleet_that_falls_silent_at_once_stays_within_its_budget() {
-    // All news about the head ends, for example since every poller's zone lost
-    // the platform. All 608 daemons begin to ask for themselves in the same
-    // second. Unbounded, that storm meets a platform that just came back.
+fn a_fleet_that_polls_for_itself_stays_within_its_budget() {
+    // Reports of the head end, for example because every poller's zone lost the platform, and all
+    // 608 daemons begin to poll for themselves in the same second. Without a limit, this burst hits
+    // a platform that just came back.
     let (most, reads) = most_reads(true, |_| true);
     assert!(most < 100, "{reads:?}");
 }
 
 #[test]
 fn an_outage_ends_without_a_storm() {
-    // The platform is down for half a minute and comes back. Retries that had
-    // gathered would hit it together and take it down again.
+    // The platform is down for half a minute and comes back. Retries that pile up meanwhile would
+    // hit it together and take it down again.
     let back = Duration::from_secs(30);
     let (most, reads) = most_reads(true, |now| now >= back);
     assert!(most < 100, "{reads:?}");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn the_death_of_a_poller_is_made_up_for() {
+fn a_failed_poller_is_replaced() {
     let zone: Vec<u64> = (0..10).collect();
     let polls = |zone: &[u64]| -> Vec<u64> {
         let asks = |key: &&u64| {
--- a/crates/distribution/tests/all/repair.rs
+++ b/crates/distribution/tests/all/repair.rs
@@ -1,4 +1,4 @@
-//! Pulling what pushes did not bring.
+//! Pulls of versions that no push has delivered.
 
 use std::time::Duration;
 
@@ -14,9 +14,9 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn a_lost_push_is_pulled_from_the_peer_that_shows_it() {
-    // A push is lost and the daemon's callers are routed by the old version.
-    // The next exchange shows that a peer is ahead; it is asked, once.
+fn a_lost_push_is_pulled_from_a_peer_that_is_ahead() {
+    // A push is lost, and the daemon routes by the old version. The next exchange shows that a peer
+    // is ahead, which is asked once.
     let mut repair = Repair::new(1);
     repair.peer_holds(Duration::ZERO, 5, mark(3), mark(2));
     let pull = repair.tick(SECOND, mark(2), false);
@@ -33,16 +33,16 @@
 }
 
 #[test]
-fn a_push_that_arrives_meanwhile_saves_the_pull() {
+fn a_push_that_arrives_meanwhile_cancels_the_pull() {
     let mut repair = Repair::new(1);
     repair.peer_holds(Duration::ZERO, 5, mark(3), mark(2));
     assert_eq!(repair.tick(SECOND, mark(3), false), None);
 }
 
 #[test]
-fn a_silent_peer_is_given_up_and_another_one_asked() {
-    // The peer that was asked dies before it answers. A daemon that waited for
-    // ever would never pull again.
+fn a_pull_from_a_silent_peer_times_out_and_another_peer_is_asked() {
+    // The peer that was asked fails before it answers. A daemon that waited for ever would never
+    // pull again.
     let mut repair = Repair::new(1);
     repair.peer_holds(Duration::ZERO, 5, mark(3), mark(2));
     assert!(repair.tick(SECOND, mark(2), false).is_some());
@@ -54,9 +54,9 @@
 }
 
 #[test]
-fn a_herd_that_lags_does_not_pull_in_the_same_moment() {
-    // A cut heals and 76 daemons see at once that they are behind. All asking
-    // in the same instant would meet at the few that answer.
+fn daemons_that_are_behind_do_not_pull_at_the_same_time() {
+    // After a partition, 76 daemons notice at once that they are behind. If they all pulled in the
+    // same instant, they would overload the few that have the version.
     let mut due = Vec::new();
     for seed in 0..76 {
         let mut repair = Repair::new(seed);
--- a/crates/distribution/tests/all/replica.rs
+++ b/crates/distribution/tests/all/replica.rs
@@ -1,4 +1,4 @@
-//! What the replica lets in.
+//! Which versions the replica accepts.
 
 use std::sync::Arc;
 
@@ -8,10 +8,10 @@
 use crate::support::{T0, log, route, service_key};
 
 #[test]
-fn versions_that_cross_each_other_are_applied_in_order() {
-    // Two changes are pushed shortly after one another and the second arrives
-    // first. Applied at once it would skip the first; dropped, it would have to
-    // be sent again. It waits, and both come into force in order.
+fn versions_that_arrive_out_of_order_are_applied_in_order() {
+    // Two changes are pushed shortly after one another, and the second arrives first. If it were
+    // applied at once, the first would be skipped; if it were dropped, it would have to be sent
+    // again. It is kept, and both come into force in order.
     let (deltas, state) = log(3);
     let mut replica = Replica::default();
     let third = replica.offer_delta(T0, deltas[2].clone());
@@ -29,8 +29,8 @@
 
 #[test]
 fn an_older_state_never_replaces_a_newer_one() {
-    // A snapshot is slow on its way, and meanwhile a newer version arrived. If
-    // it were taken, callers would see a removed route come back.
+    // A snapshot is delayed in transit, and a newer version arrives first. If the snapshot were
+    // applied, callers would see a removed route come back.
     let (deltas, _) = log(3);
     let (_, older) = log(2);
     let mut replica = Replica::default();
@@ -42,9 +42,9 @@
 
 #[test]
 fn a_bad_digest_is_refused_whole_and_explained() {
-    // A delta was damaged or computed on another state. Applied in part or with
-    // other content, one proxy would route differently from all others under
-    // the same version. The old version stays, and a whole state is asked for.
+    // A delta is corrupt or was computed on another state. If it were applied in part or with other
+    // content, one proxy would route differently from all others under the same version. The old
+    // version stays in force, and a whole state is requested.
     let (deltas, state) = log(2);
     let mut replica = Replica::default();
     replica.offer_delta(T0, deltas[0].clone());
@@ -65,8 +65,8 @@
 
 #[test]
 fn a_dangling_route_is_refused_in_delta_and_state() {
-    // A version takes a service away under its route. A caller of that route
-    // would get "no such service" though the operator never meant it.
+    // A version deletes a service that a route still refers to. A caller of that route would get
+    // "no such service" although the operator never meant it.
     let (deltas, state) = log(1);
     let with_route = state.delta(vec![route("r", "s1")], Vec::new());
     let state = state.apply(&with_route).expect("the service is there");
@@ -75,7 +75,7 @@
     replica.offer_delta(T0, deltas[0].clone());
     replica.offer_delta(T0, Arc::new(with_route));
     let offer = replica.offer_delta(T0, Arc::new(dangling.clone()));
-    let Offer::Refused(row) = offer else {
+    let Offer::Refused(refused) = offer else {
         panic!("taken: {offer:?}");
     };
     let reason = Reason::Apply(ApplyError::DanglingReference {
@@ -85,7 +85,7 @@
         },
         to: service_key("s1"),
     });
-    assert_eq!(row.reason, reason);
+    assert_eq!(refused.reason, reason);
     let items = state.iter().filter(|(key, _)| **key != service_key("s1"));
     let items: Vec<_> = items.map(|(_, held)| held.clone()).collect();
     let whole = State::from_snapshot(3, items).expect("keys are unique");
@@ -95,15 +95,13 @@
 
 #[test]
 fn a_state_that_the_platform_does_not_know_is_refused() {
-    // A peer holds something else under the newest version's number. Without
-    // the head's digest both look right, and the fork would spread.
+    // A peer holds another state under the newest version's number. Without the head's digest both
+    // look valid, and the fork would spread.
     let (_, state) = log(2);
     let mut replica = Replica::default();
     replica.learn_head(2, Digest([9; 16]));
     let offer = replica.offer_state(T0, state);
-    assert!(
-        matches!(offer, Offer::Refused(row) if matches!(row.reason, Reason::NotTheHead { .. }))
-    );
+    assert!(matches!(offer, Offer::Refused(it) if matches!(it.reason, Reason::NotTheHead { .. })));
     let (deltas, _) = log(2);
     let offer = replica.offer_deltas(T0, deltas);
     assert!(matches!(offer, Offer::Applied(applied) if applied.len() == 1));
@@ -115,7 +113,7 @@
 }
 
 #[test]
-fn a_fork_is_noticed_and_settled_by_the_platform() {
+fn a_fork_is_recorded_and_resolved_by_the_platform() {
     let (deltas, state) = log(2);
     let mut replica = Replica::default();
     replica.offer_deltas(T0, deltas);
@@ -131,7 +129,7 @@
 }
 
 #[test]
-fn the_tail_says_when_it_no_longer_reaches_back() {
+fn deltas_that_are_no_longer_kept_are_reported() {
     let (deltas, _) = log(6);
     let mut replica = Replica::default().tail_capacity(3);
     replica.offer_deltas(T0, deltas.clone());
--- a/crates/distribution/tests/all/serving.rs
+++ b/crates/distribution/tests/all/serving.rs
@@ -1,12 +1,12 @@
-//! When a daemon that started may serve.
+//! When a daemon may serve after a start.
 
 use stoatstep_distribution::Serving;
 
 #[test]
 fn a_restarted_daemon_does_not_serve_below_its_former_version() {
-    // An instance served version 9, restarts, and the platform is out. One peer
-    // is behind at 8 but remembers that this instance reported 9. Serving 8
-    // would bring back what 9 removed; it waits until it holds 9.
+    // An instance that served version 9 restarts while the platform is out. One peer is behind at 8
+    // but knows that this instance reported 9. Serving by 8 would bring back what 9 removed, so the
+    // daemon waits until it holds 9.
     let mut serving = Serving::default();
     serving.platform_failed();
     serving.heard_peer(1, 8, 9);
@@ -16,9 +16,9 @@
 }
 
 #[test]
-fn it_serves_nothing_before_it_has_asked_enough() {
-    // A daemon that starts holds version 0 and knows of no floor. Were silence
-    // taken for "there is none", it would answer callers from an empty state.
+fn a_daemon_does_not_serve_before_enough_answers() {
+    // A daemon that starts holds version 0 and knows of no floor. If it took missing answers for
+    // "there is no floor", it would answer callers from an empty state.
     let mut serving = Serving::default();
     serving.platform_failed();
     assert!(!serving.may_serve(0, 10));
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn peers_do_not_stand_in_for_a_platform_that_was_not_asked() {
-    // An instance reads version 5 at the platform, serves by it and dies before
-    // it told anyone. It starts again, and two peers that hold version 4 answer
-    // before the platform does. Callers would see what 5 removed come back.
+fn peers_do_not_replace_a_platform_that_was_not_asked() {
+    // An instance reads version 5 at the platform, serves by it and crashes before any exchange. It
+    // starts again, and two peers that hold version 4 answer before the platform does. Callers
+    // would see what 5 removed come back.
     let mut serving = Serving::default();
     serving.heard_peer(1, 4, 0);
     serving.heard_peer(2, 4, 0);
@@ -56,9 +56,9 @@
 }
 
 #[test]
-fn who_wakes_hears_others_before_it_serves() {
-    // A daemon was frozen for a minute, during which a route was removed. It
-    // wakes, and its first caller would still be sent along that route.
+fn a_resumed_daemon_waits_for_answers_before_it_serves() {
+    // A daemon was frozen for a minute, during which a route was removed. It resumes, and would
+    // still send its first caller along that route.
     let mut serving = Serving::default();
     serving.heard_platform(4);
     assert!(serving.may_serve(4, 10));
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn who_wakes_alone_goes_on_by_what_it_holds() {
-    // A daemon wakes in a zone that was cut off meanwhile, and nobody answers.
-    // Refusing for ever would leave its callers with nothing.
+fn a_resumed_daemon_without_answers_serves_by_what_it_holds() {
+    // A daemon resumes in a zone that was cut off meanwhile, and no one answers. If it refused for
+    // ever, its callers would get nothing.
     let mut serving = Serving::default();
     serving.heard_platform(4);
     assert!(serving.may_serve(4, 10));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_freeze_during_the_start_does_not_spare_the_platform() {
+fn a_freeze_during_the_start_does_not_replace_the_read_of_the_platform() {
     let mut serving = Serving::default();
     serving.woke();
     serving.heard_peer(1, 4, 3);
--- a/crates/distribution/tests/all/sizes.rs
+++ b/crates/distribution/tests/all/sizes.rs
@@ -1,5 +1,5 @@
-//! Sizes on the wire, on which the byte budget rests. `--nocapture` prints
-//! them; `docs/design/spreading.md` quotes them.
+//! Sizes of encoded messages, on which the byte budget is based. `--nocapture` prints them;
+//! `docs/design/spreading.md` quotes them.
 
 use stoatstep_distribution::{LogReply, PushRequest};
 use stoatstep_membership::{Exchange, Mark, member_key};
--- a/crates/distribution/tests/all/spread.rs
+++ b/crates/distribution/tests/all/spread.rs
@@ -1,4 +1,4 @@
-//! Pushes down the trees.
+//! Pushes of a change down the trees.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -12,7 +12,7 @@
     pushes: BTreeMap<MemberKey, usize>,
 }
 
-/// Sends one version through the fleet; `dead` members answer nothing.
+/// Pushes one version through the fleet; the members in `dead` do not answer.
 fn push(view: &View, origin: MemberKey, version: u64, dead: &BTreeSet<MemberKey>) -> Outcome {
     let mut spreads: BTreeMap<MemberKey, Spread> = BTreeMap::new();
     let mut received: BTreeMap<MemberKey, u32> = BTreeMap::new();
@@ -39,9 +39,9 @@
 
 #[test]
 fn a_change_reaches_each_daemon_once() {
-    // The byte budget allows a change at most three times its own size at each
-    // daemon: once in, once out on average. A tree that overlaps itself breaks
-    // it, and one with a gap leaves a daemon to be repaired a second later.
+    // The byte budget allows each daemon at most three times a change's own size: once in, and once
+    // out on average. A tree that overlaps itself exceeds it, and one with a gap leaves a daemon to
+    // be repaired a second later.
     let view = view(8, 76);
     for version in 1..20 {
         let outcome = push(&view, 3005, version, &BTreeSet::new());
@@ -54,10 +54,10 @@
 }
 
 #[test]
-fn a_dead_inner_node_keeps_nobody_from_a_change() {
-    // A daemon dies and others have not noticed yet. Below it stand a third of
-    // its zone, whose callers would be routed by the old version for seconds.
-    // Whoever pushed to it pushes to its children in its place.
+fn a_failed_inner_node_does_not_delay_a_change() {
+    // A daemon fails, and others have not noticed yet. Below it is a third of its zone, which would
+    // route by the old version for seconds. The daemon that pushed to it pushes to its children in
+    // its place.
     let view = view(4, 76);
     let mut dead = BTreeSet::new();
     for version in 1..50 {
@@ -71,9 +71,9 @@
 }
 
 #[test]
-fn a_cut_zone_costs_a_bounded_number_of_pushes() {
-    // A whole zone can't be reached. Reaching past each of its 76 daemons would
-    // cost the origin as many timeouts; marks repair the zone after the cut.
+fn an_unreachable_zone_costs_a_bounded_number_of_pushes() {
+    // A whole zone is unreachable. To bypass each of its 76 daemons would cost the origin as many
+    // timeouts; the regular exchanges repair the zone after the partition.
     let view = view(2, 76);
     let dead = view["z1"].iter().copied().collect();
     let outcome = push(&view, 5, 1, &dead);
@@ -82,10 +82,10 @@
 }
 
 #[test]
-fn who_pulled_a_version_first_still_passes_it_on() {
-    // A daemon found the version in an exchange and pulled it; then the push
-    // arrives. If it kept quiet because it holds the version, everyone below it
-    // would wait for repair.
+fn a_daemon_that_pulled_a_version_still_passes_it_on() {
+    // A daemon found the version in an exchange and pulled it before the push arrives. If it did
+    // not pass the push on because it holds the version, all daemons below it would wait for
+    // repair.
     let view = view(1, 30);
     let mut spread = Spread::default();
     let root = spread.tree(9, &view["z0"]).roots()[0];
--- a/crates/distribution/tests/all/support.rs
+++ b/crates/distribution/tests/all/support.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Versions 1 to `n`, each with one more service.
+/// Returns versions 1 to `n`, each with one more service, and the last state.
 pub(crate) fn log(n: u64) -> (Vec<Arc<Delta>>, State) {
     let mut state = State::default();
     let mut deltas = Vec::new();
--- a/crates/rollout/tests/all/book.rs
+++ b/crates/rollout/tests/all/book.rs
@@ -17,30 +17,28 @@
     Progress::ordered(order(id), Duration::ZERO, 100 * S).at(step)
 }
 
-/// Words of three daemons cross each other on the way. Whatever the order in which they
-/// come in, a daemon ends where the furthest one was: were an older word to win, calls
-/// would go back to a version that was found bad.
+/// Updates of three daemons arrive out of order. Whatever the order, a daemon ends at the furthest
+/// step: if an older update won, calls would go back to a version that was found bad.
 #[test]
-fn words_in_any_order_lead_to_the_same_end() {
-    let words = [
+fn updates_in_any_order_lead_to_the_same_step() {
+    let updates = [
         progress(1, Step::RolledBack),
         progress(2, Step::Trial),
         progress(2, Step::Halted),
         progress(2, Step::Load),
     ];
-    for first in 0..words.len() {
+    for first in 0..updates.len() {
         let mut book = Book::default();
-        for at in 0..words.len() {
-            book.hear(words[(first + at * 3) % words.len()].clone(), S);
+        for at in 0..updates.len() {
+            book.hear(updates[(first + at * 3) % updates.len()].clone(), S);
         }
-        let known = book.get("floatdesk").expect("it was heard of");
+        let known = book.get("floatdesk").expect("its progress was applied");
         assert_eq!((known.order.id, known.step), (2, Step::Halted), "{first}");
     }
 }
 
-/// One daemon halts a version at the very moment at which another has settled that the
-/// service has moved, and its old targets are ending. The word that was settled wins, or
-/// calls would go back to targets that are gone.
+/// One daemon halts a version while another stores its completion and the old targets exit. The
+/// stored step takes precedence, or calls would go back to targets that are gone.
 #[test]
 fn what_was_settled_overrules_a_halt() {
     let mut book = Book::default();
@@ -56,7 +54,7 @@
 }
 
 #[test]
-fn a_completed_move_binds_until_the_old_side_is_gone() {
+fn a_completed_step_is_in_effect_until_the_old_side_is_gone() {
     let mut book = Book::default();
     book.hear(progress(1, Step::Completed), S);
     assert!(book.binding("floatdesk", 5 * S).is_some());
@@ -64,14 +62,14 @@
 }
 
 #[test]
-fn a_version_that_was_rolled_back_stays_barred() {
+fn a_rolled_back_version_stays_excluded() {
     let mut book = Book::default();
     book.hear(progress(1, Step::RolledBack), S);
     assert!(book.binding("floatdesk", 3600 * S).is_some());
 }
 
 #[test]
-fn peers_are_told_of_an_end_for_a_while() {
+fn an_end_is_gossiped_for_a_while() {
     let mut book = Book::default();
     book.hear(progress(1, Step::Completed), S);
     assert_eq!(book.news(2 * S).len(), 1);
--- a/crates/rollout/tests/all/service.rs
+++ b/crates/rollout/tests/all/service.rs
@@ -1,9 +1,10 @@
-//! Whole roll-outs of a service in virtual time: many seeds for each kind of version.
+//! Simulation of whole roll-outs of a service in virtual time, with many seeds for each kind of
+//! version.
 //!
-//! The service has 69 targets of 6 slots, four fifths of them in use, and two routes, one
-//! of which has a tenth of the calls. Every target differs in speed. The roll-out lasts
-//! 15 s and is looked at twice a second by what five targets of the new side and six of
-//! the old one saw.
+//! The service has 69 targets of 6 slots, four fifths of them in use, and two routes, one of which
+//! has a tenth of the calls. Every target differs in speed. The roll-out lasts 15 s and is
+//! evaluated twice a second from the evidence of five targets of the new side and six of the old
+//! one.
 
 use std::time::Duration;
 
@@ -20,22 +21,22 @@
 const BEGUN: Duration = Duration::from_secs(1_000);
 const SEEDS: u64 = 1_000;
 
-/// Targets of the new side that are tried, and those of the old side that are asked.
-const TRIED: usize = 5;
+/// Number of canaries, and of targets of the old side whose evidence is used.
+const CANARIES: usize = 5;
 const ASKED: usize = 6;
 
-/// Part of the calls that the rare route has.
+/// Part of the calls that goes to the rare route.
 const RARE: f64 = 0.1;
 
 /// What is wrong with the version, or with single targets.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Kind {
     Good,
-    /// One of the targets tried fails two calls in five.
+    /// One of the canaries fails two calls in five.
     OneGrey,
     /// A sixth of all targets, of either side, are five times as slow.
     SomeSlow,
-    /// A tenth of the calls of either side fails, for want of another service.
+    /// A tenth of the calls of either side fails, because a dependency is short of capacity.
     ShortService,
     Fails,
     Slow,
@@ -60,7 +61,7 @@
 }
 
 impl Run {
-    /// Has the target end the calls of one look's span.
+    /// Runs the calls that the target gets in one evaluation interval.
     fn serve(&mut self, target: &mut Target, per_s: f64, span: Duration) {
         let mean = per_s * span.as_secs_f64();
         let whole = mean.floor();
@@ -97,7 +98,7 @@
         target.tally.record(&route, fails, took, self.at);
     }
 
-    /// Part of the rare route among the calls that are tried.
+    /// Returns the part of the rare route among the calls that are tried.
     fn part_of_rare(&self) -> f64 {
         let mut mix = Mix::default();
         for call in 0..100 {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Whether calls of the new version may go wrong now.
+    /// Returns whether calls of the new version may fail or be slow now.
     fn is_bad(&self, rare: bool) -> bool {
         match self.kind {
             Kind::Good | Kind::OneGrey | Kind::SomeSlow | Kind::ShortService => false,
@@ -123,20 +124,20 @@
     }
 }
 
-/// How one roll-out went: what it was found to be, when, and the part of the service's calls
-/// that the new side got by then.
-struct Ended {
+/// The outcome of one roll-out: how the version was found bad, if it was, and the part of the
+/// service's calls that the new side got by then.
+struct Outcome {
     badness: Option<Badness>,
     exposed: f64,
 }
 
-fn roll_out(kind: Kind, seed: u64) -> Ended {
+fn roll_out(kind: Kind, seed: u64) -> Outcome {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
-    let mut targets: Vec<Target> = (0..TRIED + ASKED)
+    let mut targets: Vec<Target> = (0..CANARIES + ASKED)
         .map(|n| Target {
             tally: Tally::default(),
             speed: [0.6, 1.0, 1.4][rng.random_range(0..3)],
-            is_new: n < TRIED,
+            is_new: n < CANARIES,
             is_grey: kind == Kind::OneGrey && n == 0,
             is_slow: kind == Kind::SomeSlow && rng.random_bool(1.0 / 6.0),
         })
@@ -183,35 +184,36 @@
             side.iter().map(|it| it.tally.evidence(0, run.at)).collect()
         };
         if let Verdict::Bad(seen) = judge(&evidence(new), &evidence(old)) {
-            return Ended {
+            return Outcome {
                 badness: Some(seen.badness),
                 exposed,
             };
         }
     }
-    Ended {
+    Outcome {
         badness: None,
         exposed,
     }
 }
 
-/// Roll-outs of this kind that were found bad, and the largest exposure of those.
-fn condemned(kind: Kind) -> (u64, f64) {
+/// Returns the number of roll-outs of this kind that were found bad, and the largest exposure of
+/// those.
+fn count_rejected(kind: Kind) -> (u64, f64) {
     let mut bad = 0;
     let mut worst: f64 = 0.0;
     for seed in 0..SEEDS {
-        let ended = roll_out(kind, seed);
-        if ended.badness.is_some() {
+        let outcome = roll_out(kind, seed);
+        if outcome.badness.is_some() {
             bad += 1;
-            worst = worst.max(ended.exposed);
+            worst = worst.max(outcome.exposed);
         }
     }
     println!("{kind:?}: {bad} of {SEEDS} found bad, exposure at most {worst:.4}");
     (bad, worst)
 }
 
-/// The operator orders a version that is as good as the old one. Fewer than one in 1,000
-/// may be sent back: none of these, also where single targets, or a service that both sides call, fail.
+/// Fewer than one in 1,000 versions that are as good as the old one may be rolled back: none of
+/// these, even if single targets, or a dependency of both sides, fail.
 #[test]
 fn good_versions_are_not_condemned() {
     for kind in [
@@ -220,13 +222,13 @@
         Kind::ShortService,
         Kind::SomeSlow,
     ] {
-        let (bad, _) = condemned(kind);
+        let (bad, _) = count_rejected(kind);
         assert_eq!(bad, 0, "{kind:?}");
     }
 }
 
-/// The version fails or is slow in one of the ways in which versions are bad. Every one is
-/// found, and before it had the part of the calls that it may get.
+/// Each version fails or is slow in one of the ways in which versions are bad. Every one must be
+/// found before it had its part of the calls.
 #[test]
 fn bad_versions_are_found_within_the_exposure() {
     for kind in [
@@ -236,7 +238,7 @@
         Kind::Late,
         Kind::UnderLoad,
     ] {
-        let (bad, worst) = condemned(kind);
+        let (bad, worst) = count_rejected(kind);
         assert_eq!(bad, SEEDS, "{kind:?}");
         assert!(worst < 0.1, "{kind:?}: {worst}");
     }
--- a/crates/rollout/tests/all/tally.rs
+++ b/crates/rollout/tests/all/tally.rs
@@ -6,7 +6,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn recent_runs_are_told_from_those_before() {
+fn recent_runs_are_counted_separately() {
     let route: SmolStr = "r-claims".into();
     let mut tally = Tally::default();
     tally.begin(1);
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn another_order_begins_anew_and_the_same_one_does_not() {
+fn another_order_clears_the_counts_and_the_same_one_does_not() {
     let mut tally = Tally::default();
     tally.begin(1);
     tally.record(&"r".into(), false, MS, Duration::ZERO);
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn the_middle_run_time_has_as_many_runs_below_as_above() {
+fn the_median_class_has_as_many_runs_below_as_above() {
     let mut tally = Tally::default();
     tally.begin(1);
     for ms in [100, 110, 120, 130, 2_000] {
