--- a/crates/rollout/src/canaries.rs
+++ b/crates/rollout/src/canaries.rs
@@ -12,7 +12,7 @@
 
 /// Maximum part of the service's calls that the canaries may take at full load. It limits the
 /// number of canaries of a service with few targets.
-const MAX_LOAD: f64 = 0.16;
+const MAX_CANARY_LOAD: f64 = 0.16;
 
 /// The targets of the new side that are tried first. Every daemon that knows the same members
 /// chooses the same ones, so no message about them is needed.
@@ -39,7 +39,7 @@
     /// Returns the number of canaries for an old side with `old` targets.
     #[must_use]
     pub fn count(old: usize) -> usize {
-        let fit = (1..=MAX_CANARIES).take_while(|count| load(*count, old) <= MAX_LOAD);
+        let fit = (1..=MAX_CANARIES).take_while(|count| load(*count, old) <= MAX_CANARY_LOAD);
         fit.count().max(1)
     }
 
--- a/crates/rollout/src/mix.rs
+++ b/crates/rollout/src/mix.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of routes that are counted separately. A service has a few; calls of other routes
 /// are tried as often as those of the average route.
-const MAX_ROUTES: usize = 64;
+const MAX_WEIGHTED_ROUTES: usize = 64;
 
 /// Minimum number of calls before routes are weighted.
 const MIN_CALLS: u32 = 20;
@@ -31,7 +31,7 @@
     /// tried as the service's calls on average.
     pub fn take(&mut self, route: &SmolStr) -> f64 {
         let is_known = self.calls.contains_key(route);
-        if !is_known && self.calls.len() >= MAX_ROUTES {
+        if !is_known && self.calls.len() >= MAX_WEIGHTED_ROUTES {
             return 1.0;
         }
         self.all = self.all.saturating_add(1);
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -31,7 +31,7 @@
 
 /// Maximum duration of the load step, as a part of the roll-out's duration. A target that is bad
 /// under load shows it within two seconds of the step, in a roll-out of the usual fifteen.
-const MAX_LOAD: f64 = 0.15;
+const MAX_LOAD_PART: f64 = 0.15;
 
 /// Minimum time for all daemons to learn of the last step and for the old side to finish its calls.
 /// A run takes some tenths of a second, and a call may wait as long before it.
@@ -56,9 +56,9 @@
     #[must_use]
     pub fn new(lasts: Duration, exposure: f64, load: f64) -> Self {
         let budget = lasts.mul_f64(exposure.clamp(0.0, 1.0) * PLANNED_PART);
-        let max_load = lasts.mul_f64(MAX_LOAD);
+        let max_load_duration = lasts.mul_f64(MAX_LOAD_PART);
         let load_duration =
-            (budget.mul_f64(LOAD_BUDGET).div_f64(load.max(f64::EPSILON))).min(max_load);
+            (budget.mul_f64(LOAD_BUDGET).div_f64(load.max(f64::EPSILON))).min(max_load_duration);
         let spent = lasts.mul_f64(TRIAL_SHARE) + load_duration.mul_f64(load);
         let all = budget.saturating_sub(spent).max(MIN_ALL).min(lasts);
         Self {
