--- a/crates/distribution/tests/all/roster_looks.rs
+++ b/crates/distribution/tests/all/roster_looks.rs
@@ -33,7 +33,7 @@
 
 /// Starts `size` daemons whose rows are written at random times, and returns after `bound` how many
 /// are in the same part of the fleet as the first one.
-fn found_by(bound: Time, seed: u64, size: usize) -> usize {
+fn connected_by(bound: Time, seed: u64, size: usize) -> usize {
     let mut rng = Xoshiro256PlusPlus::seed_from_u64(seed);
     let mut all: Vec<_> = (0..size)
         .map(|number| {
@@ -73,8 +73,8 @@
 fn a_herd_that_starts_at_once_is_one_fleet_within_five_seconds() {
     for seed in 0..300 {
         for size in [2, 4, 12] {
-            let found = found_by(Time::from_secs(5), seed, size);
-            assert_eq!(found, size, "seed {seed}");
+            let connected = connected_by(Time::from_secs(5), seed, size);
+            assert_eq!(connected, size, "seed {seed}");
         }
     }
 }
--- a/crates/rollout/src/book.rs
+++ b/crates/rollout/src/book.rs
@@ -36,7 +36,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Entry {
+struct Record {
     progress: Progress,
     /// When this daemon learned of the order, and when it learned of the present step.
     received: Time,
@@ -46,30 +46,30 @@
 /// The newest known progress of each service's roll-out.
 #[derive(Clone, Debug, Default)]
 pub struct Book {
-    entries: BTreeMap<SmolStr, Entry>,
+    records: BTreeMap<SmolStr, Record>,
 }
 
 impl Book {
     /// Applies a progress that was reported by a peer, read from the store or decided here.
     pub fn hear(&mut self, progress: Progress, now: Time) -> Change {
         let service = &progress.order.service;
-        let Some(entry) = self.entries.get_mut(service) else {
-            if self.entries.len() < MAX_SERVICES {
+        let Some(record) = self.records.get_mut(service) else {
+            if self.records.len() < MAX_SERVICES {
                 let service = service.clone();
-                self.entries.insert(service, Entry::new(progress, now));
+                self.records.insert(service, Record::new(progress, now));
                 return Change::Moved { from: None };
             }
             return Change::None;
         };
-        if !progress.overrules(&entry.progress) {
+        if !progress.overrules(&record.progress) {
             return Change::None;
         }
-        let is_same = progress.order.id == entry.progress.order.id;
-        let from = is_same.then_some(entry.progress.step);
-        let received = if is_same { entry.received } else { now };
-        *entry = Entry {
+        let is_same = progress.order.id == record.progress.order.id;
+        let from = is_same.then_some(record.progress.step);
+        let received = if is_same { record.received } else { now };
+        *record = Record {
             received,
-            ..Entry::new(progress, now)
+            ..Record::new(progress, now)
         };
         Change::Moved { from }
     }
@@ -77,14 +77,14 @@
     /// Returns the known progress of a service's roll-out.
     #[must_use]
     pub fn get(&self, service: &str) -> Option<&Progress> {
-        self.entries.get(service).map(|it| &it.progress)
+        self.records.get(service).map(|it| &it.progress)
     }
 
     /// Iterates over the roll-outs that have not ended, each with the time since this daemon
     /// learned of the order and the time since it learned of the present step.
     pub fn open(&self, now: Time) -> impl Iterator<Item = (&Progress, Duration, Duration)> {
         let open = self
-            .entries
+            .records
             .values()
             .filter(|it| !it.progress.step.is_final());
         open.map(move |it| {
@@ -96,17 +96,17 @@
     /// Returns the progress to gossip: roll-outs that have not ended or ended recently.
     #[must_use]
     pub fn news(&self, now: Time) -> Vec<Progress> {
-        let should_gossip = |it: &&Entry| {
+        let should_gossip = |it: &&Record| {
             !it.progress.step.is_final() || now.saturating_sub(it.updated) < GOSSIP_ENDED_FOR
         };
-        let entries = self.entries.values().filter(should_gossip);
-        entries.map(|it| it.progress.clone()).collect()
+        let records = self.records.values().filter(should_gossip);
+        records.map(|it| it.progress.clone()).collect()
     }
 
     /// Returns the progress of all services, for a peer that has just started.
     #[must_use]
     pub fn all(&self) -> Vec<Progress> {
-        self.entries
+        self.records
             .values()
             .map(|it| it.progress.clone())
             .collect()
@@ -115,15 +115,15 @@
     /// Returns the step that calls for a service must follow now, with the version it is about.
     #[must_use]
     pub fn binding(&self, service: &str, now: Time) -> Option<(Step, &Software)> {
-        let entry = self.entries.get(service)?;
-        let step = entry.progress.step;
+        let record = self.records.get(service)?;
+        let step = record.progress.step;
         let is_over =
-            step == Step::Completed && now.saturating_sub(entry.updated) > EXCLUDE_OLD_FOR;
-        (!is_over).then_some((step, &entry.progress.order.target))
+            step == Step::Completed && now.saturating_sub(record.updated) > EXCLUDE_OLD_FOR;
+        (!is_over).then_some((step, &record.progress.order.target))
     }
 }
 
-impl Entry {
+impl Record {
     fn new(progress: Progress, now: Time) -> Self {
         Self {
             progress,
