--- a/crates/mesh/src/rollout/judge.rs
+++ b/crates/mesh/src/rollout/judge.rs
@@ -69,7 +69,7 @@
         return Vec::new();
     };
     let book = node.rollouts.book.borrow();
-    let open = book.open(node.clock.now());
+    let open = book.unfinished(node.clock.now());
     let turns = open.filter_map(|(progress, heard_for, at_step_for)| {
         let order = &progress.order;
         let view = View::of(node, &order.service, &order.target);
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -15,7 +15,7 @@
 
 use stoatstep_calls::Time;
 use stoatstep_resource::ServiceName;
-use stoatstep_rollout::{Book, Canaries, Change, Lane, Mix, Order, Progress, Side, Step};
+use stoatstep_rollout::{Canaries, Change, Lane, Mix, Order, Progress, ProgressTable, Side, Step};
 use stoatstep_telemetry::fields;
 
 use crate::clock::unix_time;
@@ -36,7 +36,7 @@
 /// What a daemon knows of roll-outs, and what follows for calls.
 #[derive(Default)]
 pub(crate) struct Rollouts {
-    book: RefCell<Book>,
+    book: RefCell<ProgressTable>,
     lanes: RefCell<HashMap<ServiceName, Lane>>,
     /// Calls by route of the services that are under a roll-out.
     mixes: RefCell<HashMap<ServiceName, Mix>>,
@@ -49,7 +49,7 @@
 impl Rollouts {
     /// What peers are told in the regular exchanges.
     pub(crate) fn news(&self, now: Time) -> Vec<Progress> {
-        self.book.borrow().news(now)
+        self.book.borrow().gossip(now)
     }
 
     /// What a peer is told that has just started.
@@ -149,8 +149,8 @@
 /// Takes in how far a roll-out has come, and passes on what is news.
 pub(crate) fn hear(node: &Rc<Node>, progress: &Progress, source: Source) {
     let now = node.clock.now();
-    let change = node.rollouts.book.borrow_mut().hear(progress.clone(), now);
-    let Change::Moved { from } = change else {
+    let change = node.rollouts.book.borrow_mut().apply(progress.clone(), now);
+    let Change::Updated { from } = change else {
         return;
     };
     let order = &progress.order;
@@ -173,7 +173,7 @@
     let mut lanes = HashMap::new();
     for progress in book.all() {
         let service = &progress.order.service;
-        let Some((step, target)) = book.binding(service, now) else {
+        let Some((step, target)) = book.effective_step(service, now) else {
             continue;
         };
         let view = View::of(node, service, target);
--- a/crates/rollout/src/book.rs
+++ b/crates/rollout/src/book.rs
@@ -29,7 +29,7 @@
     /// Nothing: the reported progress was already known or is older.
     None,
     /// The service has a newer order, or its roll-out is at another step.
-    Moved {
+    Updated {
         /// The previously known step of this order; `None` if the order is new.
         from: Option<Step>,
     },
@@ -45,19 +45,19 @@
 
 /// The newest known progress of each service's roll-out.
 #[derive(Clone, Debug, Default)]
-pub struct Book {
+pub struct ProgressTable {
     records: BTreeMap<SmolStr, Record>,
 }
 
-impl Book {
+impl ProgressTable {
     /// Applies a progress that was reported by a peer, read from the store or decided here.
-    pub fn hear(&mut self, progress: Progress, now: Time) -> Change {
+    pub fn apply(&mut self, progress: Progress, now: Time) -> Change {
         let service = &progress.order.service;
         let Some(record) = self.records.get_mut(service) else {
             if self.records.len() < MAX_SERVICES {
                 let service = service.clone();
                 self.records.insert(service, Record::new(progress, now));
-                return Change::Moved { from: None };
+                return Change::Updated { from: None };
             }
             return Change::None;
         };
@@ -71,7 +71,7 @@
             received,
             ..Record::new(progress, now)
         };
-        Change::Moved { from }
+        Change::Updated { from }
     }
 
     /// Returns the known progress of a service's roll-out.
@@ -82,12 +82,12 @@
 
     /// Iterates over the roll-outs that have not ended, each with the time since this daemon
     /// learned of the order and the time since it learned of the present step.
-    pub fn open(&self, now: Time) -> impl Iterator<Item = (&Progress, Duration, Duration)> {
-        let open = self
+    pub fn unfinished(&self, now: Time) -> impl Iterator<Item = (&Progress, Duration, Duration)> {
+        let unfinished = self
             .records
             .values()
             .filter(|it| !it.progress.step.is_final());
-        open.map(move |it| {
+        unfinished.map(move |it| {
             let since = |at: Time| now.saturating_sub(at);
             (&it.progress, since(it.received), since(it.updated))
         })
@@ -95,7 +95,7 @@
 
     /// Returns the progress to gossip: roll-outs that have not ended or ended recently.
     #[must_use]
-    pub fn news(&self, now: Time) -> Vec<Progress> {
+    pub fn gossip(&self, now: Time) -> Vec<Progress> {
         let should_gossip = |it: &&Record| {
             !it.progress.step.is_final() || now.saturating_sub(it.updated) < GOSSIP_ENDED_FOR
         };
@@ -114,7 +114,7 @@
 
     /// Returns the step that calls for a service must follow now, with the version it is about.
     #[must_use]
-    pub fn binding(&self, service: &str, now: Time) -> Option<(Step, &Software)> {
+    pub fn effective_step(&self, service: &str, now: Time) -> Option<(Step, &Software)> {
         let record = self.records.get(service)?;
         let step = record.progress.step;
         let is_over =
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -30,7 +30,7 @@
 mod progress;
 mod tally;
 
-pub use book::{Book, Change};
+pub use book::{Change, ProgressTable};
 pub use canaries::Canaries;
 pub use judge::{Badness, Seen, Verdict, judge};
 pub use lane::{Lane, Side};
--- a/crates/rollout/tests/all/book.rs
+++ b/crates/rollout/tests/all/book.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use stoatstep_rollout::{Book, Change, Order, Progress, Step};
+use stoatstep_rollout::{Change, Order, Progress, ProgressTable, Step};
 
 const S: Duration = Duration::from_secs(1);
 
@@ -28,11 +28,11 @@
         progress(2, Step::Load),
     ];
     for first in 0..updates.len() {
-        let mut book = Book::default();
+        let mut table = ProgressTable::default();
         for at in 0..updates.len() {
-            book.hear(updates[(first + at * 3) % updates.len()].clone(), S);
+            table.apply(updates[(first + at * 3) % updates.len()].clone(), S);
         }
-        let known = book.get("floatdesk").expect("its progress was applied");
+        let known = table.get("floatdesk").expect("its progress was applied");
         assert_eq!((known.order.id, known.step), (2, Step::Halted), "{first}");
     }
 }
@@ -41,38 +41,38 @@
 /// stored step takes precedence, or calls would go back to targets that are gone.
 #[test]
 fn what_was_settled_overrules_a_halt() {
-    let mut book = Book::default();
-    book.hear(progress(1, Step::Halted), S);
-    let change = book.hear(progress(1, Step::Completed), S);
+    let mut table = ProgressTable::default();
+    table.apply(progress(1, Step::Halted), S);
+    let change = table.apply(progress(1, Step::Completed), S);
     assert_eq!(
         change,
-        Change::Moved {
+        Change::Updated {
             from: Some(Step::Halted)
         }
     );
-    assert_eq!(book.hear(progress(1, Step::Halted), S), Change::None);
+    assert_eq!(table.apply(progress(1, Step::Halted), S), Change::None);
 }
 
 #[test]
 fn a_completed_step_is_in_effect_until_the_old_side_is_gone() {
-    let mut book = Book::default();
-    book.hear(progress(1, Step::Completed), S);
-    assert!(book.binding("floatdesk", 5 * S).is_some());
-    assert!(book.binding("floatdesk", 60 * S).is_none());
+    let mut table = ProgressTable::default();
+    table.apply(progress(1, Step::Completed), S);
+    assert!(table.effective_step("floatdesk", 5 * S).is_some());
+    assert!(table.effective_step("floatdesk", 60 * S).is_none());
 }
 
 #[test]
 fn a_rolled_back_version_stays_excluded() {
-    let mut book = Book::default();
-    book.hear(progress(1, Step::RolledBack), S);
-    assert!(book.binding("floatdesk", 3600 * S).is_some());
+    let mut table = ProgressTable::default();
+    table.apply(progress(1, Step::RolledBack), S);
+    assert!(table.effective_step("floatdesk", 3600 * S).is_some());
 }
 
 #[test]
 fn an_end_is_gossiped_for_a_while() {
-    let mut book = Book::default();
-    book.hear(progress(1, Step::Completed), S);
-    assert_eq!(book.news(2 * S).len(), 1);
-    assert_eq!(book.news(60 * S).len(), 0);
-    assert_eq!(book.all().len(), 1);
+    let mut table = ProgressTable::default();
+    table.apply(progress(1, Step::Completed), S);
+    assert_eq!(table.gossip(2 * S).len(), 1);
+    assert_eq!(table.gossip(60 * S).len(), 0);
+    assert_eq!(table.all().len(), 1);
 }
