--- a/crates/mesh/src/entry/divided.rs
+++ b/crates/mesh/src/entry/divided.rs
@@ -2,14 +2,14 @@
 
 use rand::RngExt;
 use stoatstep_calls::{Reason, TargetFilter};
-use stoatstep_rollout::{Lane, Side, Step};
+use stoatstep_rollout::{RolloutRouting, Side, Step};
 
 use super::call::Call;
 use crate::node::Node;
 use crate::wire::End;
 
 /// The side of one call, and how it changes from attempt to attempt.
-pub(super) struct Divided(Option<(Lane, Side)>);
+pub(super) struct Divided(Option<(RolloutRouting, Side)>);
 
 impl Divided {
     /// Draws the side of a call. One of a service that is not under a roll-out has none.
@@ -24,7 +24,7 @@
             None => TargetFilter::All,
             Some((lane, Side::Old)) => TargetFilter::OtherSoftware(&lane.target),
             Some((lane, Side::New)) => TargetFilter::Software(&lane.target),
-            Some((lane, Side::Tried)) => TargetFilter::Named(lane.canaries.names()),
+            Some((lane, Side::Canary)) => TargetFilter::Named(lane.canaries.names()),
         }
     }
 
@@ -36,7 +36,7 @@
             return;
         };
         let is_held = matches!(end, End::Refused(it) if it.reason == Reason::Held);
-        if is_held || *side == Side::Tried {
+        if is_held || *side == Side::Canary {
             *side = side.other();
         }
     }
--- a/crates/mesh/src/rollout/judge.rs
+++ b/crates/mesh/src/rollout/judge.rs
@@ -155,7 +155,7 @@
     /// What the evidence says; `None` for a daemon that is cut off from the old side. What
     /// it has seen alone is no comparison, and it must not end a roll-out by it.
     async fn look(&self, node: &Rc<Node>) -> Option<Verdict> {
-        let is_tried = |peer: &&Peer| self.canaries.has(&peer.upstream);
+        let is_tried = |peer: &&Peer| self.canaries.contains(&peer.upstream);
         let tried: Vec<Peer> = self.view.new.iter().filter(is_tried).cloned().collect();
         let order = &self.progress.order;
         let mut old = self.view.old.clone();
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -15,7 +15,9 @@
 
 use stoatstep_calls::Time;
 use stoatstep_resource::ServiceName;
-use stoatstep_rollout::{Canaries, Change, Lane, Mix, Order, Progress, ProgressTable, Side, Step};
+use stoatstep_rollout::{
+    Canaries, Change, Order, Progress, ProgressTable, RolloutRouting, RouteMix, Side, Step,
+};
 use stoatstep_telemetry::fields;
 
 use crate::clock::unix_time;
@@ -37,9 +39,9 @@
 #[derive(Default)]
 pub(crate) struct Rollouts {
     book: RefCell<ProgressTable>,
-    lanes: RefCell<HashMap<ServiceName, Lane>>,
+    lanes: RefCell<HashMap<ServiceName, RolloutRouting>>,
     /// Calls by route of the services that are under a roll-out.
-    mixes: RefCell<HashMap<ServiceName, Mix>>,
+    mixes: RefCell<HashMap<ServiceName, RouteMix>>,
     /// When a judge last had word of other targets of its service.
     in_touch: Cell<Option<Time>>,
     /// A question to the host goes on.
@@ -59,13 +61,13 @@
 
     /// The side of a call, where its service is under a roll-out, with how the service's
     /// calls are divided.
-    pub(crate) fn divide(&self, call: &CallParts, draw: u32) -> Option<(Lane, Side)> {
+    pub(crate) fn divide(&self, call: &CallParts, draw: u32) -> Option<(RolloutRouting, Side)> {
         let lane = self.lanes.borrow().get(&call.service)?.clone();
         let weight = match lane.step {
             Step::Trial => {
                 let mut mixes = self.mixes.borrow_mut();
                 let mix = mixes.entry(call.service.clone()).or_default();
-                mix.take(&call.route)
+                mix.record_call(&call.route)
             }
             _ => 1.0,
         };
@@ -178,7 +180,7 @@
         };
         let view = View::of(node, service, target);
         let names = view.new.iter().map(|it| it.upstream.clone());
-        let lane = Lane {
+        let lane = RolloutRouting {
             target: target.clone(),
             step,
             canaries: Canaries::choose(progress.order.id, names, view.old.len()),
--- a/crates/rollout/src/canaries.rs
+++ b/crates/rollout/src/canaries.rs
@@ -64,7 +64,7 @@
 
     /// Returns whether this target is a canary.
     #[must_use]
-    pub fn has(&self, upstream: &str) -> bool {
+    pub fn contains(&self, upstream: &str) -> bool {
         self.names.iter().any(|it| it == upstream)
     }
 
--- a/crates/rollout/src/lane.rs
+++ b/crates/rollout/src/lane.rs
@@ -11,7 +11,7 @@
     /// Targets of every version but the ordered one.
     Old,
     /// The canaries: the targets of the ordered version that are tried first.
-    Tried,
+    Canary,
     /// All targets of the ordered version.
     New,
 }
@@ -23,14 +23,14 @@
     pub fn other(self) -> Self {
         match self {
             Self::Old => Self::New,
-            Self::Tried | Self::New => Self::Old,
+            Self::Canary | Self::New => Self::Old,
         }
     }
 }
 
 /// The state of a roll-out by which calls for one service are routed.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Lane {
+pub struct RolloutRouting {
     /// The version that was ordered.
     pub target: Software,
     /// The present step of the roll-out.
@@ -43,10 +43,10 @@
     pub due: UnixTime,
 }
 
-impl Lane {
+impl RolloutRouting {
     /// Chooses the side of a call by `draw`, a number drawn evenly from 0 to 1. Calls of a route
     /// with weight `weight` are tried that many times as often as the service's calls on average,
-    /// see [`Mix`](crate::Mix).
+    /// see [`RouteMix`](crate::RouteMix).
     #[must_use]
     pub fn side(&self, draw: f64, weight: f64, now: UnixTime) -> Side {
         match self.step_at(now) {
@@ -54,8 +54,8 @@
             // already, or this daemon has just met its first peers. In the second case the
             // executors know more and refuse.
             Step::Ordered | Step::Trial | Step::Load if self.old == 0 => Side::New,
-            Step::Trial if draw < TRIAL_SHARE * weight => Side::Tried,
-            Step::Load if draw < self.canaries.load() => Side::Tried,
+            Step::Trial if draw < TRIAL_SHARE * weight => Side::Canary,
+            Step::Load if draw < self.canaries.load() => Side::Canary,
             Step::All | Step::Completed => Side::New,
             Step::Ordered | Step::Trial | Step::Load | Step::Halted | Step::RolledBack => Side::Old,
         }
@@ -78,7 +78,9 @@
         let is_new = software == self.target;
         match self.step {
             Step::Ordered => !is_new || self.old == 0,
-            Step::Trial | Step::Load => !is_new || self.old == 0 || self.canaries.has(upstream),
+            Step::Trial | Step::Load => {
+                !is_new || self.old == 0 || self.canaries.contains(upstream)
+            }
             Step::Halted | Step::RolledBack => !is_new,
             Step::All | Step::Completed => is_new,
         }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -5,7 +5,7 @@
 //! old ones. From then on the service has two [`Side`]s, and every daemon decides by the newest
 //! [`Progress`] that it knows:
 //!
-//! * *Entries* send calls to one side or the other, see [`Lane`].
+//! * *Entries* send calls to one side or the other, see [`RolloutRouting`].
 //! * *Executors* of targets of the new side refuse, without running it, any call that the step does
 //!   not allow, so that an entry that does not know the present step does no harm.
 //! * The daemons of the [`Canaries`], the few targets that are tried first, see every answer of
@@ -33,8 +33,8 @@
 pub use book::{Change, ProgressTable};
 pub use canaries::Canaries;
 pub use judge::{Badness, Seen, Verdict, judge};
-pub use lane::{Lane, Side};
-pub use mix::Mix;
+pub use lane::{RolloutRouting, Side};
+pub use mix::RouteMix;
 pub use order::{Order, OrderId, Software};
 pub use plan::Plan;
 pub use progress::{Progress, Step, UnixTime};
--- a/crates/rollout/src/mix.rs
+++ b/crates/rollout/src/mix.rs
@@ -21,15 +21,15 @@
 /// tenth of the calls, two were not found before the deadline. With equally many calls of each
 /// route all of them are found, and the total number of calls tried is the same.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Mix {
+pub struct RouteMix {
     calls: BTreeMap<SmolStr, u32>,
     all: u32,
 }
 
-impl Mix {
+impl RouteMix {
     /// Counts a call and returns the weight of its route: how many times as often its calls are
     /// tried as the service's calls on average.
-    pub fn take(&mut self, route: &SmolStr) -> f64 {
+    pub fn record_call(&mut self, route: &SmolStr) -> f64 {
         let is_known = self.calls.contains_key(route);
         if !is_known && self.calls.len() >= MAX_WEIGHTED_ROUTES {
             return 1.0;
--- a/crates/rollout/tests/all/lane.rs
+++ b/crates/rollout/tests/all/lane.rs
@@ -1,7 +1,7 @@
 use std::time::Duration;
 
 use smol_str::SmolStr;
-use stoatstep_rollout::{Canaries, Lane, Mix, Side, Step};
+use stoatstep_rollout::{Canaries, RolloutRouting, RouteMix, Side, Step};
 
 const DUE: Duration = Duration::from_secs(1_000);
 const BEFORE: Duration = Duration::from_secs(990);
@@ -13,8 +13,8 @@
         .collect()
 }
 
-fn lane(step: Step, old: usize) -> Lane {
-    Lane {
+fn routing(step: Step, old: usize) -> RolloutRouting {
+    RolloutRouting {
         target: "v2".into(),
         step,
         canaries: Canaries::choose(7, names("n", 69), old),
@@ -24,10 +24,10 @@
 }
 
 /// Returns the part of uniformly spread draws that goes to this side.
-fn share(lane: &Lane, side: Side) -> f64 {
+fn share(routing: &RolloutRouting, side: Side) -> f64 {
     let draws = (0..10_000).map(|it| f64::from(it) / 10_000.0);
     let taken = draws
-        .filter(|it| lane.side(*it, 1.0, BEFORE) == side)
+        .filter(|it| routing.side(*it, 1.0, BEFORE) == side)
         .count();
     f64::from(u32::try_from(taken).expect("few draws")) / 10_000.0
 }
@@ -36,22 +36,22 @@
 /// then it must send calls to the old side only.
 #[test]
 fn an_entry_that_knows_no_step_sends_nothing_to_the_new_side() {
-    assert!((share(&lane(Step::Ordered, 69), Side::Old) - 1.0).abs() < 1e-9);
+    assert!((share(&routing(Step::Ordered, 69), Side::Old) - 1.0).abs() < 1e-9);
 }
 
 #[test]
 fn a_trial_gets_a_small_share() {
-    let taken = share(&lane(Step::Trial, 69), Side::Tried);
+    let taken = share(&routing(Step::Trial, 69), Side::Canary);
     assert!((0.005..0.03).contains(&taken), "{taken}");
 }
 
 /// A version that is bad under load shows it only if the canaries are as occupied as the others.
 #[test]
 fn the_load_step_makes_canaries_as_occupied_as_the_old_side() {
-    let lane = lane(Step::Load, 69);
-    let taken = share(&lane, Side::Tried);
+    let routing = routing(Step::Load, 69);
+    let taken = share(&routing, Side::Canary);
     let of_each = taken / 5.0;
-    assert_eq!(lane.canaries.names().len(), 5);
+    assert_eq!(routing.canaries.names().len(), 5);
     assert!((of_each - 1.0 / 69.0).abs() < 0.001, "{of_each}");
 }
 
@@ -77,7 +77,7 @@
 /// entries.
 #[test]
 fn the_daemon_beside_a_target_refuses_what_the_step_does_not_allow() {
-    let canary = lane(Step::Trial, 69).canaries.names()[0].clone();
+    let canary = routing(Step::Trial, 69).canaries.names()[0].clone();
     let other: SmolStr = "not-tried".into();
     for (step, upstream, software, admits) in [
         (Step::Ordered, &canary, "v2", false),
@@ -91,9 +91,9 @@
         (Step::RolledBack, &canary, "v2", false),
         (Step::Completed, &other, "v2", true),
     ] {
-        let lane = lane(step, 69);
+        let routing = routing(step, 69);
         assert_eq!(
-            lane.admits(software, upstream),
+            routing.admits(software, upstream),
             admits,
             "{step:?} {upstream} {software}"
         );
@@ -104,19 +104,19 @@
 /// not read of the completion yet: no other target could serve.
 #[test]
 fn without_an_old_side_the_new_side_serves() {
-    assert_eq!(lane(Step::Ordered, 0).side(0.5, 1.0, BEFORE), Side::New);
-    assert!(lane(Step::Ordered, 0).admits("v2", "any"));
-    assert!(!lane(Step::RolledBack, 0).admits("v2", "any"));
+    assert_eq!(routing(Step::Ordered, 0).side(0.5, 1.0, BEFORE), Side::New);
+    assert!(routing(Step::Ordered, 0).admits("v2", "any"));
+    assert!(!routing(Step::RolledBack, 0).admits("v2", "any"));
 }
 
 /// If calls of a route with few calls were tried as seldom as the others, a version that is bad on
 /// this route alone would be found after the deadline.
 #[test]
 fn as_many_calls_of_a_rare_route_are_tried_as_of_a_usual_one() {
-    let mut mix = Mix::default();
+    let mut mix = RouteMix::default();
     for call in 0..1_000 {
         let route: SmolStr = if call % 10 == 0 { "rare" } else { "usual" }.into();
-        mix.take(&route);
+        mix.record_call(&route);
     }
     let (rare, usual) = (mix.weight("rare"), mix.weight("usual"));
     assert!((rare * 0.1 - usual * 0.9).abs() < 1e-9, "{rare} {usual}");
@@ -130,8 +130,8 @@
 /// at full load for all that time.
 #[test]
 fn a_load_step_past_the_deadline_falls_back_to_a_small_share() {
-    let lane = lane(Step::Load, 69);
+    let routing = routing(Step::Load, 69);
     let draws = (0..1_000).map(|it| f64::from(it) / 1_000.0);
-    let canary = draws.filter(|it| lane.side(*it, 1.0, AFTER) == Side::Tried);
+    let canary = draws.filter(|it| routing.side(*it, 1.0, AFTER) == Side::Canary);
     assert!(canary.count() < 30);
 }
--- a/crates/rollout/tests/all/service.rs
+++ b/crates/rollout/tests/all/service.rs
@@ -12,7 +12,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use smol_str::SmolStr;
 use stoatstep_rollout::{
-    Badness, Canaries, Mix, Order, Plan, Progress, Step, Tally, Verdict, judge,
+    Badness, Canaries, Order, Plan, Progress, RouteMix, Step, Tally, Verdict, judge,
 };
 
 const OLD: usize = 69;
@@ -100,10 +100,10 @@
 
     /// Returns the part of the rare route among the calls that are tried.
     fn part_of_rare(&self) -> f64 {
-        let mut mix = Mix::default();
+        let mut mix = RouteMix::default();
         for call in 0..100 {
             let route = if call < 10 { "rare" } else { "usual" };
-            mix.take(&route.into());
+            mix.record_call(&route.into());
         }
         if self.step == Step::Trial {
             RARE * mix.weight("rare")
