--- a/crates/mesh/src/rollout/judge.rs
+++ b/crates/mesh/src/rollout/judge.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_rollout::{Canaries, Plan, Progress, Seen, Step, Verdict, judge};
+use stoatstep_rollout::{Canaries, Plan, Progress, Regression, Step, Verdict, judge};
 use stoatstep_telemetry::fields;
 
 use super::settle::{self, Settling};
@@ -170,10 +170,10 @@
         Some(judge(&new, &old))
     }
 
-    fn condemn(&self, node: &Rc<Node>, seen: &Seen) {
+    fn condemn(&self, node: &Rc<Node>, seen: &Regression) {
         slog::warn!(node.log, "version found bad"; fields::SERVICE => %self.progress.order.service,
             fields::ORDER => self.progress.order.id, fields::SOFTWARE => %self.progress.order.target,
-            fields::STEP => self.progress.step.as_str(), fields::REASON => seen.badness.as_str(),
+            fields::STEP => self.progress.step.as_str(), fields::REASON => seen.kind.as_str(),
             fields::ROUTE => seen.route.as_deref(),
             fields::NEW_BAD => seen.new.0, fields::NEW_RUNS => seen.new.1,
             fields::OLD_BAD => seen.old.0, fields::OLD_RUNS => seen.old.1);
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -50,14 +50,14 @@
 
 /// How a version is worse than the old one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Badness {
+pub enum RegressionKind {
     /// Too many of its answers are failures.
     Failures,
     /// Too many of its answers take several times as long.
     Slowness,
 }
 
-impl Badness {
+impl RegressionKind {
     /// Returns the name that is written to logs.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -70,9 +70,9 @@
 
 /// A regression of the new version that chance does not explain.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Regression {
     /// The kind of regression.
-    pub badness: Badness,
+    pub kind: RegressionKind,
     /// The route that shows it; `None` if it shows over all routes together.
     pub route: Option<SmolStr>,
     /// Number of bad runs and of all runs of the new side.
@@ -89,14 +89,14 @@
     /// The new side had too few runs for a verdict.
     Unclear,
     /// The version is worse than the old one.
-    Bad(Seen),
+    Bad(Regression),
 }
 
 /// Compares the evidence of each canary with the evidence of some targets of the old side.
 #[must_use]
 pub fn judge(new: &[Evidence], old: &[Evidence]) -> Verdict {
-    if let Some(seen) = find_regression(new, old) {
-        return Verdict::Bad(seen);
+    if let Some(regression) = find_regression(new, old) {
+        return Verdict::Bad(regression);
     }
     let runs = |side: &[Evidence]| -> u32 {
         let routes = side.iter().flat_map(|it| &it.routes);
@@ -115,20 +115,20 @@
     Recent,
 }
 
-fn find_regression(new: &[Evidence], old: &[Evidence]) -> Option<Seen> {
+fn find_regression(new: &[Evidence], old: &[Evidence]) -> Option<Regression> {
     let whole = Sides::of(new, old, Span::Whole);
     let recent = Sides::of(new, old, Span::Recent);
-    let kinds = [Badness::Failures, Badness::Slowness];
+    let kinds = [RegressionKind::Failures, RegressionKind::Slowness];
     whole.routes().into_iter().find_map(|route| {
-        kinds.into_iter().find_map(|badness| {
-            let whole = whole.counts(badness, route);
+        kinds.into_iter().find_map(|kind| {
+            let whole = whole.counts(kind, route);
             if !whole.do_canaries_agree() {
                 return None;
             }
-            let recent = recent.counts(badness, route);
+            let recent = recent.counts(kind, route);
             let counts = [recent, whole].into_iter().find(Counts::is_bad)?;
-            Some(Seen {
-                badness,
+            Some(Regression {
+                kind,
                 route: route.cloned(),
                 new: total(&counts.each),
                 old: counts.old,
@@ -162,8 +162,8 @@
         named.into_iter().map(Some).chain([None]).collect()
     }
 
-    fn counts(&self, badness: Badness, route: Option<&SmolStr>) -> Counts {
-        let of = |target: &Routes<'_>| count(badness, route, target, &self.old);
+    fn counts(&self, kind: RegressionKind, route: Option<&SmolStr>) -> Counts {
+        let of = |target: &Routes<'_>| count(kind, route, target, &self.old);
         Counts {
             each: self.new.iter().map(of).collect(),
             old: of(&self.old),
@@ -235,7 +235,7 @@
 }
 
 fn count(
-    badness: Badness,
+    kind: RegressionKind,
     route: Option<&SmolStr>,
     target: &Routes<'_>,
     old: &Routes<'_>,
@@ -244,9 +244,9 @@
     let mut bad = 0;
     let mut runs = 0;
     for (name, sums) in target.iter().filter(|(name, _)| is_included(name)) {
-        match badness {
-            Badness::Failures => bad += sums.failures,
-            Badness::Slowness => {
+        match kind {
+            RegressionKind::Failures => bad += sums.failures,
+            RegressionKind::Slowness => {
                 // Without runs of the old side there is no reference for what is slow.
                 let Some(middle) = old.get(*name).and_then(Sums::middle) else {
                     continue;
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -32,7 +32,7 @@
 
 pub use book::{Change, ProgressTable};
 pub use canaries::Canaries;
-pub use judge::{Badness, Seen, Verdict, judge};
+pub use judge::{Regression, RegressionKind, Verdict, judge};
 pub use lane::{RolloutRouting, Side};
 pub use mix::RouteMix;
 pub use order::{Order, OrderId, Software};
--- a/crates/rollout/tests/all/judge.rs
+++ b/crates/rollout/tests/all/judge.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use stoatstep_rollout::{Badness, Evidence, Tally, Verdict, judge};
+use stoatstep_rollout::{Evidence, RegressionKind, Tally, Verdict, judge};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -25,9 +25,9 @@
     target("r", runs, Some(50), 200 * MS)
 }
 
-fn bad(verdict: Verdict) -> (Badness, Option<String>) {
+fn bad(verdict: Verdict) -> (RegressionKind, Option<String>) {
     match verdict {
-        Verdict::Bad(seen) => (seen.badness, seen.route.map(|it| it.to_string())),
+        Verdict::Bad(regression) => (regression.kind, regression.route.map(|it| it.to_string())),
         other => panic!("{other:?}"),
     }
 }
@@ -36,14 +36,14 @@
 fn a_version_that_fails_every_other_call_is_bad() {
     let new = [(); 3].map(|()| target("r", 8, Some(2), 200 * MS));
     let old = [healthy(100), healthy(100)];
-    assert_eq!(bad(judge(&new, &old)).0, Badness::Failures);
+    assert_eq!(bad(judge(&new, &old)).0, RegressionKind::Failures);
 }
 
 #[test]
 fn a_version_that_takes_several_times_as_long_is_bad() {
     let new = [(); 3].map(|()| target("r", 8, None, 1_000 * MS));
     let old = [healthy(100), healthy(100)];
-    assert_eq!(bad(judge(&new, &old)).0, Badness::Slowness);
+    assert_eq!(bad(judge(&new, &old)).0, RegressionKind::Slowness);
 }
 
 /// Three hundred successful calls of one route would hide that every second call of another fails.
@@ -51,10 +51,10 @@
 fn a_version_that_is_bad_on_one_route_is_bad() {
     let both = || merge(healthy(150), target("rare", 12, Some(2), 200 * MS));
     let old = [merge(healthy(300), target("rare", 30, None, 200 * MS))];
-    let (badness, route) = bad(judge(&[both(), both(), both()], &old));
+    let (kind, route) = bad(judge(&[both(), both(), both()], &old));
     assert_eq!(
-        (badness, route.as_deref()),
-        (Badness::Failures, Some("rare"))
+        (kind, route.as_deref()),
+        (RegressionKind::Failures, Some("rare"))
     );
 }
 
@@ -90,7 +90,7 @@
         healthy(60),
         healthy(60),
     ];
-    assert_eq!(bad(judge(&new, &old)).0, Badness::Failures);
+    assert_eq!(bad(judge(&new, &old)).0, RegressionKind::Failures);
 }
 
 #[test]
--- a/crates/rollout/tests/all/service.rs
+++ b/crates/rollout/tests/all/service.rs
@@ -12,7 +12,7 @@
 use rand_xoshiro::Xoshiro256PlusPlus;
 use smol_str::SmolStr;
 use stoatstep_rollout::{
-    Badness, Canaries, Order, Plan, Progress, RouteMix, Step, Tally, Verdict, judge,
+    Canaries, Order, Plan, Progress, RegressionKind, RouteMix, Step, Tally, Verdict, judge,
 };
 
 const OLD: usize = 69;
@@ -127,7 +127,7 @@
 /// The outcome of one roll-out: how the version was found bad, if it was, and the part of the
 /// service's calls that the new side got by then.
 struct Outcome {
-    badness: Option<Badness>,
+    kind: Option<RegressionKind>,
     exposed: f64,
 }
 
@@ -183,15 +183,15 @@
         let evidence = |side: Vec<&Target>| -> Vec<_> {
             side.iter().map(|it| it.tally.evidence(0, run.at)).collect()
         };
-        if let Verdict::Bad(seen) = judge(&evidence(new), &evidence(old)) {
+        if let Verdict::Bad(regression) = judge(&evidence(new), &evidence(old)) {
             return Outcome {
-                badness: Some(seen.badness),
+                kind: Some(regression.kind),
                 exposed,
             };
         }
     }
     Outcome {
-        badness: None,
+        kind: None,
         exposed,
     }
 }
@@ -203,7 +203,7 @@
     let mut worst: f64 = 0.0;
     for seed in 0..SEEDS {
         let outcome = roll_out(kind, seed);
-        if outcome.badness.is_some() {
+        if outcome.kind.is_some() {
             bad += 1;
             worst = worst.max(outcome.exposed);
         }
