--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -147,7 +147,7 @@
     pub(crate) fn begin_tally(&self, service: &str, order: OrderId) {
         let mut tables = self.tables.borrow_mut();
         if tables.upstream.service().is_some_and(|it| it == service) {
-            tables.tally.begin(order);
+            tables.tally.reset_for(order);
         }
     }
 
--- a/crates/mesh/src/rollout/judge.rs
+++ b/crates/mesh/src/rollout/judge.rs
@@ -111,7 +111,7 @@
                     }
                     (Verdict::Good, Step::All) => settle(Settling::GoOn),
                     (_, Step::Load | Step::All) if self.progress.step == Step::Trial => {
-                        hear(node, &self.progress.at(Step::Load), Source::Own);
+                        hear(node, &self.progress.with_step(Step::Load), Source::Own);
                     }
                     _ => {}
                 }
@@ -177,14 +177,14 @@
             fields::ROUTE => seen.route.as_deref(),
             fields::NEW_BAD => seen.new.0, fields::NEW_RUNS => seen.new.1,
             fields::OLD_BAD => seen.old.0, fields::OLD_RUNS => seen.old.1);
-        hear(node, &self.progress.at(Step::Halted), Source::Own);
+        hear(node, &self.progress.with_step(Step::Halted), Source::Own);
     }
 
     fn halt(&self, node: &Rc<Node>, why: &'static str) {
         slog::warn!(node.log, "roll-out given up"; fields::SERVICE => %self.progress.order.service,
             fields::ORDER => self.progress.order.id, fields::STEP => self.progress.step.as_str(),
             fields::REASON => why);
-        hear(node, &self.progress.at(Step::Halted), Source::Own);
+        hear(node, &self.progress.with_step(Step::Halted), Source::Own);
     }
 
     /// Whether the old side runs nothing more, or cannot be waited for any longer: at the
@@ -193,7 +193,7 @@
         if self.at_step_for < LEAST_LAST + self.later(STEP_LATER) {
             return false;
         }
-        let is_last_call = Plan::is_last_call(&self.progress, unix_time());
+        let is_last_call = Plan::must_complete(&self.progress, unix_time());
         if is_last_call && (!self.is_overdue() || self.at_step_for > LONGEST_LAST) {
             return true;
         }
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -144,7 +144,7 @@
     if let Some(known) = known.filter(|it| !it.step.is_final()) {
         slog::info!(node.log, "roll-out withdrawn"; fields::SERVICE => service,
             fields::ORDER => known.order.id, fields::STEP => known.step.as_str());
-        hear(node, &known.at(Step::Halted), Source::Own);
+        hear(node, &known.with_step(Step::Halted), Source::Own);
     }
 }
 
--- a/crates/mesh/src/rollout/settle.rs
+++ b/crates/mesh/src/rollout/settle.rs
@@ -94,7 +94,7 @@
         let due = known.due;
         return Ok(Progress {
             due,
-            ..progress.at(step)
+            ..progress.with_step(step)
         });
     }
     let status = RolloutStatus {
@@ -105,7 +105,7 @@
     };
     // Whoever wrote since the read was faster, and is read in the next try.
     bounded(host.settle_rollout(&order.service, &status, held.version)).await?;
-    Ok(progress.at(settling.step()))
+    Ok(progress.with_step(settling.step()))
 }
 
 async fn bounded<T>(asked: impl Future<Output = Result<T, HostError>>) -> Result<T, HostError> {
--- a/crates/rollout/src/book.rs
+++ b/crates/rollout/src/book.rs
@@ -61,7 +61,7 @@
             }
             return Change::None;
         };
-        if !progress.overrules(&record.progress) {
+        if !progress.supersedes(&record.progress) {
             return Change::None;
         }
         let is_same = progress.order.id == record.progress.order.id;
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -11,7 +11,7 @@
 
 use smol_str::SmolStr;
 
-use crate::tally::{Evidence, Sums};
+use crate::tally::{Evidence, RunCounts};
 
 /// Significance level: a probability below it is taken to rule out chance. A roll-out of 15 s is
 /// evaluated some 50 times, on a few routes, for two kinds of regression over two spans. Since the
@@ -137,7 +137,7 @@
     })
 }
 
-type Routes<'a> = BTreeMap<&'a SmolStr, Sums>;
+type Routes<'a> = BTreeMap<&'a SmolStr, RunCounts>;
 
 /// Runs of both sides over one span of time.
 struct Sides<'a> {
@@ -174,11 +174,11 @@
 fn by_route(evidence: &[Evidence], span: Span) -> Routes<'_> {
     let mut routes = Routes::new();
     for part in evidence.iter().flat_map(|it| &it.routes) {
-        let sums = match span {
+        let counts = match span {
             Span::Whole => &part.whole,
             Span::Recent => &part.recent,
         };
-        routes.entry(&part.route).or_default().add(sums);
+        routes.entry(&part.route).or_default().add(counts);
     }
     routes
 }
@@ -243,18 +243,18 @@
     let is_included = |name: &&SmolStr| route.is_none_or(|it| it == *name);
     let mut bad = 0;
     let mut runs = 0;
-    for (name, sums) in target.iter().filter(|(name, _)| is_included(name)) {
+    for (name, counts) in target.iter().filter(|(name, _)| is_included(name)) {
         match kind {
-            RegressionKind::Failures => bad += sums.failures,
+            RegressionKind::Failures => bad += counts.failures,
             RegressionKind::Slowness => {
                 // Without runs of the old side there is no reference for what is slow.
-                let Some(middle) = old.get(*name).and_then(Sums::middle) else {
+                let Some(median) = old.get(*name).and_then(RunCounts::median_class) else {
                     continue;
                 };
-                bad += sums.slower_than(middle + SLOW_CLASSES);
+                bad += counts.slower_than(median + SLOW_CLASSES);
             }
         }
-        runs += sums.runs;
+        runs += counts.runs;
     }
     (bad, runs)
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -38,4 +38,4 @@
 pub use order::{Order, OrderId, Software};
 pub use plan::Plan;
 pub use progress::{Progress, Step, UnixTime};
-pub use tally::{Evidence, RouteEvidence, Sums, Tally};
+pub use tally::{Evidence, RouteEvidence, RunCounts, Tally};
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -83,7 +83,7 @@
     /// Returns whether a roll-out at its last step has to be completed although the old side still
     /// runs calls.
     #[must_use]
-    pub fn is_last_call(progress: &Progress, now: UnixTime) -> bool {
+    pub fn must_complete(progress: &Progress, now: UnixTime) -> bool {
         progress.due.saturating_sub(now) <= COMPLETION_MARGIN
     }
 }
--- a/crates/rollout/src/progress.rs
+++ b/crates/rollout/src/progress.rs
@@ -85,7 +85,7 @@
 
     /// Returns the progress of the same roll-out at another step.
     #[must_use]
-    pub fn at(&self, step: Step) -> Self {
+    pub fn with_step(&self, step: Step) -> Self {
         Self {
             step,
             ..self.clone()
@@ -94,7 +94,7 @@
 
     /// Returns whether this progress is newer than `other`, which is of the same service.
     #[must_use]
-    pub fn overrules(&self, other: &Self) -> bool {
+    pub fn supersedes(&self, other: &Self) -> bool {
         (self.order.id, self.step) > (other.order.id, other.step)
     }
 }
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -31,7 +31,7 @@
 
 /// Counts of a target's runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sums {
+pub struct RunCounts {
     /// Number of runs that ended, whether or not they failed.
     pub runs: u32,
     /// Number of runs that ended with a failure.
@@ -40,7 +40,7 @@
     pub times: Vec<u32>,
 }
 
-impl Sums {
+impl RunCounts {
     /// Counts a run that ended.
     pub fn record(&mut self, is_failure: bool, run_time: Duration) {
         self.runs += 1;
@@ -73,7 +73,7 @@
 
     /// Returns the class of the median run; `None` without runs.
     #[must_use]
-    pub fn middle(&self) -> Option<usize> {
+    pub fn median_class(&self) -> Option<usize> {
         let all: u32 = self.times.iter().sum();
         let mut below = 0;
         let mut counts = self.times.iter();
@@ -100,9 +100,9 @@
     /// The route.
     pub route: SmolStr,
     /// Counts since the order was received.
-    pub whole: Sums,
+    pub whole: RunCounts,
     /// Counts of the last seconds.
-    pub recent: Sums,
+    pub recent: RunCounts,
 }
 
 /// What one daemon has counted of its target's runs since an order.
@@ -116,8 +116,8 @@
 
 #[derive(Clone, Debug, Default)]
 struct RouteTally {
-    whole: Sums,
-    spans: VecDeque<(u64, Sums)>,
+    whole: RunCounts,
+    spans: VecDeque<(u64, RunCounts)>,
 }
 
 /// Counts a target's runs by route since the newest order for its service.
@@ -129,7 +129,7 @@
 
 impl Tally {
     /// Clears the counts if the order is another one.
-    pub fn begin(&mut self, order: OrderId) {
+    pub fn reset_for(&mut self, order: OrderId) {
         if self.order != order {
             self.order = order;
             self.routes.clear();
@@ -145,13 +145,13 @@
         tally.whole.record(is_failure, run_time);
         let span = span_of(now);
         if tally.spans.back().is_none_or(|(at, _)| *at != span) {
-            tally.spans.push_back((span, Sums::default()));
+            tally.spans.push_back((span, RunCounts::default()));
         }
         if tally.spans.len() > RECENT_SPANS {
             tally.spans.pop_front();
         }
-        if let Some((_, sums)) = tally.spans.back_mut() {
-            sums.record(is_failure, run_time);
+        if let Some((_, counts)) = tally.spans.back_mut() {
+            counts.record(is_failure, run_time);
         }
     }
 
@@ -160,9 +160,9 @@
     pub fn evidence(&self, occupied: u32, now: Time) -> Evidence {
         let from = span_of(now).saturating_sub(RECENT_SPANS as u64 - 1);
         let routes = self.routes.iter().map(|(route, tally)| {
-            let mut recent = Sums::default();
-            for (_, sums) in tally.spans.iter().filter(|(at, _)| *at >= from) {
-                recent.add(sums);
+            let mut recent = RunCounts::default();
+            for (_, counts) in tally.spans.iter().filter(|(at, _)| *at >= from) {
+                recent.add(counts);
             }
             RouteEvidence {
                 route: route.clone(),
--- a/crates/rollout/tests/all/book.rs
+++ b/crates/rollout/tests/all/book.rs
@@ -14,7 +14,7 @@
 }
 
 fn progress(id: u64, step: Step) -> Progress {
-    Progress::ordered(order(id), Duration::ZERO, 100 * S).at(step)
+    Progress::ordered(order(id), Duration::ZERO, 100 * S).with_step(step)
 }
 
 /// Updates of three daemons arrive out of order. Whatever the order, a daemon ends at the furthest
--- a/crates/rollout/tests/all/judge.rs
+++ b/crates/rollout/tests/all/judge.rs
@@ -8,7 +8,7 @@
 /// failure.
 fn target(route: &str, runs: u32, fails: Option<u32>, took: Duration) -> Evidence {
     let mut tally = Tally::default();
-    tally.begin(1);
+    tally.reset_for(1);
     for run in 0..runs {
         let is_failure = fails.is_some_and(|every| run % every == 0);
         tally.record(&route.into(), is_failure, took, Duration::ZERO);
--- a/crates/rollout/tests/all/plan.rs
+++ b/crates/rollout/tests/all/plan.rs
@@ -79,7 +79,7 @@
     for phase in 0..200 {
         let first = BEGUN + Duration::from_millis(phase);
         let checks = (0..80).map(|check| first + Duration::from_millis(200) * check);
-        let mut due = checks.filter(|now| Plan::is_last_call(&progress, *now));
+        let mut due = checks.filter(|now| Plan::must_complete(&progress, *now));
         let completed = due.next().expect("it comes to its end");
         let left = progress.due.saturating_sub(completed);
         assert!(left >= Duration::from_millis(100), "{phase}: {left:?}");
