--- a/crates/daemon/src/control/cold_start.rs
+++ b/crates/daemon/src/control/cold_start.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use stoatstep_distribution::{Standing, Step};
+use stoatstep_distribution::{ColdStartAction, ColdStartInput};
 use stoatstep_membership::{Input, MemberKey, Row};
 
 use super::warning::warn;
@@ -17,24 +17,24 @@
     let me = control.me();
     let near: Vec<_> = zone.iter().copied().filter(|key| *key != me).collect();
     let far = members_elsewhere(node);
-    let standing = Standing {
+    let standing = ColdStartInput {
         held: control.replica.borrow().version(),
         may_serve: control.may_serve(),
-        near: &near,
-        far: &far,
+        own_zone: &near,
+        other_zones: &far,
     };
     let step = control
         .cold_start
         .borrow_mut()
         .tick(control.now(), standing);
     match step {
-        Some(Step::ReadRoster { wide }) => {
-            ntex::rt::spawn(read_roster(Rc::clone(node), wide));
+        Some(ColdStartAction::ReadRoster { all_rows }) => {
+            ntex::rt::spawn(read_roster(Rc::clone(node), all_rows));
         }
-        Some(Step::PullPeer(peer)) => {
+        Some(ColdStartAction::PullPeer(peer)) => {
             ntex::rt::spawn(pull_peer(Rc::clone(node), peer));
         }
-        Some(Step::PullPlatform) => {
+        Some(ColdStartAction::PullPlatform) => {
             ntex::rt::spawn(pull_platform(Rc::clone(node)));
         }
         None => {}
--- a/crates/distribution/src/cold_start.rs
+++ b/crates/distribution/src/cold_start.rs
@@ -33,12 +33,12 @@
 
 /// What a starting daemon does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum ColdStartAction {
     /// Read the platform's head and announcement rows in one read.
     ReadRoster {
         /// Whether to read all rows instead of a few neighbours', because the instances of the rows
         /// that were read first are all gone.
-        wide: bool,
+        all_rows: bool,
     },
     /// Request the whole state from this peer.
     PullPeer(MemberKey),
@@ -48,15 +48,15 @@
 
 /// The state of the daemon at a tick of [`ColdStart`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing<'a> {
+pub struct ColdStartInput<'a> {
     /// The version that the daemon holds.
     pub held: Version,
     /// Whether the daemon knows enough to serve; see [`crate::Serving`].
     pub may_serve: bool,
     /// Peers of the own zone that answered.
-    pub near: &'a [MemberKey],
+    pub own_zone: &'a [MemberKey],
     /// Peers of other zones that answered.
-    pub far: &'a [MemberKey],
+    pub other_zones: &'a [MemberKey],
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -83,7 +83,7 @@
     tries: u32,
     head: Version,
     has_read: bool,
-    has_read_wide: bool,
+    has_read_all_rows: bool,
     contact_deadline: Time,
     candidates: usize,
 }
@@ -103,7 +103,7 @@
             tries: 0,
             head: 0,
             has_read: false,
-            has_read_wide: false,
+            has_read_all_rows: false,
             contact_deadline: Time::ZERO,
             candidates: 0,
         }
@@ -121,64 +121,70 @@
         self.has_read
     }
 
-    /// Returns the next step, if one is due.
-    pub fn tick(&mut self, now: Time, standing: Standing<'_>) -> Option<Step> {
-        if self.is_complete(standing) {
+    /// Returns the next action, if one is due.
+    pub fn tick(&mut self, now: Time, input: ColdStartInput<'_>) -> Option<ColdStartAction> {
+        if self.is_complete(input) {
             self.phase = Phase::Done;
         }
         if self.under_way || now < self.next {
             return None;
         }
-        let step = match self.phase {
+        let action = match self.phase {
             Phase::Done => return None,
-            Phase::Roster => Step::ReadRoster {
-                wide: self.has_read_wide,
+            Phase::Roster => ColdStartAction::ReadRoster {
+                all_rows: self.has_read_all_rows,
             },
-            Phase::Peers => self.choose_peer(now, standing)?,
-            Phase::Platform => Step::PullPlatform,
+            Phase::Peers => self.choose_peer(now, input)?,
+            Phase::Platform => ColdStartAction::PullPlatform,
         };
         self.under_way = true;
-        Some(step)
+        Some(action)
     }
 
-    fn is_complete(&self, standing: Standing<'_>) -> bool {
-        let knows_peer = !standing.near.is_empty() || !standing.far.is_empty();
+    fn is_complete(&self, input: ColdStartInput<'_>) -> bool {
+        let knows_peer = !input.own_zone.is_empty() || !input.other_zones.is_empty();
         if self.phase == Phase::Roster {
-            return knows_peer && standing.held > 0 && standing.may_serve;
+            return knows_peer && input.held > 0 && input.may_serve;
         }
         let is_alone = self.candidates == 0;
-        standing.held >= self.head && (knows_peer || is_alone)
+        input.held >= self.head && (knows_peer || is_alone)
     }
 
-    fn choose_peer(&mut self, now: Time, standing: Standing<'_>) -> Option<Step> {
-        let Standing { near, far, .. } = standing;
-        if near.is_empty() && far.is_empty() {
+    fn choose_peer(&mut self, now: Time, input: ColdStartInput<'_>) -> Option<ColdStartAction> {
+        let ColdStartInput {
+            own_zone,
+            other_zones,
+            ..
+        } = input;
+        if own_zone.is_empty() && other_zones.is_empty() {
             return self.await_contact(now);
         }
-        let own_first = self.tries < PEER_TRIES && !near.is_empty();
-        let from = if own_first || far.is_empty() {
-            near
+        let own_first = self.tries < PEER_TRIES && !own_zone.is_empty();
+        let from = if own_first || other_zones.is_empty() {
+            own_zone
         } else {
-            far
+            other_zones
         };
         self.tries += 1;
         if self.tries > 2 * PEER_TRIES {
-            self.schedule_snapshot(now, near.len() + far.len() + 1);
+            self.schedule_snapshot(now, own_zone.len() + other_zones.len() + 1);
             return None;
         }
-        from.choose(&mut self.rng).copied().map(Step::PullPeer)
+        from.choose(&mut self.rng)
+            .copied()
+            .map(ColdStartAction::PullPeer)
     }
 
     /// Handles the time in which no peer has answered. The rows of neighbours outlive a crash. If
     /// all rows that were read are of crashed instances, a daemon that read no more rows would stay
     /// alone for ever.
-    fn await_contact(&mut self, now: Time) -> Option<Step> {
+    fn await_contact(&mut self, now: Time) -> Option<ColdStartAction> {
         if self.candidates > 0 && now < self.contact_deadline {
             return None;
         }
-        if self.candidates > 0 && !self.has_read_wide {
-            self.has_read_wide = true;
-            return Some(Step::ReadRoster { wide: true });
+        if self.candidates > 0 && !self.has_read_all_rows {
+            self.has_read_all_rows = true;
+            return Some(ColdStartAction::ReadRoster { all_rows: true });
         }
         self.candidates = 0;
         self.schedule_snapshot(now, 1);
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -26,7 +26,7 @@
 mod tree;
 mod wire;
 
-pub use cold_start::{ColdStart, Standing, Step};
+pub use cold_start::{ColdStart, ColdStartAction, ColdStartInput};
 pub use collect::{Hold, Holdings, Refusal};
 pub use confirmation::{Confirmation, HostClock};
 pub use contact::Contact;
--- a/crates/distribution/tests/all/cold_start.rs
+++ b/crates/distribution/tests/all/cold_start.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use stoatstep_distribution::{ColdStart, Standing, Step};
+use stoatstep_distribution::{ColdStart, ColdStartAction, ColdStartInput};
 
 const STEP: Duration = Duration::from_millis(50);
 
-const ALONE: Standing<'_> = Standing {
+const ALONE: ColdStartInput<'_> = ColdStartInput {
     held: 0,
     may_serve: false,
-    near: &[],
-    far: &[],
+    own_zone: &[],
+    other_zones: &[],
 };
 
 struct Restart {
@@ -41,23 +41,23 @@
         let now = STEP * step;
         for (i, it) in starts.iter_mut().enumerate() {
             let second = usize::try_from(now.as_secs()).expect("small");
-            let standing = Standing {
+            let input = ColdStartInput {
                 held: versions[i],
                 may_serve: versions[i] == 7,
-                near: &near,
-                far: &far,
+                own_zone: &near,
+                other_zones: &far,
             };
-            match it.tick(now, standing) {
-                Some(Step::ReadRoster { .. }) => {
+            match it.tick(now, input) {
+                Some(ColdStartAction::ReadRoster { .. }) => {
                     restart.reads_by_second[second] += 1;
                     it.roster_read(now, 7, 3);
                 }
-                Some(Step::PullPeer(peer)) => {
+                Some(ColdStartAction::PullPeer(peer)) => {
                     let theirs = usize::try_from(peer).ok().and_then(|it| versions.get(it));
                     versions[i] = theirs.copied().unwrap_or(7).max(versions[i]);
                     it.pulled(now, versions[i]);
                 }
-                Some(Step::PullPlatform) => {
+                Some(ColdStartAction::PullPlatform) => {
                     restart.reads_by_second[second] += 2;
                     restart.snapshots += 1;
                     versions[i] = 7;
@@ -106,7 +106,7 @@
     let mut it = ColdStart::new(Duration::ZERO, 3);
     for step in 0..1200 {
         let now = STEP * step;
-        if it.tick(now, ALONE) == Some(Step::ReadRoster { wide: false }) {
+        if it.tick(now, ALONE) == Some(ColdStartAction::ReadRoster { all_rows: false }) {
             reads += 1;
             it.roster_failed(now);
         }
@@ -120,30 +120,30 @@
     // Without a second read of all rows, the daemon would take itself for the whole fleet and never
     // receive a change again.
     let mut it = ColdStart::new(Duration::ZERO, 3);
-    let mut steps = Vec::new();
+    let mut reads = Vec::new();
     for step in 0..100 {
         let now = STEP * step;
         match it.tick(now, ALONE) {
-            Some(Step::ReadRoster { wide }) => {
-                steps.push(wide);
+            Some(ColdStartAction::ReadRoster { all_rows }) => {
+                reads.push(all_rows);
                 it.roster_read(now, 7, 3);
             }
-            Some(Step::PullPlatform) => it.pulled(now, 7),
-            Some(Step::PullPeer(_)) | None => {}
+            Some(ColdStartAction::PullPlatform) => it.pulled(now, 7),
+            Some(ColdStartAction::PullPeer(_)) | None => {}
         }
     }
-    assert_eq!(steps, [false, true]);
+    assert_eq!(reads, [false, true]);
 }
 
 #[test]
 fn a_daemon_that_may_serve_by_peers_does_not_need_the_platform() {
     let mut it = ColdStart::new(Duration::ZERO, 3);
-    let standing = Standing {
+    let input = ColdStartInput {
         held: 7,
         may_serve: true,
-        near: &[1],
-        far: &[],
+        own_zone: &[1],
+        other_zones: &[],
     };
-    assert_eq!(it.tick(Duration::from_secs(9), standing), None);
+    assert_eq!(it.tick(Duration::from_secs(9), input), None);
     assert!(it.is_done() && !it.has_read_roster());
 }
--- a/crates/scenario/src/daemon/control.rs
+++ b/crates/scenario/src/daemon/control.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use stoatstep_distribution::{
-    ColdStart, Offer, PollOutcome, Poller, Repair, Replica, Serving, Spread, Standing, Step, View,
+    ColdStart, ColdStartAction, ColdStartInput, Offer, PollOutcome, Poller, Repair, Replica,
+    Serving, Spread, View,
 };
 use stoatstep_membership::{Announcement, Input, Member, MemberKey, Membership, Row, Time};
 use stoatstep_resource::State;
@@ -179,16 +180,18 @@
         .present()
         .filter(|(_, it)| it.member.zone != node.zone);
     let far: Vec<MemberKey> = others.map(|(key, _)| key).collect();
-    let standing = Standing {
+    let standing = ColdStartInput {
         held: control.replica.version(),
         may_serve,
-        near: &near,
-        far: &far,
+        own_zone: &near,
+        other_zones: &far,
     };
     match control.cold_start.tick(now, standing) {
-        Some(Step::ReadRoster { wide }) => node.spawn(read_roster(Rc::clone(node), wide)),
-        Some(Step::PullPeer(peer)) => node.spawn(pull(Rc::clone(node), Some(peer))),
-        Some(Step::PullPlatform) => node.spawn(pull(Rc::clone(node), None)),
+        Some(ColdStartAction::ReadRoster { all_rows }) => {
+            node.spawn(read_roster(Rc::clone(node), all_rows))
+        }
+        Some(ColdStartAction::PullPeer(peer)) => node.spawn(pull(Rc::clone(node), Some(peer))),
+        Some(ColdStartAction::PullPlatform) => node.spawn(pull(Rc::clone(node), None)),
         None => {}
     }
 }
