--- a/crates/daemon/src/control/collect.rs
+++ b/crates/daemon/src/control/collect.rs
@@ -78,7 +78,7 @@
     let version = control.in_force().state.version();
     let mut holdings = Holdings::of_one(version, hold);
     for row in control.quarantine() {
-        holdings.refuse(row.version, row.reason.to_string(), me);
+        holdings.record_refusal(row.version, row.reason.to_string(), me);
     }
     holdings
 }
@@ -100,7 +100,7 @@
             continue;
         }
         if below && is_unreached(node, target) {
-            all.note_silent(target);
+            all.record_silent(target);
             due.extend(children(node, target));
             continue;
         }
@@ -132,7 +132,7 @@
     answer.map_or_else(
         |_| {
             let mut holdings = Holdings::default();
-            holdings.note_silent(target);
+            holdings.record_silent(target);
             holdings
         },
         |reply| reply.holdings,
@@ -150,7 +150,7 @@
 
 /// Members that nobody reported on: their parent was silent, or views differ.
 fn strays(node: &Node, all: &Holdings) -> Vec<MemberKey> {
-    let heard: std::collections::BTreeSet<_> = all.heard().collect();
+    let heard: std::collections::BTreeSet<_> = all.reporting_members().collect();
     let membership = node.control.membership.borrow();
     let present = membership.table().present().map(|(key, _)| key);
     present
--- a/crates/daemon/src/control/poll.rs
+++ b/crates/daemon/src/control/poll.rs
@@ -39,7 +39,7 @@
         Ok(_) => PollOutcome::Read,
         Err(_) => PollOutcome::Failed,
     };
-    node.control.poller.borrow_mut().polled(outcome);
+    node.control.poller.borrow_mut().record_outcome(outcome);
     match head {
         // An answer that lay in the socket through a freeze tells of then.
         Ok(_) if node.control.now() > asked + FRESH => {}
--- a/crates/distribution/src/collect.rs
+++ b/crates/distribution/src/collect.rs
@@ -51,7 +51,7 @@
     }
 
     /// Adds a version that `member` refused.
-    pub fn refuse(&mut self, version: Version, mut reason: String, member: MemberKey) {
+    pub fn record_refusal(&mut self, version: Version, mut reason: String, member: MemberKey) {
         let end = reason.floor_char_boundary(MAX_REASON);
         reason.truncate(end);
         self.add_refusal(Refusal {
@@ -62,7 +62,7 @@
     }
 
     /// Records that a member did not answer.
-    pub fn note_silent(&mut self, member: MemberKey) {
+    pub fn record_silent(&mut self, member: MemberKey) {
         self.silent.insert(member);
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Iterates over all members that reported a version.
-    pub fn heard(&self) -> impl Iterator<Item = MemberKey> {
+    pub fn reporting_members(&self) -> impl Iterator<Item = MemberKey> {
         self.holds.values().flatten().map(|hold| hold.member)
     }
 
--- a/crates/distribution/src/contact.rs
+++ b/crates/distribution/src/contact.rs
@@ -24,14 +24,14 @@
 
 /// The members that cannot report new versions; this daemon may be one of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Contact {
+pub struct PollerHealth {
     faults: BTreeMap<MemberKey, (Fault, Time)>,
     turn: usize,
 }
 
-impl Contact {
+impl PollerHealth {
     /// Records that this member did not answer.
-    pub fn missed(&mut self, member: MemberKey, now: Time) {
+    pub fn mark_silent(&mut self, member: MemberKey, now: Time) {
         self.record(member, Fault::Silent, now);
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Records that this member follows the platform and gets answers from it.
-    pub fn regained(&mut self, member: MemberKey) {
+    pub fn mark_healthy(&mut self, member: MemberKey) {
         self.faults.remove(&member);
     }
 
@@ -59,7 +59,7 @@
 
     /// Returns whether any member recently did not answer.
     #[must_use]
-    pub fn misses_any(&self, now: Time) -> bool {
+    pub fn any_silent(&self, now: Time) -> bool {
         let mut members = self.faults.keys();
         members.any(|it| self.is_silent(*it, now))
     }
@@ -80,7 +80,7 @@
 
     /// Returns the followers in the order in which they are asked. Each call starts with another
     /// one, so that all of them are asked equally often.
-    pub fn in_turn<T>(&mut self, mut followers: Vec<T>) -> Vec<T> {
+    pub fn round_robin<T>(&mut self, mut followers: Vec<T>) -> Vec<T> {
         self.turn = self.turn.wrapping_add(1);
         if let Some(first) = self.turn.checked_rem(followers.len()) {
             followers.rotate_left(first);
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -29,7 +29,7 @@
 pub use cold_start::{ColdStart, ColdStartAction, ColdStartInput};
 pub use collect::{Hold, Holdings, Refusal};
 pub use confirmation::{Confirmation, HostClock};
-pub use contact::Contact;
+pub use contact::PollerHealth;
 pub use poller::{PollOutcome, PollRole, Poller};
 pub use quarantine::{Quarantined, Reason};
 pub use repair::{Pull, Repair, Source};
--- a/crates/distribution/src/poller.rs
+++ b/crates/distribution/src/poller.rs
@@ -106,7 +106,7 @@
 
     /// Records the result of a poll. Failures make polls rarer. A success does not cause a burst of
     /// polls in the fleet, since every delay is drawn anew.
-    pub fn polled(&mut self, outcome: PollOutcome) {
+    pub fn record_outcome(&mut self, outcome: PollOutcome) {
         self.under_way = false;
         self.failures = match outcome {
             PollOutcome::Read => 0,
--- a/crates/distribution/tests/all/collect.rs
+++ b/crates/distribution/tests/all/collect.rs
@@ -35,8 +35,8 @@
 #[test]
 fn a_member_that_answers_another_daemon_is_not_silent() {
     let mut all = Holdings::default();
-    all.note_silent(7);
-    all.note_silent(8);
+    all.record_silent(7);
+    all.record_silent(8);
     all.merge(one(4, 7));
     assert_eq!(all.silent.into_iter().collect::<Vec<_>>(), vec![8]);
 }
@@ -44,10 +44,10 @@
 #[test]
 fn refusals_with_one_reason_are_merged() {
     let mut all = Holdings::default();
-    all.refuse(6, "digest differs".into(), 1);
+    all.record_refusal(6, "digest differs".into(), 1);
     let mut more = Holdings::default();
-    more.refuse(6, "digest differs".into(), 2);
-    more.refuse(6, "é".repeat(300), 3);
+    more.record_refusal(6, "digest differs".into(), 2);
+    more.record_refusal(6, "é".repeat(300), 3);
     all.merge(more);
     assert_eq!(all.refusals[0].members.len(), 2);
     assert!(all.refusals[1].reason.len() <= 256);
--- a/crates/distribution/tests/all/poller.rs
+++ b/crates/distribution/tests/all/poller.rs
@@ -29,7 +29,7 @@
                     let second = usize::try_from(step / 4).expect("small");
                     reads[second] += 1;
                     let up = platform_up(now);
-                    poller.polled(if up {
+                    poller.record_outcome(if up {
                         PollOutcome::Read
                     } else {
                         PollOutcome::Failed
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -99,7 +99,7 @@
     let me = node.fleet.membership.borrow().me();
     let others = followers(node).filter(|(key, _)| *key != me && !asked.contains(key));
     let followers = others.collect();
-    let in_turn = node.fleet.contact.borrow_mut().in_turn(followers);
+    let in_turn = node.fleet.contact.borrow_mut().round_robin(followers);
     in_turn.into_iter().next()
 }
 
@@ -109,12 +109,12 @@
     let now = node.clock.now();
     let mut contact = node.fleet.contact.borrow_mut();
     let Ok(Reply::Following(following, mark)) = reply else {
-        contact.missed(key, now);
+        contact.mark_silent(key, now);
         node.journal.count("host.followers_missed");
         return None;
     };
     match following {
-        Following::Follows => contact.regained(key),
+        Following::Follows => contact.mark_healthy(key),
         Following::LostHost => contact.lost_platform(key, now),
         Following::No => {}
     }
@@ -139,7 +139,7 @@
 /// The host answers this daemon.
 pub(super) fn host_answered(node: &Node) {
     let me = node.fleet.membership.borrow().me();
-    node.fleet.contact.borrow_mut().regained(me);
+    node.fleet.contact.borrow_mut().mark_healthy(me);
 }
 
 /// The host does not answer this daemon. Those that it would tell of versions hear so at
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use stoatstep_calls::{Candidate, CandidateState, Time};
-use stoatstep_distribution::{Contact, PollRole};
+use stoatstep_distribution::{PollRole, PollerHealth};
 use stoatstep_membership::{
     Config, Entry, Mark, Member, MemberKey, MemberState, Membership, starting_incarnation,
 };
@@ -67,7 +67,7 @@
     /// How this daemon learns of versions; none before its first look.
     role: Cell<Option<PollRole>>,
     /// Who of the own zone can't tell of versions.
-    contact: RefCell<Contact>,
+    contact: RefCell<PollerHealth>,
     /// Era of the host's last answer.
     era: Cell<Option<Era>>,
     confirmed: RefCell<Confirmed>,
--- a/crates/mesh/src/fleet/role.rs
+++ b/crates/mesh/src/fleet/role.rs
@@ -77,7 +77,7 @@
     match node.fleet.role.get() {
         Some(PollRole::OnOwnBehalf) => node.fleet.in_force().is_some(),
         Some(PollRole::Poller) => {
-            let misses_follower = node.fleet.contact.borrow().misses_any(node.clock.now());
+            let misses_follower = node.fleet.contact.borrow().any_silent(node.clock.now());
             misses_follower || !node.fleet.membership.borrow().reaches_every_zone()
         }
         Some(PollRole::Idle) | None => false,
--- a/crates/scenario/src/daemon/control.rs
+++ b/crates/scenario/src/daemon/control.rs
@@ -148,7 +148,7 @@
         Ok(_) => PollOutcome::Read,
         Err(_) => PollOutcome::Failed,
     };
-    node.control.borrow_mut().poller.polled(outcome);
+    node.control.borrow_mut().poller.record_outcome(outcome);
     let Ok(head) = head else {
         return;
     };
