--- a/crates/daemon/src/control/pull.rs
+++ b/crates/daemon/src/control/pull.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_distribution::{LogReply, LogRequest, LogTail, Offer, Pull, Source};
+use stoatstep_distribution::{LogReply, LogRequest, LogTail, Offer, Pull, PullSource};
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::Version;
 use stoatstep_resource::wire::{DeltaWire, SnapshotWire};
@@ -53,8 +53,8 @@
 /// Does the pull that is due and tells the machine how it went.
 pub(super) async fn repair(node: Rc<Node>, pull: Pull) {
     let outcome = match pull.source {
-        Source::Peer(peer) => from_peer(&node, peer, pull.whole).await,
-        Source::Platform => from_platform(&node, pull.whole).await,
+        PullSource::Peer(peer) => from_peer(&node, peer, pull.whole).await,
+        PullSource::Platform => from_platform(&node, pull.whole).await,
     };
     node.metrics.count("control.pulls", 1);
     let mut repair = node.control.repair.borrow_mut();
--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -7,7 +7,7 @@
 
 use ntex::channel::condition::{Condition, Waiter};
 use stoatstep_distribution::{
-    ColdStart, Offer, Poller, Quarantined, Repair, Replica, Serving, Spread, View,
+    ColdStart, Offer, Poller, QuarantinedVersion, Repair, Replica, Serving, Spread, View,
 };
 use stoatstep_membership::{
     self as membership, Input, MemberKey, MemberState, Membership, Time, starting_incarnation,
@@ -203,7 +203,7 @@
     }
 
     /// Refused versions and forks that are not settled.
-    pub(super) fn quarantine(&self) -> Vec<Quarantined> {
+    pub(super) fn quarantine(&self) -> Vec<QuarantinedVersion> {
         self.replica.borrow().quarantine().to_vec()
     }
 }
--- a/crates/distribution/src/quarantine.rs
+++ b/crates/distribution/src/quarantine.rs
@@ -11,11 +11,11 @@
 
 /// Why a version was refused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Reason {
+pub enum RefusalReason {
     /// It could not be applied.
     Apply(ApplyError),
     /// The platform's digest of this version differs.
-    NotTheHead {
+    HeadMismatch {
         /// The platform's digest.
         expected: Digest,
         /// The digest of the version that was offered.
@@ -30,11 +30,11 @@
     },
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for RefusalReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Apply(err) => err.fmt(f),
-            Self::NotTheHead { expected, found } => {
+            Self::HeadMismatch { expected, found } => {
                 write!(f, "digest is {found}, the platform's is {expected}")
             }
             Self::Forked { held, theirs } => {
@@ -49,13 +49,13 @@
 
 /// A refused version.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Quarantined {
+pub struct QuarantinedVersion {
     /// The version.
     pub version: Version,
     /// The digest of the version, if it is known.
     pub digest: Option<Digest>,
     /// The reason of the refusal.
-    pub reason: Reason,
+    pub reason: RefusalReason,
     /// The time of the first refusal.
     pub since: Time,
 }
@@ -63,12 +63,13 @@
 /// The refused versions that no newer version has replaced.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Quarantine {
-    entries: Vec<Quarantined>,
+    entries: Vec<QuarantinedVersion>,
 }
 
 impl Quarantine {
-    pub(crate) fn add(&mut self, entry: Quarantined) {
-        let is_known = |it: &Quarantined| it.version == entry.version && it.reason == entry.reason;
+    pub(crate) fn add(&mut self, entry: QuarantinedVersion) {
+        let is_known =
+            |it: &QuarantinedVersion| it.version == entry.version && it.reason == entry.reason;
         if self.entries.iter().any(is_known) {
             return;
         }
@@ -83,7 +84,7 @@
         self.entries.retain(|it| it.version > version);
     }
 
-    pub(crate) fn entries(&self) -> &[Quarantined] {
+    pub(crate) fn entries(&self) -> &[QuarantinedVersion] {
         &self.entries
     }
 }
--- a/crates/distribution/src/repair.rs
+++ b/crates/distribution/src/repair.rs
@@ -18,7 +18,7 @@
 
 /// Where to pull from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Source {
+pub enum PullSource {
     /// A peer that reported a newer version.
     Peer(MemberKey),
     /// The platform.
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pull {
     /// Where to pull from.
-    pub source: Source,
+    pub source: PullSource,
     /// Whether to request the whole state instead of the missing deltas.
     pub whole: bool,
 }
@@ -119,13 +119,13 @@
         })
     }
 
-    fn due_source(&mut self, now: Time) -> Option<Source> {
+    fn due_source(&mut self, now: Time) -> Option<PullSource> {
         if self.ask_platform.is_some_and(|due| due <= now) {
             self.ask_platform = None;
-            return Some(Source::Platform);
+            return Some(PullSource::Platform);
         }
         let candidate = self.candidate.filter(|it| it.due <= now)?;
-        Some(Source::Peer(candidate.peer))
+        Some(PullSource::Peer(candidate.peer))
     }
 
     /// Records that the pull succeeded, whether or not it brought anything new.
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -6,7 +6,7 @@
 use stoatstep_membership::{Mark, Time};
 use stoatstep_resource::{ApplyError, Delta, Digest, State, Version};
 
-use crate::quarantine::{Quarantine, Quarantined, Reason};
+use crate::quarantine::{Quarantine, QuarantinedVersion, RefusalReason};
 use crate::short_digest;
 
 /// Default number of deltas that are kept for peers and watches that are a little behind.
@@ -30,7 +30,7 @@
         missing: Version,
     },
     /// The version was refused as a whole; the old one stays in force.
-    Refused(Quarantined),
+    Refused(QuarantinedVersion),
 }
 
 /// The configuration that a daemon holds.
@@ -103,7 +103,7 @@
 
     /// Returns the refused versions that no valid one has replaced.
     #[must_use]
-    pub fn quarantine(&self) -> &[Quarantined] {
+    pub fn quarantine(&self) -> &[QuarantinedVersion] {
         self.quarantine.entries()
     }
 
@@ -171,7 +171,7 @@
         let (version, digest) = (state.version(), state.digest());
         let checked = state
             .check_references()
-            .map_err(Reason::Apply)
+            .map_err(RefusalReason::Apply)
             .and_then(|()| self.check_head(version, digest));
         if let Err(reason) = checked {
             return self.refuse(now, version, Some(digest), reason);
@@ -185,15 +185,15 @@
 
     /// Records that a peer holds another digest for the same version. One of the two is wrong, and
     /// only the platform can tell which.
-    pub fn note_fork(&mut self, now: Time, theirs: Mark) -> Option<Quarantined> {
+    pub fn note_fork(&mut self, now: Time, theirs: Mark) -> Option<QuarantinedVersion> {
         let mine = self.mark();
         if theirs.version != mine.version || theirs.digest == mine.digest {
             return None;
         }
-        let refused = Quarantined {
+        let refused = QuarantinedVersion {
             version: theirs.version,
             digest: None,
-            reason: Reason::Forked {
+            reason: RefusalReason::Forked {
                 held: mine.digest,
                 theirs: theirs.digest,
             },
@@ -246,9 +246,9 @@
         }
     }
 
-    fn apply(&mut self, now: Time, delta: Arc<Delta>) -> Result<(), Reason> {
+    fn apply(&mut self, now: Time, delta: Arc<Delta>) -> Result<(), RefusalReason> {
         self.check_head(delta.version, delta.digest)?;
-        let next = self.state.apply(&delta).map_err(Reason::Apply)?;
+        let next = self.state.apply(&delta).map_err(RefusalReason::Apply)?;
         self.tail.push_back(delta);
         if self.tail.len() > self.tail_capacity {
             self.tail.pop_front();
@@ -257,10 +257,10 @@
         Ok(())
     }
 
-    fn check_head(&self, version: Version, found: Digest) -> Result<(), Reason> {
+    fn check_head(&self, version: Version, found: Digest) -> Result<(), RefusalReason> {
         match self.head {
             Some((head, expected)) if head == version && expected != found => {
-                Err(Reason::NotTheHead { expected, found })
+                Err(RefusalReason::HeadMismatch { expected, found })
             }
             _ => Ok(()),
         }
@@ -281,13 +281,13 @@
         now: Time,
         version: Version,
         digest: Option<Digest>,
-        reason: Reason,
+        reason: RefusalReason,
     ) -> Offer {
         debug_assert!(!matches!(
             reason,
-            Reason::Apply(ApplyError::OutOfOrder { .. })
+            RefusalReason::Apply(ApplyError::OutOfOrder { .. })
         ));
-        let refused = Quarantined {
+        let refused = QuarantinedVersion {
             version,
             digest,
             reason,
--- a/crates/distribution/tests/all/repair.rs
+++ b/crates/distribution/tests/all/repair.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use stoatstep_distribution::{Mark, Pull, Repair, Source};
+use stoatstep_distribution::{Mark, Pull, PullSource, Repair};
 
 fn mark(version: u64) -> Mark {
     Mark {
@@ -20,7 +20,7 @@
     let mut repair = Repair::new(1);
     repair.peer_holds(Duration::ZERO, 5, mark(3), mark(2));
     let pull = repair.tick(SECOND, mark(2), false);
-    let source = Source::Peer(5);
+    let source = PullSource::Peer(5);
     assert_eq!(
         pull,
         Some(Pull {
@@ -50,7 +50,7 @@
     repair.tick(later, mark(2), false);
     repair.peer_holds(later, 6, mark(3), mark(2));
     let pull = repair.tick(later + SECOND, mark(2), false);
-    assert_eq!(pull.map(|it| it.source), Some(Source::Peer(6)));
+    assert_eq!(pull.map(|it| it.source), Some(PullSource::Peer(6)));
 }
 
 #[test]
--- a/crates/distribution/tests/all/replica.rs
+++ b/crates/distribution/tests/all/replica.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use stoatstep_distribution::{Mark, Offer, Reason, Replica};
+use stoatstep_distribution::{Mark, Offer, RefusalReason, Replica};
 use stoatstep_resource::{ApplyError, Digest, State};
 
 use crate::support::{T0, log, route, service_key};
@@ -78,7 +78,7 @@
     let Offer::Refused(refused) = offer else {
         panic!("taken: {offer:?}");
     };
-    let reason = Reason::Apply(ApplyError::DanglingReference {
+    let reason = RefusalReason::Apply(ApplyError::DanglingReference {
         from: stoatstep_resource::Key {
             kind: stoatstep_resource::Kind::Route,
             name: "r".into(),
@@ -101,7 +101,9 @@
     let mut replica = Replica::default();
     replica.learn_head(2, Digest([9; 16]));
     let offer = replica.offer_state(T0, state);
-    assert!(matches!(offer, Offer::Refused(it) if matches!(it.reason, Reason::NotTheHead { .. })));
+    assert!(
+        matches!(offer, Offer::Refused(it) if matches!(it.reason, RefusalReason::HeadMismatch { .. }))
+    );
     let (deltas, _) = log(2);
     let offer = replica.offer_deltas(T0, deltas);
     assert!(matches!(offer, Offer::Applied(applied) if applied.len() == 1));
--- a/crates/scenario/src/daemon/spread.rs
+++ b/crates/scenario/src/daemon/spread.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use stoatstep_distribution::{LogTail, Mark, Offer, Pull, Source, View};
+use stoatstep_distribution::{LogTail, Mark, Offer, Pull, PullSource, View};
 use stoatstep_membership::{MemberKey, Membership, Time};
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{Delta, State, Version};
@@ -164,8 +164,8 @@
 /// Does the pull that is due and tells the machine how it went.
 pub(super) async fn repair(node: Rc<Node>, pull: Pull) {
     let is_good = match pull.source {
-        Source::Peer(peer) => from_peer(&node, peer, pull.whole).await,
-        Source::Platform => from_platform(&node, pull.whole).await,
+        PullSource::Peer(peer) => from_peer(&node, peer, pull.whole).await,
+        PullSource::Platform => from_platform(&node, pull.whole).await,
     };
     let now = node.now();
     let repair = &mut node.control.borrow_mut().repair;
