--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -111,10 +111,10 @@
 fn peer_holds(node: &Rc<Node>, peer: MemberKey, theirs: Mark) {
     let control = &node.control;
     let now = control.now();
-    let mine = control.replica.borrow().mark();
+    let mine = control.replica.borrow().config_id();
     let mut repair = control.repair.borrow_mut();
     repair.peer_holds(now, peer, theirs, mine);
-    let fork = control.replica.borrow_mut().note_fork(now, theirs);
+    let fork = control.replica.borrow_mut().record_fork(now, theirs);
     if let Some(row) = fork {
         slog::error!(node.log, "a peer holds another state under this version";
             "version" => row.version, "reason" => %row.reason);
--- a/crates/daemon/src/control/poll.rs
+++ b/crates/daemon/src/control/poll.rs
@@ -56,8 +56,8 @@
 /// Takes in what the platform states of its newest version.
 pub(super) fn learn(node: &Rc<Node>, head: &Head) {
     let mut replica = node.control.replica.borrow_mut();
-    replica.learn_head(head.version, head.digest);
-    replica.settle_fork(head.version, head.digest);
+    replica.record_head(head.version, head.digest);
+    replica.resolve_fork(head.version, head.digest);
     drop(replica);
     let mut serving = node.control.serving.borrow_mut();
     serving.heard_platform(head.version);
--- a/crates/daemon/src/control/pull.rs
+++ b/crates/daemon/src/control/pull.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_distribution::{LogReply, LogRequest, LogTail, Offer, Pull, PullSource};
+use stoatstep_distribution::{LogReply, LogRequest, LogTail, OfferOutcome, Pull, PullSource};
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::Version;
 use stoatstep_resource::wire::{DeltaWire, SnapshotWire};
@@ -36,11 +36,11 @@
 /// Answers a daemon that lacks versions.
 pub(super) async fn answer(node: &Rc<Node>, message: LogRequest) -> LogReply {
     let replica = node.control.replica.borrow();
-    let mine = replica.mark();
+    let mine = replica.config_id();
     if message.held.version >= mine.version {
         return LogReply::Nothing(mine);
     }
-    let tail = replica.tail_after(message.held.version);
+    let tail = replica.deltas_after(message.held.version);
     match tail.filter(|it| !message.whole && it.len() <= MAX_DELTAS) {
         Some(deltas) => {
             let deltas = deltas.iter().map(|it| DeltaWire::from(it.as_ref()));
@@ -69,7 +69,7 @@
     let Some(addr) = node.control.peer_addr(peer) else {
         return Outcome::Failed;
     };
-    let held = node.control.replica.borrow().mark();
+    let held = node.control.replica.borrow().config_id();
     let message = Message::new(LOG, Class::Configuration, &LogRequest { held, whole });
     let answer: Result<LogReply, _> = ask(node, addr, &message, BOUND).await;
     let Ok(tail) = answer.map(LogTail::try_from) else {
@@ -116,12 +116,12 @@
 
 fn take(node: &Rc<Node>, tail: LogTail) -> Outcome {
     let outcome = node.control.offer(|replica, now| match tail {
-        LogTail::Nothing(_) => Offer::Held,
+        LogTail::Nothing(_) => OfferOutcome::AlreadyHeld,
         LogTail::Deltas(deltas) => replica.offer_deltas(now, deltas),
         LogTail::Snapshot(state) => replica.offer_state(now, state),
     });
     match outcome {
-        Offer::Refused(row) => {
+        OfferOutcome::Refused(row) => {
             slog::error!(node.log, "refused a version";
                 "version" => row.version, "reason" => %row.reason);
             Outcome::Failed
--- a/crates/daemon/src/control/push.rs
+++ b/crates/daemon/src/control/push.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::seq::IteratorRandom;
-use stoatstep_distribution::{Mark, Offer, PushRequest, View};
+use stoatstep_distribution::{Mark, OfferOutcome, PushRequest, View};
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::Delta;
 use stoatstep_resource::wire::DeltaWire;
@@ -79,17 +79,17 @@
         .control
         .offer(|replica, now| replica.offer_delta(now, delta));
     match outcome {
-        Offer::Applied(applied) => applied,
-        Offer::Refused(row) => {
+        OfferOutcome::Applied(applied) => applied,
+        OfferOutcome::Refused(row) => {
             slog::error!(node.log, "refused a version";
                 "version" => row.version, "reason" => %row.reason);
             Vec::new()
         }
-        Offer::Waiting { .. } => {
+        OfferOutcome::Waiting { .. } => {
             close_gap(node, version);
             Vec::new()
         }
-        Offer::Held | Offer::Replaced(_) => Vec::new(),
+        OfferOutcome::AlreadyHeld | OfferOutcome::Replaced(_) => Vec::new(),
     }
 }
 
@@ -105,7 +105,7 @@
         return;
     };
     let theirs = Mark { version, digest: 0 };
-    let mine = control.replica.borrow().mark();
+    let mine = control.replica.borrow().config_id();
     let mut repair = control.repair.borrow_mut();
     repair.peer_holds(control.now(), peer, theirs, mine);
 }
--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -7,7 +7,7 @@
 
 use ntex::channel::condition::{Condition, Waiter};
 use stoatstep_distribution::{
-    ColdStart, Offer, Poller, QuarantinedVersion, Repair, Replica, Serving, Spread, View,
+    ColdStart, OfferOutcome, Poller, QuarantinedVersion, Repair, Replica, Serving, Spread, View,
 };
 use stoatstep_membership::{
     self as membership, Input, MemberKey, MemberState, Membership, Time, starting_incarnation,
@@ -100,7 +100,7 @@
     /// The deltas after `version`, oldest first.
     pub(crate) fn deltas_after(&self, version: Version) -> Result<Vec<Arc<Delta>>, Trimmed> {
         let replica = self.replica.borrow();
-        replica.tail_after(version).ok_or(Trimmed)
+        replica.deltas_after(version).ok_or(Trimmed)
     }
 
     /// The newest version received, in force or not.
@@ -135,7 +135,10 @@
     }
 
     /// Offers something to the replica and puts in force what it takes.
-    pub(super) fn offer(&self, offer: impl FnOnce(&mut Replica, Time) -> Offer) -> Offer {
+    pub(super) fn offer(
+        &self,
+        offer: impl FnOnce(&mut Replica, Time) -> OfferOutcome,
+    ) -> OfferOutcome {
         let outcome = offer(&mut self.replica.borrow_mut(), self.now());
         self.put_in_force();
         outcome
@@ -153,7 +156,7 @@
             *self.in_force.borrow_mut() = Rc::new(InForce::new(&state));
             self.changed.notify();
         }
-        let mark = self.replica.borrow().mark();
+        let mark = self.replica.borrow().config_id();
         let now = self.now();
         self.membership.borrow_mut().handle(now, Input::Holds(mark));
     }
--- a/crates/daemon/src/control/tick.rs
+++ b/crates/daemon/src/control/tick.rs
@@ -46,7 +46,7 @@
     let control = &node.control;
     let (mark, needs_state) = {
         let replica = control.replica.borrow();
-        (replica.mark(), replica.needs_state())
+        (replica.config_id(), replica.needs_state())
     };
     let due = control
         .repair
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -33,7 +33,7 @@
 pub use poller::{PollOutcome, PollRole, Poller};
 pub use quarantine::{QuarantinedVersion, RefusalReason};
 pub use repair::{Pull, PullSource, Repair};
-pub use replica::{Offer, Replica};
+pub use replica::{OfferOutcome, Replica};
 pub use roster_looks::RosterLooks;
 pub use serving::Serving;
 pub use spread::Spread;
@@ -47,7 +47,7 @@
 
 /// Returns the version and shortened digest of a state.
 #[must_use]
-pub fn mark_of(state: &State) -> Mark {
+pub fn config_id_of(state: &State) -> Mark {
     Mark {
         version: state.version(),
         digest: short_digest(&state.digest()),
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -17,13 +17,13 @@
 
 /// The result of offering a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// These versions came into force, in this order.
     Applied(Vec<Arc<Delta>>),
     /// A whole state came into force.
     Replaced(Version),
     /// The version is not newer than the one in force.
-    Held,
+    AlreadyHeld,
     /// The version is kept until the versions before it arrive.
     Waiting {
         /// The first version that is missing.
@@ -88,7 +88,7 @@
 
     /// Returns the version and digest in force, in the form that peers exchange.
     #[must_use]
-    pub fn mark(&self) -> Mark {
+    pub fn config_id(&self) -> Mark {
         Mark {
             version: self.version(),
             digest: short_digest(&self.digest),
@@ -115,40 +115,40 @@
 
     /// Records the platform's newest version and its digest. From then on, any other state under
     /// that version's number is refused.
-    pub fn learn_head(&mut self, version: Version, digest: Digest) {
+    pub fn record_head(&mut self, version: Version, digest: Digest) {
         if self.head.is_none_or(|(known, _)| known < version) {
             self.head = Some((version, digest));
         }
     }
 
     /// Offers the next version or a later one.
-    pub fn offer_delta(&mut self, now: Time, delta: Arc<Delta>) -> Offer {
+    pub fn offer_delta(&mut self, now: Time, delta: Arc<Delta>) -> OfferOutcome {
         if delta.version <= self.version() {
-            return Offer::Held;
+            return OfferOutcome::AlreadyHeld;
         }
         let missing = self.version() + 1;
         if delta.version > missing {
             self.keep_pending(delta);
-            return Offer::Waiting { missing };
+            return OfferOutcome::Waiting { missing };
         }
         if let Err(reason) = self.apply(now, delta.clone()) {
             return self.refuse(now, delta.version, Some(delta.digest), reason);
         }
         let mut applied = vec![delta];
         self.apply_pending(now, &mut applied);
-        Offer::Applied(applied)
+        OfferOutcome::Applied(applied)
     }
 
     /// Offers several versions, oldest first, such as a part of the log. Stops at the first
     /// refusal.
-    pub fn offer_deltas(&mut self, now: Time, deltas: Vec<Arc<Delta>>) -> Offer {
+    pub fn offer_deltas(&mut self, now: Time, deltas: Vec<Arc<Delta>>) -> OfferOutcome {
         let mut all = Vec::new();
-        let mut last = Offer::Held;
+        let mut last = OfferOutcome::AlreadyHeld;
         for delta in deltas {
             match self.offer_delta(now, delta) {
-                Offer::Applied(applied) => all.extend(applied),
-                Offer::Refused(refused) => {
-                    last = Offer::Refused(refused);
+                OfferOutcome::Applied(applied) => all.extend(applied),
+                OfferOutcome::Refused(refused) => {
+                    last = OfferOutcome::Refused(refused);
                     break;
                 }
                 other => last = other,
@@ -157,16 +157,16 @@
         if all.is_empty() {
             last
         } else {
-            Offer::Applied(all)
+            OfferOutcome::Applied(all)
         }
     }
 
     /// Offers a whole state, whose digest was checked when it was decoded.
-    pub fn offer_state(&mut self, now: Time, state: State) -> Offer {
+    pub fn offer_state(&mut self, now: Time, state: State) -> OfferOutcome {
         // Without this check, a snapshot that was delayed in transit would replace a newer version,
         // and callers would see a removed route come back.
         if state.version() <= self.version() {
-            return Offer::Held;
+            return OfferOutcome::AlreadyHeld;
         }
         let (version, digest) = (state.version(), state.digest());
         let checked = state
@@ -180,13 +180,13 @@
         self.put_in_force(now, state);
         let mut applied = Vec::new();
         self.apply_pending(now, &mut applied);
-        Offer::Replaced(self.version())
+        OfferOutcome::Replaced(self.version())
     }
 
     /// Records that a peer holds another digest for the same version. One of the two is wrong, and
     /// only the platform can tell which.
-    pub fn note_fork(&mut self, now: Time, theirs: Mark) -> Option<QuarantinedVersion> {
-        let mine = self.mark();
+    pub fn record_fork(&mut self, now: Time, theirs: Mark) -> Option<QuarantinedVersion> {
+        let mine = self.config_id();
         if theirs.version != mine.version || theirs.digest == mine.digest {
             return None;
         }
@@ -205,7 +205,7 @@
 
     /// Ends the quarantine of a fork if the platform's digest for this version is the one held
     /// here, so that the peer's was the wrong one.
-    pub fn settle_fork(&mut self, version: Version, digest: Digest) {
+    pub fn resolve_fork(&mut self, version: Version, digest: Digest) {
         if version == self.version() && digest == self.digest {
             self.quarantine.release(version);
         }
@@ -213,7 +213,7 @@
 
     /// Returns the deltas after `version`, oldest first; `None` if some of them are no longer kept.
     #[must_use]
-    pub fn tail_after(&self, version: Version) -> Option<Vec<Arc<Delta>>> {
+    pub fn deltas_after(&self, version: Version) -> Option<Vec<Arc<Delta>>> {
         let first = self
             .tail
             .front()
@@ -282,7 +282,7 @@
         version: Version,
         digest: Option<Digest>,
         reason: RefusalReason,
-    ) -> Offer {
+    ) -> OfferOutcome {
         debug_assert!(!matches!(
             reason,
             RefusalReason::Apply(ApplyError::OutOfOrder { .. })
@@ -295,6 +295,6 @@
         };
         self.quarantine.add(refused.clone());
         self.needs_state = true;
-        Offer::Refused(refused)
+        OfferOutcome::Refused(refused)
     }
 }
--- a/crates/distribution/tests/all/replica.rs
+++ b/crates/distribution/tests/all/replica.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use stoatstep_distribution::{Mark, Offer, RefusalReason, Replica};
+use stoatstep_distribution::{Mark, OfferOutcome, RefusalReason, Replica};
 use stoatstep_resource::{ApplyError, Digest, State};
 
 use crate::support::{T0, log, route, service_key};
@@ -15,14 +15,14 @@
     let (deltas, state) = log(3);
     let mut replica = Replica::default();
     let third = replica.offer_delta(T0, deltas[2].clone());
-    assert_eq!(third, Offer::Waiting { missing: 1 });
+    assert_eq!(third, OfferOutcome::Waiting { missing: 1 });
     assert_eq!(
         replica.offer_delta(T0, deltas[1].clone()),
-        Offer::Waiting { missing: 1 }
+        OfferOutcome::Waiting { missing: 1 }
     );
     assert_eq!(
         replica.offer_delta(T0, deltas[0].clone()),
-        Offer::Applied(deltas)
+        OfferOutcome::Applied(deltas)
     );
     assert_eq!(replica.state().digest(), state.digest());
 }
@@ -35,8 +35,11 @@
     let (_, older) = log(2);
     let mut replica = Replica::default();
     replica.offer_deltas(T0, deltas.clone());
-    assert_eq!(replica.offer_state(T0, older), Offer::Held);
-    assert_eq!(replica.offer_delta(T0, deltas[0].clone()), Offer::Held);
+    assert_eq!(replica.offer_state(T0, older), OfferOutcome::AlreadyHeld);
+    assert_eq!(
+        replica.offer_delta(T0, deltas[0].clone()),
+        OfferOutcome::AlreadyHeld
+    );
     assert_eq!(replica.version(), 3);
 }
 
@@ -51,11 +54,11 @@
     let mut bad = (*deltas[1]).clone();
     bad.digest = Digest([7; 16]);
     let offer = replica.offer_delta(T0, Arc::new(bad));
-    assert!(matches!(offer, Offer::Refused(_)));
+    assert!(matches!(offer, OfferOutcome::Refused(_)));
     assert_eq!(replica.version(), 1);
     assert!(replica.needs_state());
     assert_eq!(replica.quarantine()[0].version, 2);
-    assert_eq!(replica.offer_state(T0, state), Offer::Replaced(2));
+    assert_eq!(replica.offer_state(T0, state), OfferOutcome::Replaced(2));
     assert!(
         replica.quarantine().is_empty(),
         "a good state of it is held now"
@@ -75,7 +78,7 @@
     replica.offer_delta(T0, deltas[0].clone());
     replica.offer_delta(T0, Arc::new(with_route));
     let offer = replica.offer_delta(T0, Arc::new(dangling.clone()));
-    let Offer::Refused(refused) = offer else {
+    let OfferOutcome::Refused(refused) = offer else {
         panic!("taken: {offer:?}");
     };
     let reason = RefusalReason::Apply(ApplyError::DanglingReference {
@@ -89,7 +92,10 @@
     let items = state.iter().filter(|(key, _)| **key != service_key("s1"));
     let items: Vec<_> = items.map(|(_, held)| held.clone()).collect();
     let whole = State::from_snapshot(3, items).expect("keys are unique");
-    assert!(matches!(replica.offer_state(T0, whole), Offer::Refused(_)));
+    assert!(matches!(
+        replica.offer_state(T0, whole),
+        OfferOutcome::Refused(_)
+    ));
     assert_eq!(replica.version(), 2);
 }
 
@@ -99,14 +105,14 @@
     // look valid, and the fork would spread.
     let (_, state) = log(2);
     let mut replica = Replica::default();
-    replica.learn_head(2, Digest([9; 16]));
+    replica.record_head(2, Digest([9; 16]));
     let offer = replica.offer_state(T0, state);
     assert!(
-        matches!(offer, Offer::Refused(it) if matches!(it.reason, RefusalReason::HeadMismatch { .. }))
+        matches!(offer, OfferOutcome::Refused(it) if matches!(it.reason, RefusalReason::HeadMismatch { .. }))
     );
     let (deltas, _) = log(2);
     let offer = replica.offer_deltas(T0, deltas);
-    assert!(matches!(offer, Offer::Applied(applied) if applied.len() == 1));
+    assert!(matches!(offer, OfferOutcome::Applied(applied) if applied.len() == 1));
     assert_eq!(
         replica.version(),
         1,
@@ -123,10 +129,10 @@
         version: 2,
         digest: 1,
     };
-    assert!(replica.note_fork(T0, theirs).is_some());
-    assert_eq!(replica.note_fork(T0, replica.mark()), None);
+    assert!(replica.record_fork(T0, theirs).is_some());
+    assert_eq!(replica.record_fork(T0, replica.config_id()), None);
     assert_eq!(replica.quarantine().len(), 1);
-    replica.settle_fork(2, state.digest());
+    replica.resolve_fork(2, state.digest());
     assert!(replica.quarantine().is_empty());
 }
 
@@ -135,7 +141,7 @@
     let (deltas, _) = log(6);
     let mut replica = Replica::default().tail_capacity(3);
     replica.offer_deltas(T0, deltas.clone());
-    assert_eq!(replica.tail_after(6), Some(Vec::new()));
-    assert_eq!(replica.tail_after(3), Some(deltas[3..].to_vec()));
-    assert_eq!(replica.tail_after(2), None);
+    assert_eq!(replica.deltas_after(6), Some(Vec::new()));
+    assert_eq!(replica.deltas_after(3), Some(deltas[3..].to_vec()));
+    assert_eq!(replica.deltas_after(2), None);
 }
--- a/crates/mesh/src/in_force.rs
+++ b/crates/mesh/src/in_force.rs
@@ -19,7 +19,7 @@
 impl InForce {
     pub(crate) fn new(state: State) -> Self {
         Self {
-            mark: stoatstep_distribution::mark_of(&state),
+            mark: stoatstep_distribution::config_id_of(&state),
             routes: RouteTable::new(&state),
             keys: KeyRing::new(&state),
             state: Arc::new(state),
--- a/crates/scenario/src/daemon/calls.rs
+++ b/crates/scenario/src/daemon/calls.rs
@@ -224,7 +224,7 @@
     if noted + 1 == version {
         return true;
     }
-    let Some(deltas) = node.control.borrow().replica.tail_after(noted) else {
+    let Some(deltas) = node.control.borrow().replica.deltas_after(noted) else {
         return false;
     };
     let changes_sets = deltas.iter().filter(|delta| {
--- a/crates/scenario/src/daemon/control.rs
+++ b/crates/scenario/src/daemon/control.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use stoatstep_distribution::{
-    ColdStart, ColdStartAction, ColdStartInput, Offer, PollOutcome, Poller, Repair, Replica,
+    ColdStart, ColdStartAction, ColdStartInput, OfferOutcome, PollOutcome, Poller, Repair, Replica,
     Serving, Spread, View,
 };
 use stoatstep_membership::{Announcement, Input, Member, MemberKey, Membership, Row, Time};
@@ -64,7 +64,10 @@
 }
 
 /// Offers something to the replica and puts in force what it takes.
-pub(super) fn offer(node: &Node, offer: impl FnOnce(&mut Replica, Time) -> Offer) -> Offer {
+pub(super) fn offer(
+    node: &Node,
+    offer: impl FnOnce(&mut Replica, Time) -> OfferOutcome,
+) -> OfferOutcome {
     let outcome = offer(&mut node.control.borrow_mut().replica, node.now());
     put_in_force(node);
     outcome
@@ -80,7 +83,7 @@
     if is_newer && control.serves {
         control.in_force = state;
     }
-    let mark = control.replica.mark();
+    let mark = control.replica.config_id();
     control.membership.handle(now, Input::Holds(mark));
 }
 
@@ -118,7 +121,7 @@
     }
     let now = node.now();
     let mut control = node.control.borrow_mut();
-    let mark = control.replica.mark();
+    let mark = control.replica.config_id();
     let needs_state = control.replica.needs_state();
     if let Some(due) = control.repair.tick(now, mark, needs_state) {
         node.spawn(spread::repair(Rc::clone(node), due));
@@ -161,8 +164,8 @@
 /// Takes in what the platform states of its newest version.
 pub(super) fn learn(node: &Rc<Node>, head: &Head) {
     let mut control = node.control.borrow_mut();
-    control.replica.learn_head(head.version, head.digest);
-    control.replica.settle_fork(head.version, head.digest);
+    control.replica.record_head(head.version, head.digest);
+    control.replica.resolve_fork(head.version, head.digest);
     control.serving.heard_platform(head.version);
     drop(control);
     gossip::input(node, Input::HeadRead);
--- a/crates/scenario/src/daemon/gossip.rs
+++ b/crates/scenario/src/daemon/gossip.rs
@@ -47,9 +47,9 @@
 fn peer_holds(node: &Node, peer: MemberKey, theirs: Mark, floor: u64) {
     let now = node.now();
     let mut control = node.control.borrow_mut();
-    let mine = control.replica.mark();
+    let mine = control.replica.config_id();
     control.repair.peer_holds(now, peer, theirs, mine);
-    if control.replica.note_fork(now, theirs).is_some() {
+    if control.replica.record_fork(now, theirs).is_some() {
         control.repair.ask_platform(now);
     }
     control.serving.heard_peer(peer, theirs.version, floor);
--- a/crates/scenario/src/daemon/spread.rs
+++ b/crates/scenario/src/daemon/spread.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use stoatstep_distribution::{LogTail, Mark, Offer, Pull, PullSource, View};
+use stoatstep_distribution::{LogTail, Mark, OfferOutcome, Pull, PullSource, View};
 use stoatstep_membership::{MemberKey, Membership, Time};
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{Delta, State, Version};
@@ -51,12 +51,14 @@
     let delta = Arc::clone(delta);
     let version = delta.version;
     match offer(node, |replica, now| replica.offer_delta(now, delta)) {
-        Offer::Applied(applied) => applied,
-        Offer::Waiting { .. } => {
+        OfferOutcome::Applied(applied) => applied,
+        OfferOutcome::Waiting { .. } => {
             close_gap(node, version);
             Vec::new()
         }
-        Offer::Held | Offer::Replaced(_) | Offer::Refused(_) => Vec::new(),
+        OfferOutcome::AlreadyHeld | OfferOutcome::Replaced(_) | OfferOutcome::Refused(_) => {
+            Vec::new()
+        }
     }
 }
 
@@ -72,7 +74,7 @@
         return;
     };
     let theirs = Mark { version, digest: 0 };
-    let mine = control.replica.mark();
+    let mine = control.replica.config_id();
     control.repair.peer_holds(now, peer, theirs, mine);
 }
 
@@ -189,11 +191,11 @@
 
 fn newer_than(node: &Node, held: Version, whole: bool) -> LogTail {
     let control = node.control.borrow();
-    let mine = control.replica.mark();
+    let mine = control.replica.config_id();
     if held >= mine.version {
         return LogTail::Nothing(mine);
     }
-    let tail = control.replica.tail_after(held);
+    let tail = control.replica.deltas_after(held);
     match tail.filter(|it| !whole && it.len() <= MAX_DELTAS) {
         Some(deltas) => LogTail::Deltas(deltas),
         None => LogTail::Snapshot(State::clone(control.replica.state())),
@@ -202,11 +204,11 @@
 
 fn take_tail(node: &Node, tail: LogTail) -> bool {
     let outcome = offer(node, |replica, now| match tail {
-        LogTail::Nothing(_) => Offer::Held,
+        LogTail::Nothing(_) => OfferOutcome::AlreadyHeld,
         LogTail::Deltas(deltas) => replica.offer_deltas(now, deltas),
         LogTail::Snapshot(state) => replica.offer_state(now, state),
     });
-    !matches!(outcome, Offer::Refused(_))
+    !matches!(outcome, OfferOutcome::Refused(_))
 }
 
 /// Reads what is newer from the platform and passes it on in the zone.
@@ -240,7 +242,7 @@
         return;
     }
     let control = node.control.borrow();
-    let Some(deltas) = control.replica.tail_after(after) else {
+    let Some(deltas) = control.replica.deltas_after(after) else {
         return;
     };
     let mut view = control.view();
--- a/crates/spec/src/spreading/daemon.rs
+++ b/crates/spec/src/spreading/daemon.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stoatstep_distribution::{Offer, Replica, Serving};
+use stoatstep_distribution::{OfferOutcome, Replica, Serving};
 use stoatstep_resource::{Delta, Digest, Held, State, Version};
 
 use super::DaemonIndex;
@@ -74,7 +74,7 @@
     }
 
     pub(super) fn hear_head(&mut self, version: Version, digest: Digest) {
-        self.replica.learn_head(version, digest);
+        self.replica.record_head(version, digest);
         self.serving.heard_platform(version);
     }
 
@@ -148,11 +148,11 @@
         let checks_references = safeguards.has(Safeguard::ReferenceCheck);
         let is_next = delta.version == self.version() + 1;
         match offer {
-            Offer::Refused(_) if !checks_digest => self.force(delta),
-            Offer::Refused(_) if !checks_references && self.has_digest(delta) => {
+            OfferOutcome::Refused(_) if !checks_digest => self.force(delta),
+            OfferOutcome::Refused(_) if !checks_references && self.has_digest(delta) => {
                 self.force(delta);
             }
-            Offer::Waiting { .. } if !safeguards.has(Safeguard::OrderCheck) && !is_next => {
+            OfferOutcome::Waiting { .. } if !safeguards.has(Safeguard::OrderCheck) && !is_next => {
                 self.force(delta);
             }
             _ => {}
