--- a/crates/daemon/src/control/announce.rs
+++ b/crates/daemon/src/control/announce.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
 use smol_str::SmolStr;
-use stoatstep_distribution::RosterLooks;
+use stoatstep_distribution::RosterReadSchedule;
 
 use super::warning::warn;
 use super::{cold_start, platform};
@@ -30,7 +30,8 @@
         sleep(STEP).await;
     }
     let mut write_due = node.control.now();
-    let mut looks = RosterLooks::new(write_due, Xoshiro256PlusPlus::from_rng(&mut rand::rng()));
+    let mut looks =
+        RosterReadSchedule::new(write_due, Xoshiro256PlusPlus::from_rng(&mut rand::rng()));
     while !node.draining.get() {
         if write_due <= node.control.now() {
             write_due = node.control.now() + write(&node).await;
--- a/crates/daemon/src/control/cold_start.rs
+++ b/crates/daemon/src/control/cold_start.rs
@@ -82,7 +82,7 @@
 fn learn_own_floor(node: &Rc<Node>, roster: &platform::Roster) {
     let own = |it: &&stoatstep_membership::Announcement| it.row.instance == node.cfg.instance;
     if let Some(row) = roster.announcements.iter().find(own) {
-        node.control.serving.borrow_mut().learn_floor(row.version);
+        node.control.serving.borrow_mut().raise_floor(row.version);
     }
 }
 
--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -126,9 +126,9 @@
 fn heard(node: &Node, peer: MemberKey, theirs: Mark, floor: u64, answered: bool) {
     let mut serving = node.control.serving.borrow_mut();
     if answered {
-        serving.heard_peer(peer, theirs.version, floor);
+        serving.peer_answered(peer, theirs.version, floor);
     } else {
-        serving.learn_floor(floor);
+        serving.raise_floor(floor);
     }
 }
 
--- a/crates/daemon/src/control/poll.rs
+++ b/crates/daemon/src/control/poll.rs
@@ -60,7 +60,7 @@
     replica.resolve_fork(head.version, head.digest);
     drop(replica);
     let mut serving = node.control.serving.borrow_mut();
-    serving.heard_platform(head.version);
+    serving.platform_answered(head.version);
     drop(serving);
     gossip::input(node, Input::HeadRead);
 }
--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -163,7 +163,7 @@
 
     /// Takes what is held for old until others confirm it.
     pub(super) fn woke(&self) {
-        self.serving.borrow_mut().woke();
+        self.serving.borrow_mut().resumed();
         self.serves.set(false);
         self.woke_at.set(Some(self.now()));
     }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -34,7 +34,7 @@
 pub use quarantine::{QuarantinedVersion, RefusalReason};
 pub use repair::{Pull, PullSource, Repair};
 pub use replica::{OfferOutcome, Replica};
-pub use roster_looks::RosterLooks;
+pub use roster_looks::RosterReadSchedule;
 pub use serving::Serving;
 pub use spread::Spread;
 pub use tree::{Tree, View, first_of, rendezvous, seed_of};
--- a/crates/distribution/src/roster_looks.rs
+++ b/crates/distribution/src/roster_looks.rs
@@ -27,7 +27,7 @@
 
 /// Schedules the reads of the roster after the first one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RosterLooks {
+pub struct RosterReadSchedule {
     rng: Xoshiro256PlusPlus,
     /// The times of the next reads, latest first.
     due: Vec<Time>,
@@ -35,7 +35,7 @@
     interval_alone: Duration,
 }
 
-impl RosterLooks {
+impl RosterReadSchedule {
     /// Schedules the reads of a daemon whose row is written at `now`.
     #[must_use]
     pub fn new(now: Time, mut rng: Xoshiro256PlusPlus) -> Self {
--- a/crates/distribution/src/serving.rs
+++ b/crates/distribution/src/serving.rs
@@ -67,7 +67,7 @@
 
 impl Serving {
     /// Records that the platform's head was read at this version.
-    pub fn heard_platform(&mut self, version: Version) {
+    pub fn platform_answered(&mut self, version: Version) {
         self.platform = PlatformRead::Answered;
         self.newest = self.newest.max(version);
     }
@@ -86,8 +86,8 @@
 
     /// Records a peer's answer to a message of this daemon: the version that it holds, and the
     /// highest version that it saw this instance report. What peers send unasked counts for the
-    /// floor only, by [`Self::learn_floor`].
-    pub fn heard_peer(&mut self, peer: MemberKey, holds: Version, floor: Version) {
+    /// floor only, by [`Self::raise_floor`].
+    pub fn peer_answered(&mut self, peer: MemberKey, holds: Version, floor: Version) {
         self.floor = self.floor.max(floor);
         if self.service == Service::Running {
             return;
@@ -99,7 +99,7 @@
     /// Records that the process was frozen. Without this it would go on by a version that the fleet
     /// left minutes ago, and a caller that was just served by a newer one elsewhere would see it go
     /// back.
-    pub fn woke(&mut self) {
+    pub fn resumed(&mut self) {
         if self.service == Service::Never {
             if self.platform == PlatformRead::Answered {
                 self.platform = PlatformRead::Pending;
@@ -121,7 +121,7 @@
     }
 
     /// Raises the floor to a version that a peer or the former process's announcement row names.
-    pub fn learn_floor(&mut self, version: Version) {
+    pub fn raise_floor(&mut self, version: Version) {
         self.floor = self.floor.max(version);
     }
 
--- a/crates/distribution/tests/all/roster_looks.rs
+++ b/crates/distribution/tests/all/roster_looks.rs
@@ -3,7 +3,7 @@
 
 use rand::{RngExt, SeedableRng};
 use rand_xoshiro::Xoshiro256PlusPlus;
-use stoatstep_distribution::RosterLooks;
+use stoatstep_distribution::RosterReadSchedule;
 use stoatstep_membership::Time;
 
 /// Time within which daemons that start at once write their rows.
@@ -14,7 +14,7 @@
 struct Daemon {
     zone: usize,
     written: Time,
-    reads: RosterLooks,
+    reads: RosterReadSchedule,
 }
 
 /// The rows that one read returns: the next one of the own zone, the first one after the zone, and
@@ -41,7 +41,10 @@
             Daemon {
                 zone: number % ZONES,
                 written,
-                reads: RosterLooks::new(written, Xoshiro256PlusPlus::seed_from_u64(rng.random())),
+                reads: RosterReadSchedule::new(
+                    written,
+                    Xoshiro256PlusPlus::seed_from_u64(rng.random()),
+                ),
             }
         })
         .collect();
@@ -84,7 +87,7 @@
 #[test]
 fn a_daemon_that_knows_others_reads_twice_and_then_every_ten_minutes() {
     let rng = Xoshiro256PlusPlus::seed_from_u64(7);
-    let mut reads = RosterLooks::new(Time::ZERO, rng);
+    let mut reads = RosterReadSchedule::new(Time::ZERO, rng);
     let steps = (0..36_000).map(|step| STEP * step);
     let times: Vec<_> = steps.filter(|now| reads.is_due(*now, false)).collect();
     assert_eq!(times.len(), 7, "{times:?}");
--- a/crates/distribution/tests/all/serving.rs
+++ b/crates/distribution/tests/all/serving.rs
@@ -9,8 +9,8 @@
     // daemon waits until it holds 9.
     let mut serving = Serving::default();
     serving.platform_failed();
-    serving.heard_peer(1, 8, 9);
-    serving.heard_peer(2, 8, 0);
+    serving.peer_answered(1, 8, 9);
+    serving.peer_answered(2, 8, 0);
     assert!(!serving.may_serve(8, 10));
     assert!(serving.may_serve(9, 10));
 }
@@ -22,11 +22,11 @@
     let mut serving = Serving::default();
     serving.platform_failed();
     assert!(!serving.may_serve(0, 10));
-    serving.heard_peer(1, 4, 0);
+    serving.peer_answered(1, 4, 0);
     assert!(!serving.may_serve(4, 10), "one peer of ten is too few");
     assert!(serving.may_serve(4, 1), "but all that there is of one");
     let mut serving = Serving::default();
-    serving.heard_platform(4);
+    serving.platform_answered(4);
     assert!(!serving.may_serve(3, 10));
     assert!(serving.may_serve(4, 10));
 }
@@ -37,10 +37,10 @@
     // starts again, and two peers that hold version 4 answer before the platform does. Callers
     // would see what 5 removed come back.
     let mut serving = Serving::default();
-    serving.heard_peer(1, 4, 0);
-    serving.heard_peer(2, 4, 0);
+    serving.peer_answered(1, 4, 0);
+    serving.peer_answered(2, 4, 0);
     assert!(!serving.may_serve(4, 10));
-    serving.heard_platform(5);
+    serving.platform_answered(5);
     assert!(!serving.may_serve(4, 10));
     assert!(serving.may_serve(5, 10));
 }
@@ -48,9 +48,9 @@
 #[test]
 fn being_behind_a_peer_does_not_end_the_service() {
     let mut serving = Serving::default();
-    serving.heard_platform(4);
+    serving.platform_answered(4);
     assert!(serving.may_serve(4, 10));
-    serving.heard_peer(1, 5, 4);
+    serving.peer_answered(1, 5, 4);
     assert!(serving.may_serve(4, 10));
     assert!(!serving.may_serve(3, 10), "but never back");
 }
@@ -60,12 +60,12 @@
     // A daemon was frozen for a minute, during which a route was removed. It resumes, and would
     // still send its first caller along that route.
     let mut serving = Serving::default();
-    serving.heard_platform(4);
+    serving.platform_answered(4);
     assert!(serving.may_serve(4, 10));
-    serving.woke();
+    serving.resumed();
     assert!(!serving.may_serve(4, 10));
-    serving.heard_peer(1, 6, 4);
-    serving.heard_peer(2, 5, 4);
+    serving.peer_answered(1, 6, 4);
+    serving.peer_answered(2, 5, 4);
     assert!(!serving.may_serve(4, 10), "peers hold a newer one");
     assert!(serving.may_serve(6, 10));
 }
@@ -75,9 +75,9 @@
     // A daemon resumes in a zone that was cut off meanwhile, and no one answers. If it refused for
     // ever, its callers would get nothing.
     let mut serving = Serving::default();
-    serving.heard_platform(4);
+    serving.platform_answered(4);
     assert!(serving.may_serve(4, 10));
-    serving.woke();
+    serving.resumed();
     serving.serve_alone();
     assert!(serving.may_serve(4, 10));
 }
@@ -85,9 +85,9 @@
 #[test]
 fn a_freeze_during_the_start_does_not_replace_the_read_of_the_platform() {
     let mut serving = Serving::default();
-    serving.woke();
-    serving.heard_peer(1, 4, 3);
-    serving.heard_peer(2, 4, 0);
+    serving.resumed();
+    serving.peer_answered(1, 4, 3);
+    serving.peer_answered(2, 4, 0);
     assert!(!serving.may_serve(4, 10), "the platform was not asked yet");
     serving.serve_alone();
     assert!(!serving.may_serve(4, 10), "and it never served");
--- a/crates/scenario/src/daemon/control.rs
+++ b/crates/scenario/src/daemon/control.rs
@@ -166,7 +166,7 @@
     let mut control = node.control.borrow_mut();
     control.replica.record_head(head.version, head.digest);
     control.replica.resolve_fork(head.version, head.digest);
-    control.serving.heard_platform(head.version);
+    control.serving.platform_answered(head.version);
     drop(control);
     gossip::input(node, Input::HeadRead);
 }
@@ -228,7 +228,7 @@
 pub(super) fn take_in(node: &Rc<Node>, head: &Head, announced: Vec<Announcement>) -> usize {
     let own = announced.iter().find(|it| it.row.instance == node.instance);
     if let Some(own) = own {
-        node.control.borrow_mut().serving.learn_floor(own.version);
+        node.control.borrow_mut().serving.raise_floor(own.version);
     }
     let rows: Vec<Row> = announced.into_iter().map(|it| it.row).collect();
     let others = rows.iter().filter(|it| it.instance != node.instance);
--- a/crates/scenario/src/daemon/gossip.rs
+++ b/crates/scenario/src/daemon/gossip.rs
@@ -52,7 +52,7 @@
     if control.replica.record_fork(now, theirs).is_some() {
         control.repair.ask_platform(now);
     }
-    control.serving.heard_peer(peer, theirs.version, floor);
+    control.serving.peer_answered(peer, theirs.version, floor);
 }
 
 async fn exchange(node: Rc<Node>, peer: MemberKey, addr: SocketAddr, message: Exchange) {
--- a/crates/spec/src/spreading/daemon.rs
+++ b/crates/spec/src/spreading/daemon.rs
@@ -75,7 +75,7 @@
 
     pub(super) fn hear_head(&mut self, version: Version, digest: Digest) {
         self.replica.record_head(version, digest);
-        self.serving.heard_platform(version);
+        self.serving.platform_answered(version);
     }
 
     pub(super) fn hear_no_head(&mut self) {
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn wake(&mut self) {
-        self.serving.woke();
+        self.serving.resumed();
     }
 
     pub(super) fn serve_alone(&mut self) {
@@ -99,7 +99,8 @@
         safeguards: Safeguards,
     ) {
         let floor = other.floor_of(me, safeguards);
-        self.serving.heard_peer(peer as u64, other.version(), floor);
+        self.serving
+            .peer_answered(peer as u64, other.version(), floor);
         self.remember(peer, other.version());
     }
 
@@ -111,7 +112,7 @@
         other: &Self,
         safeguards: Safeguards,
     ) {
-        self.serving.learn_floor(other.floor_of(me, safeguards));
+        self.serving.raise_floor(other.floor_of(me, safeguards));
         self.remember(peer, other.version());
     }
 
@@ -131,7 +132,7 @@
     pub(super) fn serve(&mut self, others: usize, safeguards: Safeguards) {
         let version = self.version();
         if !safeguards.has(Safeguard::EnoughHeard) {
-            self.serving.heard_platform(0);
+            self.serving.platform_answered(0);
         }
         if !safeguards.has(Safeguard::PlatformFirst) {
             self.serving.platform_failed();
