--- a/crates/daemon/src/control/push.rs
+++ b/crates/daemon/src/control/push.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use rand::seq::IteratorRandom;
-use stoatstep_distribution::{Mark, OfferOutcome, PushRequest, View};
+use stoatstep_distribution::{Mark, OfferOutcome, PushRequest, ZoneMembers};
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::Delta;
 use stoatstep_resource::wire::DeltaWire;
@@ -44,7 +44,7 @@
     }
 }
 
-fn originate(node: &Rc<Node>, delta: &Arc<Delta>, view: &View) {
+fn originate(node: &Rc<Node>, delta: &Arc<Delta>, view: &ZoneMembers) {
     let me = node.control.me();
     let mut spread = node.control.spread.borrow_mut();
     let targets = spread.originate(delta.version, view, me);
--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -7,7 +7,8 @@
 
 use ntex::channel::condition::{Condition, Waiter};
 use stoatstep_distribution::{
-    ColdStart, OfferOutcome, Poller, QuarantinedVersion, Repair, Replica, Serving, Spread, View,
+    ColdStart, OfferOutcome, Poller, QuarantinedVersion, Repair, Replica, Serving, Spread,
+    ZoneMembers,
 };
 use stoatstep_membership::{
     self as membership, Input, MemberKey, MemberState, Membership, Time, starting_incarnation,
@@ -190,8 +191,8 @@
     }
 
     /// Members that take part in spreading, by zone.
-    pub(super) fn view(&self) -> View {
-        let mut view = View::new();
+    pub(super) fn view(&self) -> ZoneMembers {
+        let mut view = ZoneMembers::new();
         for (key, entry) in self.membership.borrow().table().present() {
             let zone = entry.member.zone.clone();
             view.entry(zone).or_default().push(key);
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -37,7 +37,7 @@
 pub use roster_looks::RosterReadSchedule;
 pub use serving::Serving;
 pub use spread::Spread;
-pub use tree::{Tree, View, first_of, rendezvous, seed_of};
+pub use tree::{Tree, ZoneMembers, rendezvous_choice, rendezvous_weight, seed_of};
 pub use wire::{CollectReply, CollectRequest, LogReply, LogRequest, LogTail, PushRequest};
 
 /// Version and digest of the configuration that a daemon holds, as peers exchange them.
--- a/crates/distribution/src/poller.rs
+++ b/crates/distribution/src/poller.rs
@@ -5,7 +5,7 @@
 use stoatstep_membership::{MemberKey, Time};
 
 use crate::jitter::{backoff, full_jitter};
-use crate::tree::rendezvous;
+use crate::tree::rendezvous_weight;
 
 /// Number of pollers in each zone. With two, the failure of one delays nothing.
 const POLLERS: usize = 2;
@@ -158,9 +158,9 @@
     /// Returns whether `member` polls for its zone, whose live members are `zone`.
     #[must_use]
     pub fn polls(member: MemberKey, zone: &[MemberKey]) -> bool {
-        let weight = rendezvous(POLLER_SEED, member);
+        let weight = rendezvous_weight(POLLER_SEED, member);
         let is_before =
-            |key: &&MemberKey| **key != member && rendezvous(POLLER_SEED, **key) < weight;
+            |key: &&MemberKey| **key != member && rendezvous_weight(POLLER_SEED, **key) < weight;
         zone.iter().filter(is_before).count() < POLLERS
     }
 }
--- a/crates/distribution/src/spread.rs
+++ b/crates/distribution/src/spread.rs
@@ -3,7 +3,7 @@
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::Version;
 
-use crate::tree::{Tree, View};
+use crate::tree::{Tree, ZoneMembers};
 
 /// Number of children of an inner node. At 76 daemons a zone a change takes four steps, and no
 /// daemon sends it more than a handful of times.
@@ -48,7 +48,12 @@
     /// first of its zone to find at the platform: the roots of every zone in `view`, and its own
     /// children. No other daemon pushes to these once this one answers that it holds the version
     /// already.
-    pub fn originate(&mut self, version: Version, view: &View, me: MemberKey) -> Vec<MemberKey> {
+    pub fn originate(
+        &mut self,
+        version: Version,
+        view: &ZoneMembers,
+        me: MemberKey,
+    ) -> Vec<MemberKey> {
         let mut targets: Vec<_> = view
             .values()
             .flat_map(|members| self.tree(version, members).roots().to_vec())
@@ -67,7 +72,7 @@
     pub fn forward(
         &mut self,
         version: Version,
-        view: &View,
+        view: &ZoneMembers,
         me: MemberKey,
         origin: MemberKey,
     ) -> Vec<MemberKey> {
@@ -86,7 +91,7 @@
     pub fn bypass(
         &self,
         version: Version,
-        view: &View,
+        view: &ZoneMembers,
         failed: MemberKey,
         bypassed: u32,
     ) -> Vec<MemberKey> {
@@ -96,7 +101,7 @@
         self.children(version, view, failed)
     }
 
-    fn children(&self, version: Version, view: &View, parent: MemberKey) -> Vec<MemberKey> {
+    fn children(&self, version: Version, view: &ZoneMembers, parent: MemberKey) -> Vec<MemberKey> {
         let zone = view.values().find(|members| members.contains(&parent));
         zone.map_or_else(Vec::new, |members| {
             self.tree(version, members).children(parent).to_vec()
--- a/crates/distribution/src/tree.rs
+++ b/crates/distribution/src/tree.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// The members that take part, by zone, including the daemon itself.
-pub type View = BTreeMap<ZoneName, Vec<MemberKey>>;
+pub type ZoneMembers = BTreeMap<ZoneName, Vec<MemberKey>>;
 
 /// Number of roots in each zone. If one fails, the other half of the zone is not affected, and the
 /// origin bypasses the failed root and pushes to its children.
@@ -17,7 +17,7 @@
 /// same members compute the same order without communication; adding or removing a member does not
 /// change the order of the others.
 #[must_use]
-pub fn rendezvous(seed: u64, key: MemberKey) -> u64 {
+pub fn rendezvous_weight(seed: u64, key: MemberKey) -> u64 {
     xxh3_64_with_seed(&key.to_le_bytes(), seed)
 }
 
@@ -29,9 +29,12 @@
 
 /// Returns the member with the lowest weight for a purpose.
 #[must_use]
-pub fn first_of(seed: u64, members: impl IntoIterator<Item = MemberKey>) -> Option<MemberKey> {
+pub fn rendezvous_choice(
+    seed: u64,
+    members: impl IntoIterator<Item = MemberKey>,
+) -> Option<MemberKey> {
     let members = members.into_iter();
-    members.min_by_key(|key| (rendezvous(seed, *key), *key))
+    members.min_by_key(|key| (rendezvous_weight(seed, *key), *key))
 }
 
 /// A zone's members sorted by weight and read as a forest with two roots, in which each member has
@@ -48,7 +51,7 @@
     #[must_use]
     pub fn new(seed: u64, members: &[MemberKey], fan_out: usize) -> Self {
         let mut order = members.to_vec();
-        order.sort_by_key(|key| (rendezvous(seed, *key), *key));
+        order.sort_by_key(|key| (rendezvous_weight(seed, *key), *key));
         order.dedup();
         let fan_out = fan_out.max(1);
         Self { order, fan_out }
--- a/crates/distribution/tests/all/spread.rs
+++ b/crates/distribution/tests/all/spread.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use stoatstep_distribution::{Spread, View};
+use stoatstep_distribution::{Spread, ZoneMembers};
 use stoatstep_membership::MemberKey;
 
 use crate::support::view;
@@ -13,7 +13,12 @@
 }
 
 /// Pushes one version through the fleet; the members in `dead` do not answer.
-fn push(view: &View, origin: MemberKey, version: u64, dead: &BTreeSet<MemberKey>) -> Outcome {
+fn push(
+    view: &ZoneMembers,
+    origin: MemberKey,
+    version: u64,
+    dead: &BTreeSet<MemberKey>,
+) -> Outcome {
     let mut spreads: BTreeMap<MemberKey, Spread> = BTreeMap::new();
     let mut received: BTreeMap<MemberKey, u32> = BTreeMap::new();
     let mut pushes: BTreeMap<MemberKey, usize> = BTreeMap::new();
--- a/crates/distribution/tests/all/support.rs
+++ b/crates/distribution/tests/all/support.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stoatstep_distribution::View;
+use stoatstep_distribution::ZoneMembers;
 use stoatstep_membership::MemberKey;
 use stoatstep_resource::{Delta, Key, Kind, Resource, Route, Service, State};
 
@@ -49,7 +49,7 @@
     (deltas, state)
 }
 
-pub(crate) fn view(zones: u64, per_zone: u64) -> View {
+pub(crate) fn view(zones: u64, per_zone: u64) -> ZoneMembers {
     let zone = |z: u64| (z * 1000..z * 1000 + per_zone).collect::<Vec<MemberKey>>();
     (0..zones)
         .map(|z| (format!("z{z}").into(), zone(z)))
--- a/crates/mesh/src/quota/home.rs
+++ b/crates/mesh/src/quota/home.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use stoatstep_calls::{Bucket, Grant, Share, Time};
-use stoatstep_distribution::{first_of, seed_of};
+use stoatstep_distribution::{rendezvous_choice, seed_of};
 use stoatstep_membership::{Member, MemberKey};
 use stoatstep_resource::{CustomerName, Quota, ZoneName};
 use stoatstep_telemetry::fields;
@@ -65,7 +65,7 @@
 
     fn home_of(&self, customer: &str) -> Option<MemberKey> {
         let ring = self.ring.borrow();
-        first_of(seed_of(customer), ring.iter().copied())
+        rendezvous_choice(seed_of(customer), ring.iter().copied())
     }
 }
 
@@ -229,7 +229,9 @@
         }
     }
     let seed = seed_of(customer);
-    let homes = zones.into_values().filter_map(|zone| first_of(seed, zone));
+    let homes = zones
+        .into_values()
+        .filter_map(|zone| rendezvous_choice(seed, zone));
     let entries = homes.filter_map(|key| membership.table().get(key));
     entries.map(|it| it.member.peer).collect()
 }
--- a/crates/scenario/src/daemon/control.rs
+++ b/crates/scenario/src/daemon/control.rs
@@ -5,7 +5,7 @@
 
 use stoatstep_distribution::{
     ColdStart, ColdStartAction, ColdStartInput, OfferOutcome, PollOutcome, Poller, Repair, Replica,
-    Serving, Spread, View,
+    Serving, Spread, ZoneMembers,
 };
 use stoatstep_membership::{Announcement, Input, Member, MemberKey, Membership, Row, Time};
 use stoatstep_resource::State;
@@ -47,8 +47,8 @@
     }
 
     /// Members that take part in spreading, by zone.
-    pub(super) fn view(&self) -> View {
-        let mut view = View::new();
+    pub(super) fn view(&self) -> ZoneMembers {
+        let mut view = ZoneMembers::new();
         for (key, entry) in self.membership.table().present() {
             let zone = entry.member.zone.clone();
             view.entry(zone).or_default().push(key);
--- a/crates/scenario/src/daemon/spread.rs
+++ b/crates/scenario/src/daemon/spread.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use stoatstep_distribution::{LogTail, Mark, OfferOutcome, Pull, PullSource, View};
+use stoatstep_distribution::{LogTail, Mark, OfferOutcome, Pull, PullSource, ZoneMembers};
 use stoatstep_membership::{MemberKey, Membership, Time};
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{Delta, State, Version};
@@ -78,7 +78,7 @@
     control.repair.peer_holds(now, peer, theirs, mine);
 }
 
-fn originate(node: &Rc<Node>, delta: &Arc<Delta>, view: &View) {
+fn originate(node: &Rc<Node>, delta: &Arc<Delta>, view: &ZoneMembers) {
     let mut control = node.control.borrow_mut();
     let me = control.membership.me();
     let targets = control.spread.originate(delta.version, view, me);
