--- a/crates/distribution/tests/all/main.rs
+++ b/crates/distribution/tests/all/main.rs
@@ -7,7 +7,7 @@
 mod poller;
 mod repair;
 mod replica;
-mod roster_looks;
+mod roster_read_schedule;
 mod serving;
 mod sizes;
 mod spread;
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -20,22 +20,22 @@
 //! This crate opens no socket and reads no clock. The end of a roll-out is fixed by one conditional
 //! write, which is up to the user of this crate. See `docs/concepts/rollouts.md`.
 
-mod book;
 mod canaries;
 mod judge;
-mod lane;
-mod mix;
 mod order;
 mod plan;
 mod progress;
+mod progress_table;
+mod route_mix;
+mod routing;
 mod tally;
 
-pub use book::{Change, ProgressTable};
 pub use canaries::Canaries;
 pub use judge::{Regression, RegressionKind, Verdict, judge};
-pub use lane::{RolloutRouting, Side};
-pub use mix::RouteMix;
 pub use order::{Order, OrderId, Software};
 pub use plan::Plan;
 pub use progress::{Progress, Step, UnixTime};
+pub use progress_table::{Change, ProgressTable};
+pub use route_mix::RouteMix;
+pub use routing::{RolloutRouting, Side};
 pub use tally::{Evidence, RouteEvidence, RunCounts, Tally};
