--- a/crates/distribution/tests/all/cold_start.rs
+++ b/crates/distribution/tests/all/cold_start.rs
@@ -120,19 +120,19 @@
     // Without a second read of all rows, the daemon would take itself for the whole fleet and never
     // receive a change again.
     let mut it = ColdStart::new(Duration::ZERO, 3);
-    let mut reads = Vec::new();
+    let mut requested = Vec::new();
     for step in 0..100 {
         let now = STEP * step;
         match it.tick(now, ALONE) {
             Some(ColdStartAction::ReadRoster { all_rows }) => {
-                reads.push(all_rows);
+                requested.push(all_rows);
                 it.roster_read(now, 7, 3);
             }
             Some(ColdStartAction::PullPlatform) => it.pulled(now, 7),
             Some(ColdStartAction::PullPeer(_)) | None => {}
         }
     }
-    assert_eq!(reads, [false, true]);
+    assert_eq!(requested, [false, true]);
 }
 
 #[test]
--- a/crates/distribution/tests/all/replica.rs
+++ b/crates/distribution/tests/all/replica.rs
@@ -107,9 +107,8 @@
     let mut replica = Replica::default();
     replica.record_head(2, Digest([9; 16]));
     let offer = replica.offer_state(T0, state);
-    assert!(
-        matches!(offer, OfferOutcome::Refused(it) if matches!(it.reason, RefusalReason::HeadMismatch { .. }))
-    );
+    assert!(matches!(offer, OfferOutcome::Refused(it)
+            if matches!(it.reason, RefusalReason::HeadMismatch { .. })));
     let (deltas, _) = log(2);
     let offer = replica.offer_deltas(T0, deltas);
     assert!(matches!(offer, OfferOutcome::Applied(applied) if applied.len() == 1));
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -174,11 +174,11 @@
 fn by_route(evidence: &[Evidence], span: Span) -> Routes<'_> {
     let mut routes = Routes::new();
     for part in evidence.iter().flat_map(|it| &it.routes) {
-        let counts = match span {
+        let run_counts = match span {
             Span::Whole => &part.whole,
             Span::Recent => &part.recent,
         };
-        routes.entry(&part.route).or_default().add(counts);
+        routes.entry(&part.route).or_default().add(run_counts);
     }
     routes
 }
@@ -243,18 +243,18 @@
     let is_included = |name: &&SmolStr| route.is_none_or(|it| it == *name);
     let mut bad = 0;
     let mut runs = 0;
-    for (name, counts) in target.iter().filter(|(name, _)| is_included(name)) {
+    for (name, run_counts) in target.iter().filter(|(name, _)| is_included(name)) {
         match kind {
-            RegressionKind::Failures => bad += counts.failures,
+            RegressionKind::Failures => bad += run_counts.failures,
             RegressionKind::Slowness => {
                 // Without runs of the old side there is no reference for what is slow.
                 let Some(median) = old.get(*name).and_then(RunCounts::median_class) else {
                     continue;
                 };
-                bad += counts.slower_than(median + SLOW_CLASSES);
+                bad += run_counts.slower_than(median + SLOW_CLASSES);
             }
         }
-        runs += counts.runs;
+        runs += run_counts.runs;
     }
     (bad, runs)
 }
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -150,8 +150,8 @@
         if tally.spans.len() > RECENT_SPANS {
             tally.spans.pop_front();
         }
-        if let Some((_, counts)) = tally.spans.back_mut() {
-            counts.record(is_failure, run_time);
+        if let Some((_, run_counts)) = tally.spans.back_mut() {
+            run_counts.record(is_failure, run_time);
         }
     }
 
@@ -161,8 +161,8 @@
         let from = span_of(now).saturating_sub(RECENT_SPANS as u64 - 1);
         let routes = self.routes.iter().map(|(route, tally)| {
             let mut recent = RunCounts::default();
-            for (_, counts) in tally.spans.iter().filter(|(at, _)| *at >= from) {
-                recent.add(counts);
+            for (_, run_counts) in tally.spans.iter().filter(|(at, _)| *at >= from) {
+                recent.add(run_counts);
             }
             RouteEvidence {
                 route: route.clone(),
--- a/crates/rollout/tests/all/service.rs
+++ b/crates/rollout/tests/all/service.rs
@@ -127,7 +127,7 @@
 /// The outcome of one roll-out: how the version was found bad, if it was, and the part of the
 /// service's calls that the new side got by then.
 struct Outcome {
-    kind: Option<RegressionKind>,
+    regression_kind: Option<RegressionKind>,
     exposed: f64,
 }
 
@@ -185,13 +185,13 @@
         };
         if let Verdict::Bad(regression) = judge(&evidence(new), &evidence(old)) {
             return Outcome {
-                kind: Some(regression.kind),
+                regression_kind: Some(regression.kind),
                 exposed,
             };
         }
     }
     Outcome {
-        kind: None,
+        regression_kind: None,
         exposed,
     }
 }
@@ -203,7 +203,7 @@
     let mut worst: f64 = 0.0;
     for seed in 0..SEEDS {
         let outcome = roll_out(kind, seed);
-        if outcome.kind.is_some() {
+        if outcome.regression_kind.is_some() {
             bad += 1;
             worst = worst.max(outcome.exposed);
         }
