--- a/crates/daemon/src/control/poll.rs
+++ b/crates/daemon/src/control/poll.rs
@@ -39,7 +39,7 @@
         Ok(_) => PollOutcome::Read,
         Err(_) => PollOutcome::Failed,
     };
-    node.control.poller.borrow_mut().polled(outcome);
+    node.control.poller.borrow_mut().record_outcome(outcome);
     match head {
         // An answer that lay in the socket through a freeze tells of then.
         Ok(_) if node.control.now() > asked + FRESH => {}
@@ -56,11 +56,11 @@
 /// Takes in what the platform states of its newest version.
 pub(super) fn learn(node: &Rc<Node>, head: &Head) {
     let mut replica = node.control.replica.borrow_mut();
-    replica.learn_head(head.version, head.digest);
-    replica.settle_fork(head.version, head.digest);
+    replica.record_head(head.version, head.digest);
+    replica.resolve_fork(head.version, head.digest);
     drop(replica);
     let mut serving = node.control.serving.borrow_mut();
-    serving.heard_platform(head.version);
+    serving.platform_answered(head.version);
     drop(serving);
     gossip::input(node, Input::HeadRead);
 }
--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -7,7 +7,8 @@
 
 use ntex::channel::condition::{Condition, Waiter};
 use stoatstep_distribution::{
-    ColdStart, Offer, Poller, Quarantined, Repair, Replica, Serving, Spread, View,
+    ColdStart, OfferOutcome, Poller, QuarantinedVersion, Repair, Replica, Serving, Spread,
+    ZoneMembers,
 };
 use stoatstep_membership::{
     self as membership, Input, MemberKey, MemberState, Membership, Time, starting_incarnation,
@@ -100,7 +101,7 @@
     /// The deltas after `version`, oldest first.
     pub(crate) fn deltas_after(&self, version: Version) -> Result<Vec<Arc<Delta>>, Trimmed> {
         let replica = self.replica.borrow();
-        replica.tail_after(version).ok_or(Trimmed)
+        replica.deltas_after(version).ok_or(Trimmed)
     }
 
     /// The newest version received, in force or not.
@@ -135,7 +136,10 @@
     }
 
     /// Offers something to the replica and puts in force what it takes.
-    pub(super) fn offer(&self, offer: impl FnOnce(&mut Replica, Time) -> Offer) -> Offer {
+    pub(super) fn offer(
+        &self,
+        offer: impl FnOnce(&mut Replica, Time) -> OfferOutcome,
+    ) -> OfferOutcome {
         let outcome = offer(&mut self.replica.borrow_mut(), self.now());
         self.put_in_force();
         outcome
@@ -153,7 +157,7 @@
             *self.in_force.borrow_mut() = Rc::new(InForce::new(&state));
             self.changed.notify();
         }
-        let mark = self.replica.borrow().mark();
+        let mark = self.replica.borrow().config_id();
         let now = self.now();
         self.membership
             .borrow_mut()
@@ -162,7 +166,7 @@
 
     /// Takes what is held for old until others confirm it.
     pub(super) fn woke(&self) {
-        self.serving.borrow_mut().woke();
+        self.serving.borrow_mut().resumed();
         self.serves.set(false);
         self.woke_at.set(Some(self.now()));
     }
@@ -189,8 +193,8 @@
     }
 
     /// Members that take part in spreading, by zone.
-    pub(super) fn view(&self) -> View {
-        let mut view = View::new();
+    pub(super) fn view(&self) -> ZoneMembers {
+        let mut view = ZoneMembers::new();
         for (key, entry) in self.membership.borrow().table().present() {
             let zone = entry.member.zone.clone();
             view.entry(zone).or_default().push(key);
@@ -205,7 +209,7 @@
     }
 
     /// Refused versions and forks that are not settled.
-    pub(super) fn quarantine(&self) -> Vec<Quarantined> {
+    pub(super) fn quarantine(&self) -> Vec<QuarantinedVersion> {
         self.replica.borrow().quarantine().to_vec()
     }
 }
--- a/crates/distribution/src/replica.rs
+++ b/crates/distribution/src/replica.rs
@@ -1,4 +1,4 @@
-//! The gate through which every version goes, whoever brought it.
+//! The configuration that a daemon holds, and the checks that every new version has to pass.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -6,31 +6,31 @@
 use stoatstep_membership::{ConfigId, Time};
 use stoatstep_resource::{ApplyError, Delta, Digest, State, Version};
 
-use crate::quarantine::{Quarantine, Quarantined, Reason};
+use crate::quarantine::{Quarantine, QuarantinedVersion, RefusalReason};
 use crate::short_digest;
 
-/// Deltas kept for peers and watches that are a little behind.
+/// Default number of deltas that are kept for peers and watches that are a little behind.
 const DEFAULT_TAIL: usize = 256;
 
-/// Deltas that arrived ahead of their turn and are kept until the gap closes.
+/// Maximum number of deltas that arrived out of order and are kept until the gap closes.
 const MAX_PENDING: usize = 64;
 
-/// What became of an offer.
+/// The result of offering a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Offer {
+pub enum OfferOutcome {
     /// These versions came into force, in this order.
     Applied(Vec<Arc<Delta>>),
     /// A whole state came into force.
     Replaced(Version),
-    /// Nothing new.
-    Held,
-    /// Kept until the versions before it arrive.
+    /// The version is not newer than the one in force.
+    AlreadyHeld,
+    /// The version is kept until the versions before it arrive.
     Waiting {
         /// The first version that is missing.
         missing: Version,
     },
-    /// Refused whole; the old version stays in force.
-    Refused(Quarantined),
+    /// The version was refused as a whole; the old one stays in force.
+    Refused(QuarantinedVersion),
 }
 
 /// The configuration that a daemon holds.
@@ -65,91 +65,90 @@
 }
 
 impl Replica {
-    /// Deltas kept for others. Default 256. A longer tail lets peers and
-    /// watches that were away for longer catch up without the full state.
+    /// Sets the number of deltas that are kept for others. Default 256. With more, peers and
+    /// watches that were away for longer can catch up without the full state.
     #[must_use]
     pub fn tail_capacity(mut self, capacity: usize) -> Self {
         self.tail_capacity = capacity;
         self
     }
 
-    /// The state in force. It is immutable: who holds it keeps one consistent
-    /// view, whatever comes into force meanwhile.
+    /// Returns the state in force. It is immutable, so its holder keeps one consistent view
+    /// whatever comes into force later.
     #[must_use]
     pub fn state(&self) -> &Arc<State> {
         &self.state
     }
 
-    /// The version in force.
+    /// Returns the version in force.
     #[must_use]
     pub fn version(&self) -> Version {
         self.state.version()
     }
 
-    /// Version and digest in force, in the form that peers exchange.
+    /// Returns the version and digest in force, in the form that peers exchange.
     #[must_use]
-    pub fn mark(&self) -> ConfigId {
+    pub fn config_id(&self) -> ConfigId {
         ConfigId {
             version: self.version(),
             digest: short_digest(&self.digest),
         }
     }
 
-    /// When the version in force came into force.
+    /// Returns the time at which the version in force came into force.
     #[must_use]
     pub fn since(&self) -> Time {
         self.since
     }
 
-    /// Refused versions that no good one has replaced.
+    /// Returns the refused versions that no valid one has replaced.
     #[must_use]
-    pub fn quarantine(&self) -> &[Quarantined] {
-        self.quarantine.rows()
+    pub fn quarantine(&self) -> &[QuarantinedVersion] {
+        self.quarantine.entries()
     }
 
-    /// Whether deltas can't help any more, so that a whole state must be asked
-    /// for elsewhere.
+    /// Returns whether deltas are no longer enough, so that a whole state must be requested.
     #[must_use]
     pub fn needs_state(&self) -> bool {
         self.needs_state
     }
 
-    /// Notes what the platform states of its newest version. A version of that
-    /// number with another digest is refused from then on, whoever offers it.
-    pub fn learn_head(&mut self, version: Version, digest: Digest) {
+    /// Records the platform's newest version and its digest. From then on, any other state under
+    /// that version's number is refused.
+    pub fn record_head(&mut self, version: Version, digest: Digest) {
         if self.head.is_none_or(|(known, _)| known < version) {
             self.head = Some((version, digest));
         }
     }
 
-    /// Offers the next version, or one that is ahead of its turn.
-    pub fn offer_delta(&mut self, now: Time, delta: Arc<Delta>) -> Offer {
+    /// Offers the next version or a later one.
+    pub fn offer_delta(&mut self, now: Time, delta: Arc<Delta>) -> OfferOutcome {
         if delta.version <= self.version() {
-            return Offer::Held;
+            return OfferOutcome::AlreadyHeld;
         }
         let missing = self.version() + 1;
         if delta.version > missing {
-            self.keep_for_later(delta);
-            return Offer::Waiting { missing };
+            self.keep_pending(delta);
+            return OfferOutcome::Waiting { missing };
         }
         if let Err(reason) = self.apply(now, delta.clone()) {
             return self.refuse(now, delta.version, Some(delta.digest), reason);
         }
         let mut applied = vec![delta];
         self.apply_pending(now, &mut applied);
-        Offer::Applied(applied)
+        OfferOutcome::Applied(applied)
     }
 
-    /// Offers several versions, oldest first, as a log's tail brings them. The
-    /// first that is refused ends it.
-    pub fn offer_deltas(&mut self, now: Time, deltas: Vec<Arc<Delta>>) -> Offer {
+    /// Offers several versions, oldest first, such as a part of the log. Stops at the first
+    /// refusal.
+    pub fn offer_deltas(&mut self, now: Time, deltas: Vec<Arc<Delta>>) -> OfferOutcome {
         let mut all = Vec::new();
-        let mut last = Offer::Held;
+        let mut last = OfferOutcome::AlreadyHeld;
         for delta in deltas {
             match self.offer_delta(now, delta) {
-                Offer::Applied(applied) => all.extend(applied),
-                Offer::Refused(row) => {
-                    last = Offer::Refused(row);
+                OfferOutcome::Applied(applied) => all.extend(applied),
+                OfferOutcome::Refused(refused) => {
+                    last = OfferOutcome::Refused(refused);
                     break;
                 }
                 other => last = other,
@@ -158,21 +157,21 @@
         if all.is_empty() {
             last
         } else {
-            Offer::Applied(all)
+            OfferOutcome::Applied(all)
         }
     }
 
     /// Offers a whole state, whose digest was checked when it was decoded.
-    pub fn offer_state(&mut self, now: Time, state: State) -> Offer {
-        // Without this test a snapshot that was slow on its way would replace a
-        // newer version, and callers would see a removed route come back.
+    pub fn offer_state(&mut self, now: Time, state: State) -> OfferOutcome {
+        // Without this check, a snapshot that was delayed in transit would replace a newer version,
+        // and callers would see a removed route come back.
         if state.version() <= self.version() {
-            return Offer::Held;
+            return OfferOutcome::AlreadyHeld;
         }
         let (version, digest) = (state.version(), state.digest());
         let checked = state
             .check_references()
-            .map_err(Reason::Apply)
+            .map_err(RefusalReason::Apply)
             .and_then(|()| self.check_head(version, digest));
         if let Err(reason) = checked {
             return self.refuse(now, version, Some(digest), reason);
@@ -181,41 +180,40 @@
         self.put_in_force(now, state);
         let mut applied = Vec::new();
         self.apply_pending(now, &mut applied);
-        Offer::Replaced(self.version())
+        OfferOutcome::Replaced(self.version())
     }
 
-    /// Notes that a peer holds the same version with another digest. One of the
-    /// two is wrong, and only the platform can tell which.
-    pub fn note_fork(&mut self, now: Time, theirs: ConfigId) -> Option<Quarantined> {
-        let mine = self.mark();
+    /// Records that a peer holds another digest for the same version. One of the two is wrong, and
+    /// only the platform can tell which.
+    pub fn record_fork(&mut self, now: Time, theirs: ConfigId) -> Option<QuarantinedVersion> {
+        let mine = self.config_id();
         if theirs.version != mine.version || theirs.digest == mine.digest {
             return None;
         }
-        let row = Quarantined {
+        let refused = QuarantinedVersion {
             version: theirs.version,
             digest: None,
-            reason: Reason::Forked {
+            reason: RefusalReason::Forked {
                 held: mine.digest,
                 theirs: theirs.digest,
             },
             since: now,
         };
-        self.quarantine.add(row.clone());
-        Some(row)
+        self.quarantine.add(refused.clone());
+        Some(refused)
     }
 
-    /// The platform states the digest that is held here for this version: the
-    /// peer's was the wrong one.
-    pub fn settle_fork(&mut self, version: Version, digest: Digest) {
+    /// Ends the quarantine of a fork if the platform's digest for this version is the one held
+    /// here, so that the peer's was the wrong one.
+    pub fn resolve_fork(&mut self, version: Version, digest: Digest) {
         if version == self.version() && digest == self.digest {
             self.quarantine.release(version);
         }
     }
 
-    /// Deltas after `version`, oldest first; `None` where some are no longer
-    /// held.
+    /// Returns the deltas after `version`, oldest first; `None` if some of them are no longer kept.
     #[must_use]
-    pub fn tail_after(&self, version: Version) -> Option<Vec<Arc<Delta>>> {
+    pub fn deltas_after(&self, version: Version) -> Option<Vec<Arc<Delta>>> {
         let first = self
             .tail
             .front()
@@ -227,7 +225,7 @@
         Some(newer.cloned().collect())
     }
 
-    fn keep_for_later(&mut self, delta: Arc<Delta>) {
+    fn keep_pending(&mut self, delta: Arc<Delta>) {
         if self.pending.len() < MAX_PENDING {
             self.pending.insert(delta.version, delta);
         }
@@ -248,9 +246,9 @@
         }
     }
 
-    fn apply(&mut self, now: Time, delta: Arc<Delta>) -> Result<(), Reason> {
+    fn apply(&mut self, now: Time, delta: Arc<Delta>) -> Result<(), RefusalReason> {
         self.check_head(delta.version, delta.digest)?;
-        let next = self.state.apply(&delta).map_err(Reason::Apply)?;
+        let next = self.state.apply(&delta).map_err(RefusalReason::Apply)?;
         self.tail.push_back(delta);
         if self.tail.len() > self.tail_capacity {
             self.tail.pop_front();
@@ -259,10 +257,10 @@
         Ok(())
     }
 
-    fn check_head(&self, version: Version, found: Digest) -> Result<(), Reason> {
+    fn check_head(&self, version: Version, found: Digest) -> Result<(), RefusalReason> {
         match self.head {
             Some((head, expected)) if head == version && expected != found => {
-                Err(Reason::NotTheHead { expected, found })
+                Err(RefusalReason::HeadMismatch { expected, found })
             }
             _ => Ok(()),
         }
@@ -276,27 +274,27 @@
         self.quarantine.release(self.version());
     }
 
-    /// Keeps the old version, remembers why, and asks for a whole state: the
-    /// delta may be broken, or the state that it was applied to.
+    /// Keeps the old version, records the reason and requests a whole state: either the delta or
+    /// the state that it was applied to may be corrupt.
     fn refuse(
         &mut self,
         now: Time,
         version: Version,
         digest: Option<Digest>,
-        reason: Reason,
-    ) -> Offer {
+        reason: RefusalReason,
+    ) -> OfferOutcome {
         debug_assert!(!matches!(
             reason,
-            Reason::Apply(ApplyError::OutOfOrder { .. })
+            RefusalReason::Apply(ApplyError::OutOfOrder { .. })
         ));
-        let row = Quarantined {
+        let refused = QuarantinedVersion {
             version,
             digest,
             reason,
             since: now,
         };
-        self.quarantine.add(row.clone());
+        self.quarantine.add(refused.clone());
         self.needs_state = true;
-        Offer::Refused(row)
+        OfferOutcome::Refused(refused)
     }
 }
--- a/crates/distribution/tests/all/collect.rs
+++ b/crates/distribution/tests/all/collect.rs
@@ -1,4 +1,4 @@
-//! Status of the fleet from its parts.
+//! Aggregation of the fleet's status from its parts.
 
 use stoatstep_distribution::{Hold, Holdings};
 
@@ -15,9 +15,9 @@
 
 #[test]
 fn a_member_reported_twice_counts_once_at_its_newest() {
-    // Views differ while a daemon joins, and two inner nodes ask it. Counted
-    // twice, an operator would see more instances than there are, or one that
-    // holds the old and the new version at the same time.
+    // Membership views differ while a daemon joins, so two inner nodes may ask it. If it counted
+    // twice, an operator would see more instances than there are, or one that holds the old and the
+    // new version at the same time.
     let mut all = one(4, 1);
     all.merge(one(5, 1));
     all.merge(one(4, 1));
@@ -33,21 +33,21 @@
 }
 
 #[test]
-fn who_answers_another_asker_is_not_silent() {
+fn a_member_that_answers_another_daemon_is_not_silent() {
     let mut all = Holdings::default();
-    all.note_silent(7);
-    all.note_silent(8);
+    all.record_silent(7);
+    all.record_silent(8);
     all.merge(one(4, 7));
     assert_eq!(all.silent.into_iter().collect::<Vec<_>>(), vec![8]);
 }
 
 #[test]
-fn one_reason_gathers_all_who_gave_it() {
+fn refusals_with_one_reason_are_merged() {
     let mut all = Holdings::default();
-    all.refuse(6, "digest differs".into(), 1);
+    all.record_refusal(6, "digest differs".into(), 1);
     let mut more = Holdings::default();
-    more.refuse(6, "digest differs".into(), 2);
-    more.refuse(6, "é".repeat(300), 3);
+    more.record_refusal(6, "digest differs".into(), 2);
+    more.record_refusal(6, "é".repeat(300), 3);
     all.merge(more);
     assert_eq!(all.refusals[0].members.len(), 2);
     assert!(all.refusals[1].reason.len() <= 256);
--- a/crates/mesh/src/entry/traffic_split.rs
+++ b/crates/mesh/src/entry/traffic_split.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 use stoatstep_calls::{Reason, TargetFilter};
-use stoatstep_rollout::{Lane, Side, Step};
+use stoatstep_rollout::{RolloutRouting, Side, Step};
 
 use super::call::Call;
 use crate::node::Node;
@@ -10,7 +10,7 @@
 
 /// The side of one call, which may change from attempt to attempt. Calls of services
 /// without a roll-out have none.
-pub(super) struct TrafficSplit(Option<(Lane, Side)>);
+pub(super) struct TrafficSplit(Option<(RolloutRouting, Side)>);
 
 impl TrafficSplit {
     /// Draws the side of a call at random, by the step that the roll-out has reached.
@@ -25,7 +25,7 @@
             None => TargetFilter::All,
             Some((lane, Side::Old)) => TargetFilter::OtherSoftware(&lane.target),
             Some((lane, Side::New)) => TargetFilter::Software(&lane.target),
-            Some((lane, Side::Tried)) => TargetFilter::Named(lane.canaries.names()),
+            Some((lane, Side::Canary)) => TargetFilter::Named(lane.canaries.names()),
         }
     }
 
@@ -37,7 +37,7 @@
             return;
         };
         let is_held = matches!(end, End::Refused(it) if it.reason == Reason::Held);
-        if is_held || *side == Side::Tried {
+        if is_held || *side == Side::Canary {
             *side = side.other();
         }
     }
--- a/crates/mesh/src/executor/mod.rs
+++ b/crates/mesh/src/executor/mod.rs
@@ -160,7 +160,7 @@
             .service()
             .is_some_and(|it| it == service)
         {
-            tables.tally.begin(order);
+            tables.tally.reset_for(order);
         }
     }
 
--- a/crates/mesh/src/fleet/mod.rs
+++ b/crates/mesh/src/fleet/mod.rs
@@ -18,7 +18,7 @@
 use std::time::Duration;
 
 use stoatstep_calls::{Candidate, CandidateState, Time};
-use stoatstep_distribution::{Contact, PollRole};
+use stoatstep_distribution::{PollRole, PollerHealth};
 use stoatstep_membership::{
     Config, ConfigId, Entry, Member, MemberKey, MemberState, Membership, starting_incarnation,
 };
@@ -68,7 +68,7 @@
     /// How this daemon learns of new versions; `None` before it has first decided.
     role: Cell<Option<PollRole>>,
     /// Members of the own zone that currently cannot announce new versions.
-    contact: RefCell<Contact>,
+    contact: RefCell<PollerHealth>,
     /// Era of the store's last answer.
     era: Cell<Option<Era>>,
     confirmation_state: RefCell<ConfirmationState>,
--- a/crates/mesh/src/rollout/evaluation.rs
+++ b/crates/mesh/src/rollout/evaluation.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_rollout::{Canaries, Plan, Progress, Seen, Step, Verdict, judge};
+use stoatstep_rollout::{Canaries, Plan, Progress, Regression, Step, Verdict, judge};
 use stoatstep_telemetry::fields;
 
 use super::transition::{self, Transition};
@@ -69,7 +69,7 @@
         return Vec::new();
     };
     let book = node.rollouts.book.borrow();
-    let open = book.open(node.clock.now());
+    let open = book.unfinished(node.clock.now());
     let due_evaluations = open.filter_map(|(progress, known_for, step_known_for)| {
         let order = &progress.order;
         let view = View::of(node, &order.service, &order.target);
@@ -113,7 +113,7 @@
                     }
                     (Verdict::Good, Step::All) => begin(Transition::GoOn),
                     (_, Step::Load | Step::All) if self.progress.step == Step::Trial => {
-                        apply_progress(node, &self.progress.at(Step::Load), Source::Own);
+                        apply_progress(node, &self.progress.with_step(Step::Load), Source::Own);
                     }
                     _ => {}
                 }
@@ -157,7 +157,7 @@
     /// The verdict on the evidence; `None` if the old side is out of reach. The evidence of the new
     /// side alone allows no comparison, and must not end a roll-out.
     async fn compare_evidence(&self, node: &Rc<Node>) -> Option<Verdict> {
-        let is_on_trial = |peer: &&Peer| self.canaries.has(&peer.upstream);
+        let is_on_trial = |peer: &&Peer| self.canaries.contains(&peer.upstream);
         let on_trial: Vec<Peer> = self.view.new.iter().filter(is_on_trial).cloned().collect();
         let order = &self.progress.order;
         let mut old = self.view.old.clone();
@@ -172,21 +172,21 @@
         Some(judge(&new, &old))
     }
 
-    fn halt_bad_version(&self, node: &Rc<Node>, seen: &Seen) {
+    fn halt_bad_version(&self, node: &Rc<Node>, seen: &Regression) {
         slog::warn!(node.log, "version found bad"; fields::SERVICE => %self.progress.order.service,
             fields::ORDER => self.progress.order.id, fields::SOFTWARE => %self.progress.order.target,
-            fields::STEP => self.progress.step.as_str(), fields::REASON => seen.badness.as_str(),
+            fields::STEP => self.progress.step.as_str(), fields::REASON => seen.kind.as_str(),
             fields::ROUTE => seen.route.as_deref(),
             fields::NEW_BAD => seen.new.0, fields::NEW_RUNS => seen.new.1,
             fields::OLD_BAD => seen.old.0, fields::OLD_RUNS => seen.old.1);
-        apply_progress(node, &self.progress.at(Step::Halted), Source::Own);
+        apply_progress(node, &self.progress.with_step(Step::Halted), Source::Own);
     }
 
     fn abandon(&self, node: &Rc<Node>, why: &'static str) {
         slog::warn!(node.log, "roll-out given up"; fields::SERVICE => %self.progress.order.service,
             fields::ORDER => self.progress.order.id, fields::STEP => self.progress.step.as_str(),
             fields::REASON => why);
-        apply_progress(node, &self.progress.at(Step::Halted), Source::Own);
+        apply_progress(node, &self.progress.with_step(Step::Halted), Source::Own);
     }
 
     /// Whether the old side is idle, or cannot be waited for any longer. At completion its targets
@@ -195,7 +195,7 @@
         if self.step_known_for < MIN_LAST_STEP + self.stagger(STEP_STAGGER) {
             return false;
         }
-        let is_last_call = Plan::is_last_call(&self.progress, unix_time());
+        let is_last_call = Plan::must_complete(&self.progress, unix_time());
         if is_last_call && (!self.is_overdue() || self.step_known_for > MAX_OVERDUE_LAST_STEP) {
             return true;
         }
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -14,7 +14,9 @@
 
 use stoatstep_calls::Time;
 use stoatstep_resource::ServiceName;
-use stoatstep_rollout::{Book, Canaries, Change, Lane, Mix, Order, Progress, Side, Step};
+use stoatstep_rollout::{
+    Canaries, Change, Order, Progress, ProgressTable, RolloutRouting, RouteMix, Side, Step,
+};
 use stoatstep_telemetry::fields;
 
 use crate::clock::unix_time;
@@ -35,10 +37,10 @@
 /// Roll-out state of a daemon, and the resulting division of calls.
 #[derive(Default)]
 pub(crate) struct Rollouts {
-    book: RefCell<Book>,
-    lanes: RefCell<HashMap<ServiceName, Lane>>,
+    book: RefCell<ProgressTable>,
+    lanes: RefCell<HashMap<ServiceName, RolloutRouting>>,
     /// Calls by route of the services that have a roll-out on trial.
-    mixes: RefCell<HashMap<ServiceName, Mix>>,
+    mixes: RefCell<HashMap<ServiceName, RouteMix>>,
     /// When an evaluation last reached other targets of the service.
     last_contact: Cell<Option<Time>>,
     /// Whether a status write at the store is in progress.
@@ -48,7 +50,7 @@
 impl Rollouts {
     /// Progress to send in the regular exchanges.
     pub(crate) fn updates(&self, now: Time) -> Vec<Progress> {
-        self.book.borrow().news(now)
+        self.book.borrow().gossip(now)
     }
 
     /// Progress to send to a peer that has just started.
@@ -58,13 +60,13 @@
 
     /// The side that a call goes to if its service has a roll-out, together with the division of
     /// the service's calls.
-    pub(crate) fn divide(&self, call: &CallParts, draw: u32) -> Option<(Lane, Side)> {
+    pub(crate) fn divide(&self, call: &CallParts, draw: u32) -> Option<(RolloutRouting, Side)> {
         let lane = self.lanes.borrow().get(&call.service)?.clone();
         let weight = match lane.step {
             Step::Trial => {
                 let mut mixes = self.mixes.borrow_mut();
                 let mix = mixes.entry(call.service.clone()).or_default();
-                mix.take(&call.route)
+                mix.record_call(&call.route)
             }
             _ => 1.0,
         };
@@ -141,15 +143,15 @@
     if let Some(known) = known.filter(|it| !it.step.is_final()) {
         slog::info!(node.log, "roll-out withdrawn"; fields::SERVICE => service,
             fields::ORDER => known.order.id, fields::STEP => known.step.as_str());
-        apply_progress(node, &known.at(Step::Halted), Source::Own);
+        apply_progress(node, &known.with_step(Step::Halted), Source::Own);
     }
 }
 
 /// Applies a progress report, and forwards it if it is new.
 pub(crate) fn apply_progress(node: &Rc<Node>, progress: &Progress, source: Source) {
     let now = node.clock.now();
-    let change = node.rollouts.book.borrow_mut().hear(progress.clone(), now);
-    let Change::Moved { from } = change else {
+    let change = node.rollouts.book.borrow_mut().apply(progress.clone(), now);
+    let Change::Updated { from } = change else {
         return;
     };
     let order = &progress.order;
@@ -172,12 +174,12 @@
     let mut lanes = HashMap::new();
     for progress in book.all() {
         let service = &progress.order.service;
-        let Some((step, target)) = book.binding(service, now) else {
+        let Some((step, target)) = book.effective_step(service, now) else {
             continue;
         };
         let view = View::of(node, service, target);
         let names = view.new.iter().map(|it| it.upstream.clone());
-        let lane = Lane {
+        let lane = RolloutRouting {
             target: target.clone(),
             step,
             canaries: Canaries::choose(progress.order.id, names, view.old.len()),
--- a/crates/mesh/src/rollout/transition.rs
+++ b/crates/mesh/src/rollout/transition.rs
@@ -95,7 +95,7 @@
         let due = known.due;
         return Ok(Progress {
             due,
-            ..progress.at(step)
+            ..progress.with_step(step)
         });
     }
     let status = RolloutStatus {
@@ -106,7 +106,7 @@
     };
     // After a conflict, the next attempt reads what the other daemon wrote.
     bounded(store.write_rollout_status(&order.service, &status, held.version)).await?;
-    Ok(progress.at(transition.step()))
+    Ok(progress.with_step(transition.step()))
 }
 
 async fn bounded<T>(
--- a/crates/rollout/tests/all/book.rs
+++ b/crates/rollout/tests/all/book.rs
@@ -1,6 +1,6 @@
 use std::time::Duration;
 
-use stoatstep_rollout::{Book, Change, Order, Progress, Step};
+use stoatstep_rollout::{Change, Order, Progress, ProgressTable, Step};
 
 const S: Duration = Duration::from_secs(1);
 
@@ -14,67 +14,65 @@
 }
 
 fn progress(id: u64, step: Step) -> Progress {
-    Progress::ordered(order(id), Duration::ZERO, 100 * S).at(step)
+    Progress::ordered(order(id), Duration::ZERO, 100 * S).with_step(step)
 }
 
-/// Words of three daemons cross each other on the way. Whatever the order in which they
-/// come in, a daemon ends where the furthest one was: were an older word to win, calls
-/// would go back to a version that was found bad.
+/// Updates of three daemons arrive out of order. Whatever the order, a daemon ends at the furthest
+/// step: if an older update won, calls would go back to a version that was found bad.
 #[test]
-fn words_in_any_order_lead_to_the_same_end() {
-    let words = [
+fn updates_in_any_order_lead_to_the_same_step() {
+    let updates = [
         progress(1, Step::RolledBack),
         progress(2, Step::Trial),
         progress(2, Step::Halted),
         progress(2, Step::Load),
     ];
-    for first in 0..words.len() {
-        let mut book = Book::default();
-        for at in 0..words.len() {
-            book.hear(words[(first + at * 3) % words.len()].clone(), S);
+    for first in 0..updates.len() {
+        let mut table = ProgressTable::default();
+        for at in 0..updates.len() {
+            table.apply(updates[(first + at * 3) % updates.len()].clone(), S);
         }
-        let known = book.get("floatdesk").expect("it was heard of");
+        let known = table.get("floatdesk").expect("its progress was applied");
         assert_eq!((known.order.id, known.step), (2, Step::Halted), "{first}");
     }
 }
 
-/// One daemon halts a version at the very moment at which another has settled that the
-/// service has moved, and its old targets are ending. The word that was settled wins, or
-/// calls would go back to targets that are gone.
+/// One daemon halts a version while another stores its completion and the old targets exit. The
+/// stored step takes precedence, or calls would go back to targets that are gone.
 #[test]
 fn what_was_settled_overrules_a_halt() {
-    let mut book = Book::default();
-    book.hear(progress(1, Step::Halted), S);
-    let change = book.hear(progress(1, Step::Completed), S);
+    let mut table = ProgressTable::default();
+    table.apply(progress(1, Step::Halted), S);
+    let change = table.apply(progress(1, Step::Completed), S);
     assert_eq!(
         change,
-        Change::Moved {
+        Change::Updated {
             from: Some(Step::Halted)
         }
     );
-    assert_eq!(book.hear(progress(1, Step::Halted), S), Change::None);
+    assert_eq!(table.apply(progress(1, Step::Halted), S), Change::None);
 }
 
 #[test]
-fn a_completed_move_binds_until_the_old_side_is_gone() {
-    let mut book = Book::default();
-    book.hear(progress(1, Step::Completed), S);
-    assert!(book.binding("floatdesk", 5 * S).is_some());
-    assert!(book.binding("floatdesk", 60 * S).is_none());
+fn a_completed_step_is_in_effect_until_the_old_side_is_gone() {
+    let mut table = ProgressTable::default();
+    table.apply(progress(1, Step::Completed), S);
+    assert!(table.effective_step("floatdesk", 5 * S).is_some());
+    assert!(table.effective_step("floatdesk", 60 * S).is_none());
 }
 
 #[test]
-fn a_version_that_was_rolled_back_stays_barred() {
-    let mut book = Book::default();
-    book.hear(progress(1, Step::RolledBack), S);
-    assert!(book.binding("floatdesk", 3600 * S).is_some());
+fn a_rolled_back_version_stays_excluded() {
+    let mut table = ProgressTable::default();
+    table.apply(progress(1, Step::RolledBack), S);
+    assert!(table.effective_step("floatdesk", 3600 * S).is_some());
 }
 
 #[test]
-fn peers_are_told_of_an_end_for_a_while() {
-    let mut book = Book::default();
-    book.hear(progress(1, Step::Completed), S);
-    assert_eq!(book.news(2 * S).len(), 1);
-    assert_eq!(book.news(60 * S).len(), 0);
-    assert_eq!(book.all().len(), 1);
+fn an_end_is_gossiped_for_a_while() {
+    let mut table = ProgressTable::default();
+    table.apply(progress(1, Step::Completed), S);
+    assert_eq!(table.gossip(2 * S).len(), 1);
+    assert_eq!(table.gossip(60 * S).len(), 0);
+    assert_eq!(table.all().len(), 1);
 }
--- a/crates/scenario/src/daemon/control.rs
+++ b/crates/scenario/src/daemon/control.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use stoatstep_distribution::{
-    ColdStart, Offer, PollOutcome, Poller, Repair, Replica, Serving, Spread, Standing, Step, View,
+    ColdStart, ColdStartAction, ColdStartInput, OfferOutcome, PollOutcome, Poller, Repair, Replica,
+    Serving, Spread, ZoneMembers,
 };
 use stoatstep_membership::{Announcement, Input, Member, MemberKey, Membership, Row, Time};
 use stoatstep_resource::State;
@@ -46,8 +47,8 @@
     }
 
     /// Members that take part in spreading, by zone.
-    pub(super) fn view(&self) -> View {
-        let mut view = View::new();
+    pub(super) fn view(&self) -> ZoneMembers {
+        let mut view = ZoneMembers::new();
         for (key, entry) in self.membership.table().present() {
             let zone = entry.member.zone.clone();
             view.entry(zone).or_default().push(key);
@@ -63,7 +64,10 @@
 }
 
 /// Offers something to the replica and puts in force what it takes.
-pub(super) fn offer(node: &Node, offer: impl FnOnce(&mut Replica, Time) -> Offer) -> Offer {
+pub(super) fn offer(
+    node: &Node,
+    offer: impl FnOnce(&mut Replica, Time) -> OfferOutcome,
+) -> OfferOutcome {
     let outcome = offer(&mut node.control.borrow_mut().replica, node.now());
     put_in_force(node);
     outcome
@@ -79,7 +83,7 @@
     if is_newer && control.serves {
         control.in_force = state;
     }
-    let mark = control.replica.mark();
+    let mark = control.replica.config_id();
     control.membership.handle(now, Input::ConfigChanged(mark));
 }
 
@@ -117,7 +121,7 @@
     }
     let now = node.now();
     let mut control = node.control.borrow_mut();
-    let mark = control.replica.mark();
+    let mark = control.replica.config_id();
     let needs_state = control.replica.needs_state();
     if let Some(due) = control.repair.tick(now, mark, needs_state) {
         node.spawn(spread::repair(Rc::clone(node), due));
@@ -147,7 +151,7 @@
         Ok(_) => PollOutcome::Read,
         Err(_) => PollOutcome::Failed,
     };
-    node.control.borrow_mut().poller.polled(outcome);
+    node.control.borrow_mut().poller.record_outcome(outcome);
     let Ok(head) = head else {
         return;
     };
@@ -160,9 +164,9 @@
 /// Takes in what the platform states of its newest version.
 pub(super) fn learn(node: &Rc<Node>, head: &Head) {
     let mut control = node.control.borrow_mut();
-    control.replica.learn_head(head.version, head.digest);
-    control.replica.settle_fork(head.version, head.digest);
-    control.serving.heard_platform(head.version);
+    control.replica.record_head(head.version, head.digest);
+    control.replica.resolve_fork(head.version, head.digest);
+    control.serving.platform_answered(head.version);
     drop(control);
     gossip::input(node, Input::HeadRead);
 }
@@ -179,16 +183,18 @@
         .present()
         .filter(|(_, it)| it.member.zone != node.zone);
     let far: Vec<MemberKey> = others.map(|(key, _)| key).collect();
-    let standing = Standing {
+    let standing = ColdStartInput {
         held: control.replica.version(),
         may_serve,
-        near: &near,
-        far: &far,
+        own_zone: &near,
+        other_zones: &far,
     };
     match control.cold_start.tick(now, standing) {
-        Some(Step::ReadRoster { wide }) => node.spawn(read_roster(Rc::clone(node), wide)),
-        Some(Step::PullPeer(peer)) => node.spawn(pull(Rc::clone(node), Some(peer))),
-        Some(Step::PullPlatform) => node.spawn(pull(Rc::clone(node), None)),
+        Some(ColdStartAction::ReadRoster { all_rows }) => {
+            node.spawn(read_roster(Rc::clone(node), all_rows))
+        }
+        Some(ColdStartAction::PullPeer(peer)) => node.spawn(pull(Rc::clone(node), Some(peer))),
+        Some(ColdStartAction::PullPlatform) => node.spawn(pull(Rc::clone(node), None)),
         None => {}
     }
 }
@@ -222,7 +228,7 @@
 pub(super) fn take_in(node: &Rc<Node>, head: &Head, announced: Vec<Announcement>) -> usize {
     let own = announced.iter().find(|it| it.row.instance == node.instance);
     if let Some(own) = own {
-        node.control.borrow_mut().serving.learn_floor(own.version);
+        node.control.borrow_mut().serving.raise_floor(own.version);
     }
     let rows: Vec<Row> = announced.into_iter().map(|it| it.row).collect();
     let others = rows.iter().filter(|it| it.instance != node.instance);
--- a/crates/spec/src/spreading/daemon.rs
+++ b/crates/spec/src/spreading/daemon.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stoatstep_distribution::{Offer, Replica, Serving};
+use stoatstep_distribution::{OfferOutcome, Replica, Serving};
 use stoatstep_resource::{Delta, Digest, Held, State, Version};
 
 use super::DaemonIndex;
@@ -74,8 +74,8 @@
     }
 
     pub(super) fn hear_head(&mut self, version: Version, digest: Digest) {
-        self.replica.learn_head(version, digest);
-        self.serving.heard_platform(version);
+        self.replica.record_head(version, digest);
+        self.serving.platform_answered(version);
     }
 
     pub(super) fn hear_no_head(&mut self) {
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn wake(&mut self) {
-        self.serving.woke();
+        self.serving.resumed();
     }
 
     pub(super) fn serve_alone(&mut self) {
@@ -99,7 +99,8 @@
         safeguards: Safeguards,
     ) {
         let floor = other.floor_of(me, safeguards);
-        self.serving.heard_peer(peer as u64, other.version(), floor);
+        self.serving
+            .peer_answered(peer as u64, other.version(), floor);
         self.remember(peer, other.version());
     }
 
@@ -111,7 +112,7 @@
         other: &Self,
         safeguards: Safeguards,
     ) {
-        self.serving.learn_floor(other.floor_of(me, safeguards));
+        self.serving.raise_floor(other.floor_of(me, safeguards));
         self.remember(peer, other.version());
     }
 
@@ -131,7 +132,7 @@
     pub(super) fn serve(&mut self, others: usize, safeguards: Safeguards) {
         let version = self.version();
         if !safeguards.has(Safeguard::EnoughHeard) {
-            self.serving.heard_platform(0);
+            self.serving.platform_answered(0);
         }
         if !safeguards.has(Safeguard::PlatformFirst) {
             self.serving.platform_failed();
@@ -148,11 +149,11 @@
         let checks_references = safeguards.has(Safeguard::ReferenceCheck);
         let is_next = delta.version == self.version() + 1;
         match offer {
-            Offer::Refused(_) if !checks_digest => self.force(delta),
-            Offer::Refused(_) if !checks_references && self.has_digest(delta) => {
+            OfferOutcome::Refused(_) if !checks_digest => self.force(delta),
+            OfferOutcome::Refused(_) if !checks_references && self.has_digest(delta) => {
                 self.force(delta);
             }
-            Offer::Waiting { .. } if !safeguards.has(Safeguard::OrderCheck) && !is_next => {
+            OfferOutcome::Waiting { .. } if !safeguards.has(Safeguard::OrderCheck) && !is_next => {
                 self.force(delta);
             }
             _ => {}
