--- a/crates/daemon/src/call/mod.rs
+++ b/crates/daemon/src/call/mod.rs
@@ -5,7 +5,6 @@
 //! clocks and holds the tables. See `docs/design/calls.md` for how a call goes,
 //! and `docs/design/at-most-once.md` for keys.
 
-mod alarm;
 mod attempt;
 mod clock;
 pub(crate) mod drain;
@@ -26,6 +25,7 @@
 mod tables;
 mod target;
 mod tick;
+mod timer;
 mod wire;
 
 use std::cell::{Cell, RefCell};
@@ -36,11 +36,11 @@
 
 use crate::config::Config;
 use crate::node::Node;
-use alarm::Alarms;
 use clock::Clock;
 use peers::Peers;
 use tables::{EntryTables, ExecutorTables};
 use target::TargetClient;
+use timer::Alarms;
 
 pub(crate) use executor::handle as handle_peer;
 
