--- a/crates/daemon/src/call/attempt.rs
+++ b/crates/daemon/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a call at one executor, seen from the entry.
+//! Entry side of one attempt of a call at one executor.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,30 +10,30 @@
 use super::executor;
 use super::peers::PeerError;
 use super::request::Call;
-use super::settle::Remote;
+use super::settle::RemoteAttempt;
 use super::target::RunEnd;
-use super::wire::{Attempt, WireAttempt, WireEnd, WireReply, WireSettle, WireSettled};
+use super::wire::{Attempt, WireAttempt, WireAttemptRef, WireAttemptStatus, WireEnd, WireReply};
 use crate::node::Node;
 
-/// Fresh tickets that one attempt may ask for. The first refusal hands out a
-/// new one, and a second one in a row is rare.
-const TICKETS: u32 = 3;
+/// Tries of one attempt before a stale ticket is reported to the caller. A refusal for a stale
+/// ticket carries a new one, so two such refusals in a row are rare.
+const MAX_TICKETS: u32 = 3;
 
-/// Pause before another try where a connection did not come up.
+/// Retry delay after a connection could not be established.
 const UNREACHABLE_RETRY: Duration = Duration::from_millis(100);
 
-/// Time past the deadline in which an executor may still say how it ended.
-const LAST_WORD: Duration = Duration::from_millis(20);
+/// Time after the deadline in which the executor may still report how the attempt ended.
+const REPORT_GRACE: Duration = Duration::from_millis(20);
 
-/// How an attempt ended, for the caller and for the router.
-pub(super) struct Ended {
+/// How an attempt ended, as the caller and the router need it.
+pub(super) struct AttemptOutcome {
     pub(super) end: RunEnd,
     pub(super) report: Report,
     pub(super) queue: Duration,
     pub(super) target: Duration,
 }
 
-impl Ended {
+impl AttemptOutcome {
     fn failed(end: RunEnd) -> Self {
         Self {
             end,
@@ -43,31 +43,31 @@
         }
     }
 
-    /// No executor was asked.
+    /// The call was not sent to any executor.
     pub(super) fn not_tried(end: RunEnd) -> Self {
         Self::failed(end)
     }
 
     fn settled(end: RunEnd) -> Self {
-        // The connection failed, whatever the ledger then said.
+        // The connection failed, whatever the ledger reported afterwards.
         Self::failed(end)
     }
 }
 
 /// Runs one attempt at the daemon at `addr`.
-pub(super) async fn run(node: &Rc<Node>, call: &Call, addr: SocketAddr) -> Ended {
-    for _ in 0..TICKETS {
-        let ended = once(node, call, addr).await;
+pub(super) async fn run(node: &Rc<Node>, call: &Call, addr: SocketAddr) -> AttemptOutcome {
+    for _ in 0..MAX_TICKETS {
+        let ended = run_once(node, call, addr).await;
         let stale = matches!(&ended.end, RunEnd::Refused(it) if it.reason == Reason::StaleTicket);
         if !stale {
             return ended;
         }
     }
     let refusal = Refusal::retry(Reason::StaleTicket, UNREACHABLE_RETRY);
-    Ended::failed(RunEnd::Refused(refusal))
+    AttemptOutcome::failed(RunEnd::Refused(refusal))
 }
 
-async fn once(node: &Rc<Node>, call: &Call, addr: SocketAddr) -> Ended {
+async fn run_once(node: &Rc<Node>, call: &Call, addr: SocketAddr) -> AttemptOutcome {
     let now = node.calls.clock.now();
     let Some(left) = call.deadline.for_next_hop(now) else {
         return cancelled(RunEnd::refused(Reason::Deadline));
@@ -90,8 +90,8 @@
     remote(node, call.deadline, addr, &wire).await
 }
 
-fn cancelled(end: RunEnd) -> Ended {
-    Ended {
+fn cancelled(end: RunEnd) -> AttemptOutcome {
+    AttemptOutcome {
         end,
         report: Report::Cancelled,
         queue: Duration::ZERO,
@@ -99,14 +99,14 @@
     }
 }
 
-async fn local(node: &Rc<Node>, wire: WireAttempt) -> Ended {
+async fn local(node: &Rc<Node>, wire: WireAttempt) -> AttemptOutcome {
     let Ok(attempt) = Attempt::try_from(wire) else {
         return cancelled(RunEnd::refused(Reason::BadRequest));
     };
     let guard = CancelOnDrop::local(node, &attempt);
     let reply = executor::execute(node, attempt).await;
     guard.disarm();
-    of_reply(reply)
+    outcome_of(reply)
 }
 
 async fn remote(
@@ -114,8 +114,8 @@
     deadline: Deadline,
     addr: SocketAddr,
     wire: &WireAttempt,
-) -> Ended {
-    let remote = Remote {
+) -> AttemptOutcome {
+    let remote = RemoteAttempt {
         addr,
         attempt: wire.attempt,
         ticket: wire.ticket,
@@ -129,62 +129,67 @@
 async fn exchange(
     node: &Rc<Node>,
     deadline: Deadline,
-    remote: Remote,
+    remote: RemoteAttempt,
     wire: &WireAttempt,
-) -> Ended {
+) -> AttemptOutcome {
     let peers = &node.calls.peers;
     let sent = peers.send::<WireReply>(remote.addr, "/peer/attempt", wire);
-    let last_word = node.calls.alarms.until(deadline.expires() + LAST_WORD);
-    let watch = select(remote.silent(node, wire.call.idempotent), last_word);
+    let grace_over = node.calls.timers.until(deadline.expires() + REPORT_GRACE);
+    let watch = select(
+        remote.detect_silence(node, wire.call.idempotent),
+        grace_over,
+    );
     match select(sent, watch).await {
         Either::Left(Ok(reply)) => {
             peers.set_ticket(remote.addr, reply.ticket);
-            of_reply(reply)
+            outcome_of(reply)
         }
         Either::Left(Err(PeerError::NotSent)) => {
             let refusal = Refusal::retry(Reason::NoUpstream, UNREACHABLE_RETRY);
-            Ended::failed(RunEnd::Refused(refusal))
+            AttemptOutcome::failed(RunEnd::Refused(refusal))
         }
-        Either::Left(Err(PeerError::Lost)) => Ended::settled(remote.settle(node, deadline).await),
-        // The old connection was dropped with its future.
+        Either::Left(Err(PeerError::Lost)) => {
+            AttemptOutcome::settled(remote.settle(node, deadline).await)
+        }
+        // The silent connection was closed when its future was dropped.
         Either::Right(Either::Left(true)) => {
             peers.retire(remote.addr).await;
-            Ended::settled(remote.settle(node, deadline).await)
+            AttemptOutcome::settled(remote.settle(node, deadline).await)
         }
         Either::Right(Either::Left(false)) => {
             peers.retire(remote.addr).await;
-            Ended::failed(RunEnd::refused(Reason::LostAnswer))
+            AttemptOutcome::failed(RunEnd::refused(Reason::LostAnswer))
         }
         Either::Right(Either::Right(())) => {
             let end = remote.settle(node, deadline).await;
-            // A slow target is no fault of its daemon.
+            // The daemon is not to blame for a slow target.
             cancelled(end)
         }
     }
 }
 
-fn of_reply(reply: WireReply) -> Ended {
+fn outcome_of(reply: WireReply) -> AttemptOutcome {
     let load = Some(reply.load);
     let end = match reply.end {
         WireEnd::Answered(answer) => RunEnd::Done(answer),
         WireEnd::Refused(refusal) => RunEnd::Refused(refusal),
     };
-    Ended {
-        report: report(&end, load),
+    AttemptOutcome {
+        report: report_for_router(&end, load),
         end,
         queue: Duration::from_micros(reply.queue_us),
         target: Duration::from_micros(reply.target_us),
     }
 }
 
-fn report(end: &RunEnd, load: Option<Load>) -> Report {
+fn report_for_router(end: &RunEnd, load: Option<Load>) -> Report {
     let refusal = match end {
         RunEnd::Done(_) => return Report::Answered(load),
         RunEnd::Refused(refusal) => refusal,
     };
     match (refusal.reason, refusal.outcome()) {
         (Reason::Draining, _) => Report::Leaving,
-        // The daemon is there, and its target is not or breaks its answers.
+        // The daemon is reachable, but its target is not, or the target's answers break off.
         (Reason::NoUpstream | Reason::LostAnswer, _) => Report::Failed,
         (Reason::Overload | Reason::Shed | Reason::Woke | Reason::Deadline, _) => {
             Report::Refused(load, refusal.retry_after.unwrap_or_default())
@@ -193,36 +198,36 @@
     }
 }
 
-/// Tells the executor when the caller goes away before the end. Closing the
-/// connection alone is not enough: it looks like a lost one, and what runs on
-/// a lost connection is kept.
+/// Cancels the attempt at its executor if the caller disconnects before the end. Closing the
+/// connection is not enough: the executor can't tell it from a lost one, and a run whose
+/// connection was lost goes on.
 struct CancelOnDrop {
     node: Rc<Node>,
-    attempt: Option<Place>,
+    attempt: Option<AttemptLocation>,
 }
 
 #[derive(Clone, Copy)]
-enum Place {
-    Local(WireSettle),
-    Remote(Remote),
+enum AttemptLocation {
+    Local(WireAttemptRef),
+    Remote(RemoteAttempt),
 }
 
 impl CancelOnDrop {
     fn local(node: &Rc<Node>, attempt: &Attempt) -> Self {
-        let message = WireSettle {
+        let message = WireAttemptRef {
             attempt: attempt.id,
             ticket: attempt.ticket,
         };
         Self {
             node: Rc::clone(node),
-            attempt: Some(Place::Local(message)),
+            attempt: Some(AttemptLocation::Local(message)),
         }
     }
 
-    fn remote(node: &Rc<Node>, remote: Remote) -> Self {
+    fn remote(node: &Rc<Node>, remote: RemoteAttempt) -> Self {
         Self {
             node: Rc::clone(node),
-            attempt: Some(Place::Remote(remote)),
+            attempt: Some(AttemptLocation::Remote(remote)),
         }
     }
 
@@ -233,30 +238,30 @@
 
 impl Drop for CancelOnDrop {
     fn drop(&mut self) {
-        let Some(place) = self.attempt.take() else {
+        let Some(location) = self.attempt.take() else {
             return;
         };
         let node = Rc::clone(&self.node);
         ntex::rt::spawn(async move {
-            match place {
-                Place::Local(message) => {
+            match location {
+                AttemptLocation::Local(message) => {
                     super::settle::cancel(&node, message);
                 }
-                Place::Remote(remote) => cancel_remote(&node, remote).await,
+                AttemptLocation::Remote(remote) => cancel_remote(&node, remote).await,
             }
         });
     }
 }
 
-async fn cancel_remote(node: &Rc<Node>, remote: Remote) {
-    let message = WireSettle {
+async fn cancel_remote(node: &Rc<Node>, remote: RemoteAttempt) {
+    let message = WireAttemptRef {
         attempt: remote.attempt,
         ticket: remote.ticket,
     };
     let sent = node
         .calls
         .peers
-        .send::<WireSettled>(remote.addr, "/peer/cancel", &message);
-    // Where it gets lost the run ends by its deadline.
+        .send::<WireAttemptStatus>(remote.addr, "/peer/cancel", &message);
+    // If the message is lost, the run ends at its deadline.
     let _ = ntex::time::timeout(UNREACHABLE_RETRY, sent).await;
 }
--- a/crates/daemon/src/call/clock.rs
+++ b/crates/daemon/src/call/clock.rs
@@ -1,11 +1,11 @@
-//! Clock readings for the tables.
+//! Clock of the call tables.
 
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 use stoatstep_calls::{Time, Wall};
 
-/// The process's clocks. The calendar clock is read once: a step of it while
-/// the process runs would make keys look older or younger than their records.
+/// The process's clocks. The calendar clock is only read at the start: if it were set while the
+/// process runs, keys would look older or younger than their records.
 pub(super) struct Clock {
     started: Instant,
     started_wall: Wall,
--- a/crates/daemon/src/call/drain.rs
+++ b/crates/daemon/src/call/drain.rs
@@ -1,4 +1,4 @@
-//! Graceful stop of this daemon.
+//! Graceful stop of this daemon: answers all calls, hands over the idempotency keys, then ends.
 
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -10,32 +10,31 @@
 use super::handover;
 use crate::node::Node;
 
-/// Longest drain. Longer than any deadline, so that only a broken target can
-/// reach it.
-pub(super) const BOUND: Duration = Duration::from_secs(90);
+/// Longest duration of a drain. It exceeds any deadline, so only a faulty target can reach it.
+pub(super) const MAX_DRAIN: Duration = Duration::from_secs(90);
 
-/// Longest wait for the platform to take the memory of keys. A stop must not
-/// hang on an outage.
-const HANDOVER_BOUND: Millis = Millis(3_000);
+/// Longest wait for the platform to store the idempotency keys, so that a stop does not hang
+/// during an outage.
+const HANDOVER_TIMEOUT: Millis = Millis(3_000);
 
-/// Signals come in on the main thread, and calls run on the worker's. Both
-/// flags only ever go from unset to set.
-static ASKED: AtomicBool = AtomicBool::new(false);
-static LEFT: AtomicBool = AtomicBool::new(false);
+/// Whether a stop was requested. Signals arrive on the main thread and calls run on the worker's,
+/// so this flag and [`FINISHED`] are atomics. Both only ever go from unset to set.
+static REQUESTED: AtomicBool = AtomicBool::new(false);
+/// Whether the drain has ended and the ports may close.
+static FINISHED: AtomicBool = AtomicBool::new(false);
 
-/// Asks for the stop, from any thread.
-pub(crate) fn ask() {
-    ASKED.store(true, Ordering::Relaxed);
+/// Requests the stop. May be called on any thread.
+pub(crate) fn request_stop() {
+    REQUESTED.store(true, Ordering::Relaxed);
 }
 
-/// Whether every call was answered, so that the ports may close. Closing them
-/// earlier would cut attempts of entries that have not heard of the drain, and
-/// those could not be told "not run" any more.
-pub(crate) fn has_left() -> bool {
-    LEFT.load(Ordering::Relaxed)
+/// Whether every call was answered, so that the ports may close. If they closed earlier, entries
+/// that do not know of the drain yet would lose attempts instead of being told "not run".
+pub(crate) fn is_finished() -> bool {
+    FINISHED.load(Ordering::Relaxed)
 }
 
-/// Begins the stop; a second call changes nothing.
+/// Starts the drain; further calls have no effect.
 pub(crate) fn start(node: &Rc<Node>) {
     if node.draining.replace(true) {
         return;
@@ -45,20 +44,20 @@
     slog::info!(node.log, "draining"; "in_flight" => node.calls.in_flight.get());
 }
 
-/// Moves the stop on.
+/// Advances the drain.
 pub(super) fn tick(node: &Rc<Node>) {
-    if ASKED.load(Ordering::Relaxed) {
+    if REQUESTED.load(Ordering::Relaxed) {
         start(node);
     }
     let now = node.calls.clock.now();
     let in_flight = node.calls.in_flight.get();
     let step = node.calls.drain.borrow_mut().tick(in_flight, now);
     match step {
-        // The flag that `start` set is what gossip and readiness announce.
+        // Gossip and readiness announce the drain; they read the flag that `start` has set.
         DrainStep::Wait | DrainStep::Announce => return,
         DrainStep::Leave => slog::info!(node.log, "drained"),
         DrainStep::LeaveUnfinished(calls) => {
-            slog::error!(node.log, "leaving with calls in flight"; "calls" => calls);
+            slog::error!(node.log, "stopping with calls in flight"; "calls" => calls);
         }
     }
     if !node.calls.leaving.replace(true) {
@@ -67,9 +66,9 @@
 }
 
 async fn leave(node: Rc<Node>) {
-    let handed_over = timeout(HANDOVER_BOUND, handover::leave(&node)).await;
+    let handed_over = timeout(HANDOVER_TIMEOUT, handover::leave(&node)).await;
     if handed_over.is_err() {
-        slog::warn!(node.log, "memory of keys not handed over in time");
+        slog::warn!(node.log, "idempotency keys not handed over in time");
     }
-    LEFT.store(true, Ordering::Relaxed);
+    FINISHED.store(true, Ordering::Relaxed);
 }
--- a/crates/daemon/src/call/entry.rs
+++ b/crates/daemon/src/call/entry.rs
@@ -1,5 +1,5 @@
-//! Entry: takes a caller's request, has it run, and brings back the whole
-//! answer or says truly why there is none.
+//! Entry: accepts a caller's request, forwards it to an executor, and returns the
+//! target's whole answer or the reason why there is none.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,7 +14,7 @@
 use stoatstep_resource::UpstreamName;
 use stoatstep_telemetry::Stage;
 
-use super::attempt::{self, Ended};
+use super::attempt::{self, AttemptOutcome};
 use super::in_flight::InFlight;
 use super::request::{Call, Rejected};
 use super::respond;
@@ -24,16 +24,16 @@
 use crate::http::drop_body;
 use crate::node::Node;
 
-/// Pause asked for while this daemon cannot take calls.
+/// Retry delay sent to callers while this daemon is draining.
 const DRAINING_RETRY: Duration = Duration::from_millis(100);
 
-/// Pause asked for where no executor can be reached.
+/// Retry delay sent to callers when no executor can be reached.
 const UNREACHABLE_RETRY: Duration = Duration::from_millis(250);
 
-/// Least time that another attempt is worth starting for.
-const LEAST_ATTEMPT: Duration = Duration::from_millis(1);
+/// An attempt is only started if at least this much time is left.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(1);
 
-/// Answers one caller.
+/// Handles one request of a caller.
 pub(crate) async fn handle(node: &Rc<Node>, mut req: Request) -> Response {
     let version = node.control.in_force().state.version();
     if !node.calls.drain.borrow().admits() {
@@ -50,7 +50,7 @@
             return respond::refused(&refusal, &findings, version);
         }
     };
-    let ended = carry(node, &call).await;
+    let ended = forward(node, &call).await;
     record(node, &call, &ended, started);
     let version = call.in_force.state.version();
     match &ended.end {
@@ -59,14 +59,14 @@
     }
 }
 
-/// Makes attempts until one settles the call.
-async fn carry(node: &Rc<Node>, call: &Call) -> Ended {
+/// Makes attempts until one of them ends the call.
+async fn forward(node: &Rc<Node>, call: &Call) -> AttemptOutcome {
     let mut tried = Vec::new();
-    let mut made = 0;
-    let mut attempts = RefusedAttempts::default();
-    earn(node, call);
+    let mut attempts_made = 0;
+    let mut refused_attempts = RefusedAttempts::default();
+    earn_retry_budget(node, call);
     loop {
-        made += 1;
+        attempts_made += 1;
         let mut ended = match choose(node, call, &tried) {
             Some((upstream, addr)) => {
                 let ended = attempt_at(node, call, &upstream, addr).await;
@@ -78,16 +78,16 @@
         let RunEnd::Refused(refusal) = ended.end else {
             return ended;
         };
-        ended.end = RunEnd::Refused(attempts.refused(refusal));
-        let fresh = call.key.is_none() && tried.len() < upstreams(call).len();
-        let Some(pause) = next_pause(node, call, &refusal, made, fresh) else {
+        ended.end = RunEnd::Refused(refused_attempts.refused(refusal));
+        let untried = call.key.is_none() && tried.len() < upstreams(call).len();
+        let Some(delay) = next_delay(node, call, &refusal, attempts_made, untried) else {
             return ended;
         };
-        if !fresh {
+        if !untried {
             tried.clear();
         }
-        if !pause.is_zero() {
-            sleep(pause).await;
+        if !delay.is_zero() {
+            sleep(delay).await;
         }
     }
 }
@@ -96,17 +96,17 @@
     call.in_force.upstreams_of(&call.parts.service)
 }
 
-fn unreachable(call: &Call) -> Ended {
+fn unreachable(call: &Call) -> AttemptOutcome {
     let reason = match call.key {
         Some(_) => Reason::HomeUnreachable,
         None => Reason::NoUpstream,
     };
     let refusal = Refusal::retry(reason, UNREACHABLE_RETRY);
-    Ended::not_tried(RunEnd::Refused(refusal))
+    AttemptOutcome::not_tried(RunEnd::Refused(refusal))
 }
 
-/// The executor of the next attempt. A key has exactly one, whatever its load:
-/// at another one it could run a second time.
+/// Chooses the executor of the next attempt. A call with an idempotency key always goes to
+/// the key's home, whatever its load: another executor could run it a second time.
 fn choose(
     node: &Rc<Node>,
     call: &Call,
@@ -122,19 +122,18 @@
     Some((upstream, member.peer_addr))
 }
 
-/// Lets the router choose. Where it finds nobody, a new version or a member that
-/// has just come up may not be in its table yet, so that is looked at again
-/// before a caller hears that there is no upstream.
+/// Lets the router choose an upstream. Its table may still lack a new configuration version or
+/// a member that has just started, so it is updated once before the call is refused.
 fn pick(node: &Rc<Node>, call: &Call, tried: &[UpstreamName]) -> Option<UpstreamName> {
-    let chosen = pick_now(node, call, tried);
+    let chosen = pick_from_table(node, call, tried);
     if chosen.is_some() {
         return chosen;
     }
-    sync::candidates(node);
-    pick_now(node, call, tried)
+    sync::update_candidates(node);
+    pick_from_table(node, call, tried)
 }
 
-fn pick_now(node: &Rc<Node>, call: &Call, tried: &[UpstreamName]) -> Option<UpstreamName> {
+fn pick_from_table(node: &Rc<Node>, call: &Call, tried: &[UpstreamName]) -> Option<UpstreamName> {
     let now = node.calls.clock.now();
     let mut tables = node.calls.entry.borrow_mut();
     let EntryTables { router, rng, .. } = &mut *tables;
@@ -147,14 +146,14 @@
     call: &Call,
     upstream: &UpstreamName,
     addr: SocketAddr,
-) -> Ended {
+) -> AttemptOutcome {
     let service = &call.parts.service;
     node.calls
         .entry
         .borrow_mut()
         .router
         .started(service, upstream);
-    let mut outstanding = Outstanding {
+    let mut outstanding = OutstandingAttempt {
         node,
         call,
         upstream,
@@ -165,56 +164,62 @@
     ended
 }
 
-fn earn(node: &Rc<Node>, call: &Call) {
+fn earn_retry_budget(node: &Rc<Node>, call: &Call) {
     let percent = call.route.policy.retry.budget_percent;
     let mut tables = node.calls.entry.borrow_mut();
     let service = call.parts.service.clone();
     tables.budgets.entry(service).or_default().earn(percent);
 }
 
-/// Pause before another attempt, or `None` where there is none. An executor that
-/// has not refused this call yet is asked at once: backing off spares one that
-/// is overloaded, and the budget bounds what all of them together get.
-fn next_pause(
+/// Returns the delay before the next attempt, or `None` if the call must not be retried. An
+/// executor that has not refused this call yet is tried at once: backoff is there to relieve an
+/// overloaded executor, and the retry budget bounds the load on all executors together.
+fn next_delay(
     node: &Rc<Node>,
     call: &Call,
     refusal: &Refusal,
-    made: u32,
-    fresh: bool,
+    attempts_made: u32,
+    untried: bool,
 ) -> Option<Duration> {
-    let settlement = match refusal.outcome() {
+    let outcome = match refusal.outcome() {
         Outcome::NotRun => UnansweredOutcome::NotRun,
         Outcome::Unknown | Outcome::Answered => UnansweredOutcome::Unknown,
     };
     let allowed = call.route.policy.retry.attempts;
     let parts = &call.parts;
-    let may = may_retry(settlement, parts.idempotent, parts.depth, made, allowed);
-    if !may || !refusal.reason.allows_retry() {
+    let retry_permitted = may_retry(
+        outcome,
+        parts.idempotent,
+        parts.depth,
+        attempts_made,
+        allowed,
+    );
+    if !retry_permitted || !refusal.reason.allows_retry() {
         return None;
     }
     let left = call.deadline.left(node.calls.clock.now());
     let mut tables = node.calls.entry.borrow_mut();
-    let pause = if fresh && settlement == UnansweredOutcome::NotRun {
-        (LEAST_ATTEMPT < left).then_some(Duration::ZERO)?
+    let delay = if untried && outcome == UnansweredOutcome::NotRun {
+        (MIN_ATTEMPT_TIME < left).then_some(Duration::ZERO)?
     } else {
-        let floor = floor(call, refusal);
+        let min_delay = min_delay(call, refusal);
         let rng = &mut tables.rng;
-        Backoff::default().pause(made, floor, LEAST_ATTEMPT, left, rng)?
+        Backoff::default().pause(attempts_made, min_delay, MIN_ATTEMPT_TIME, left, rng)?
     };
     let budget = tables.budgets.entry(parts.service.clone()).or_default();
-    budget.take().then_some(pause)
+    budget.take().then_some(delay)
 }
 
-/// Another executor need not wait for the first one's queue; a key's only home
-/// has to.
-fn floor(call: &Call, refusal: &Refusal) -> Duration {
+/// Shortest delay before the next attempt. Only a call with an idempotency key has to respect the
+/// delay that its executor asked for, since it goes to the same home again.
+fn min_delay(call: &Call, refusal: &Refusal) -> Duration {
     match call.key {
         Some(_) => refusal.retry_after.unwrap_or_default(),
         None => Duration::ZERO,
     }
 }
 
-fn record(node: &Rc<Node>, call: &Call, ended: &Ended, started: Time) {
+fn record(node: &Rc<Node>, call: &Call, ended: &AttemptOutcome, started: Time) {
     let total = node.calls.clock.now().saturating_sub(started);
     let daemon = total.saturating_sub(ended.queue + ended.target);
     let tenant = call.parts.tenant.as_str();
@@ -230,10 +235,10 @@
         histograms.record(tenant, class, stage, time);
     }
     drop(histograms);
-    node.metrics.count(counter(&ended.end), 1);
+    node.metrics.count(counter_name(&ended.end), 1);
 }
 
-fn counter(end: &RunEnd) -> &'static str {
+fn counter_name(end: &RunEnd) -> &'static str {
     let RunEnd::Refused(refusal) = end else {
         return "calls.answered";
     };
@@ -243,16 +248,17 @@
     }
 }
 
-/// An attempt that the router counts. A caller that goes away drops it here, or
-/// the upstream would look busier with each one, and in the end never be chosen.
-struct Outstanding<'a> {
+/// An attempt that the router counts as outstanding. The count is corrected on drop, also when
+/// the caller disconnects; otherwise the upstream would look busier with each such call and in
+/// the end never be chosen.
+struct OutstandingAttempt<'a> {
     node: &'a Rc<Node>,
     call: &'a Call,
     upstream: &'a UpstreamName,
     report: Report,
 }
 
-impl Drop for Outstanding<'_> {
+impl Drop for OutstandingAttempt<'_> {
     fn drop(&mut self) {
         let now = self.node.calls.clock.now();
         let service = &self.call.parts.service;
--- a/crates/daemon/src/call/executor.rs
+++ b/crates/daemon/src/call/executor.rs
@@ -1,4 +1,4 @@
-//! Executor: runs attempts of entries on this instance's target.
+//! Executor: runs the attempts that entries send on this instance's target.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,22 +7,21 @@
 use stoatstep_calls::{Arrival, AttemptId, Reason, Refusal, Settled};
 
 use super::in_flight::InFlight;
-use super::run::{self, Report};
+use super::run::{self, RunOutcome};
 use super::target::RunEnd;
 use super::wire::{Attempt, WireAttempt, WireEnd, WireReply};
 use super::{homes, peers, settle};
 use crate::http::msgpack;
 use crate::node::Node;
 
-/// Pause after which another executor has heard of the drain.
+/// Retry delay sent to entries after which they know of the drain and choose another executor.
 const DRAINING_RETRY: Duration = Duration::from_millis(100);
 
-/// Answers one message of another daemon about calls; `None` where it is about
-/// something else.
+/// Answers a message of another daemon if it is about calls, otherwise returns `None`.
 pub(crate) async fn handle(node: &Rc<Node>, req: &mut Request) -> Option<Response> {
     let path = req.path().to_owned();
     let answer = match path.as_str() {
-        "/peer/attempt" => attempt(node, req).await,
+        "/peer/attempt" => answer_attempt(node, req).await,
         "/peer/peek" => peers::receive(req)
             .await
             .map(|it| ok(&settle::peek(node, it))),
@@ -44,23 +43,23 @@
     msgpack(StatusCode::OK, body)
 }
 
-async fn attempt(node: &Rc<Node>, req: &mut Request) -> Option<Response> {
+async fn answer_attempt(node: &Rc<Node>, req: &mut Request) -> Option<Response> {
     let wire: WireAttempt = peers::receive(req).await?;
     let attempt = Attempt::try_from(wire).ok()?;
     Some(ok(&execute(node, attempt).await))
 }
 
-/// Runs one attempt. Also the way of an entry to its own target, without a
-/// connection in between.
+/// Runs one attempt and returns the reply for its entry. The entry of this daemon calls it
+/// directly, without a connection.
 pub(super) async fn execute(node: &Rc<Node>, attempt: Attempt) -> WireReply {
-    let report = match arrive(node, &attempt) {
-        Ok(()) => carry(node, attempt).await,
-        Err(end) => Report::of(end),
+    let outcome = match accept(node, &attempt) {
+        Ok(()) => run_to_end(node, attempt).await,
+        Err(end) => RunOutcome::of(end),
     };
-    reply(node, report)
+    reply(node, outcome)
 }
 
-fn arrive(node: &Rc<Node>, attempt: &Attempt) -> Result<(), RunEnd> {
+fn accept(node: &Rc<Node>, attempt: &Attempt) -> Result<(), RunEnd> {
     if !node.calls.drain.borrow().admits() {
         let refusal = Refusal::retry(Reason::Draining, DRAINING_RETRY);
         return Err(RunEnd::Refused(refusal));
@@ -75,30 +74,30 @@
     }
 }
 
-async fn carry(node: &Rc<Node>, attempt: Attempt) -> Report {
+async fn run_to_end(node: &Rc<Node>, attempt: Attempt) -> RunOutcome {
     let in_flight = InFlight::enter(node);
     let id = attempt.id;
     let idempotent = attempt.call.idempotent;
-    let ended = run::start(node, attempt, in_flight);
-    let gone = OnGone {
+    let receiver = run::start(node, attempt, in_flight);
+    let guard = CancelOnDisconnect {
         node,
         id,
         armed: idempotent,
     };
-    let report = ended.await;
-    gone.disarm();
-    report.unwrap_or_else(|_| Report::of(RunEnd::refused(Reason::LostAnswer)))
+    let outcome = receiver.await;
+    guard.disarm();
+    outcome.unwrap_or_else(|_| RunOutcome::of(RunEnd::refused(Reason::LostAnswer)))
 }
 
-fn reply(node: &Rc<Node>, report: Report) -> WireReply {
+fn reply(node: &Rc<Node>, outcome: RunOutcome) -> WireReply {
     let now = node.calls.clock.now();
     let tables = node.calls.executor.borrow();
     WireReply {
         ticket: tables.ledger.ticket(now),
         load: tables.admission.load(),
-        queue_us: micros(report.queue),
-        target_us: micros(report.target),
-        end: match report.end {
+        queue_us: micros(outcome.queue),
+        target_us: micros(outcome.target),
+        end: match outcome.end {
             RunEnd::Done(answer) => WireEnd::Answered(answer),
             RunEnd::Refused(refusal) => WireEnd::Refused(refusal),
         },
@@ -109,21 +108,21 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Cancels the run when the entry's connection goes. Only for runs that may be
-/// repeated: the answer of another one may still be asked for.
-struct OnGone<'a> {
+/// Cancels the run when the entry's connection closes. This is only done for idempotent calls;
+/// for any other the entry may still ask the ledger for the answer.
+struct CancelOnDisconnect<'a> {
     node: &'a Rc<Node>,
     id: AttemptId,
     armed: bool,
 }
 
-impl OnGone<'_> {
+impl CancelOnDisconnect<'_> {
     fn disarm(mut self) {
         self.armed = false;
     }
 }
 
-impl Drop for OnGone<'_> {
+impl Drop for CancelOnDisconnect<'_> {
     fn drop(&mut self) {
         if self.armed {
             run::cancel(self.node, self.id);
--- a/crates/daemon/src/call/handover.rs
+++ b/crates/daemon/src/call/handover.rs
@@ -1,10 +1,9 @@
-//! The memory of keys, handed from a process that leaves to the next one of the
-//! same upstream. See "Planned restarts" in `docs/design/at-most-once.md`.
+//! Hands the table of idempotency keys from a process that stops to the next one of the same
+//! upstream. See "Planned restarts" in `docs/design/at-most-once.md`.
 //!
-//! The row `home/<upstream>` names the process that may run keys. A process
-//! takes the row before its first key, so that the rows form a chain without
-//! gaps; one that leaves writes its memory to the object store and notes so in
-//! its row.
+//! The row `home/<upstream>` names the process that may run keys. A process writes itself into the
+//! row before it runs its first key, so that no process is missing in the sequence of rows. One
+//! that stops writes a snapshot of its table to the object store and then marks its row.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,71 +20,72 @@
 
 use crate::node::Node;
 
-/// Starts of a whole zone are spread over this time, so that their reads do not
-/// come at the platform in one moment.
-const SPREAD: Duration = Duration::from_secs(3);
+/// Random delay at the start, so that the reads of a whole zone that restarts do not reach the
+/// platform at once.
+const START_SPREAD: Duration = Duration::from_secs(3);
 
-/// Pause before the row is tried again.
-const RETRY: Millis = Millis(500);
+/// Delay before another try.
+const RETRY_DELAY: Millis = Millis(500);
 
-/// Tries to read the predecessor's memory.
-const MEMORY_TRIES: u32 = 5;
+/// Number of tries to read the predecessor's snapshot.
+const SNAPSHOT_TRIES: u32 = 5;
 
 /// The process that may run an upstream's keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct HomeRow {
     birth: Incarnation,
-    /// Whether it runs nothing any more and its memory is in the object store.
+    /// Whether the process runs nothing any more and its snapshot is in the object store.
     left: bool,
 }
 
-/// Object with the memory of the process `birth`.
+/// Stored snapshot of the process `birth`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct MemoryObject {
+struct SnapshotObject {
     birth: Incarnation,
     memory: IntentMemory,
     members: KnownMembers,
 }
 
-/// A row as it was read, if it makes sense.
-struct Found {
+/// A stored row; `row` is `None` if its value can't be decoded.
+struct StoredRow {
     revision: TableRevision,
     row: Option<HomeRow>,
 }
 
-/// Takes the row, and with it the predecessor's memory. Keys that state their
-/// time are refused until this is done.
-pub(super) async fn take(node: Rc<Node>) {
-    let spread = rand::rng().random_range(Duration::ZERO..SPREAD);
+/// Writes this process into the home row and restores the predecessor's snapshot. Keys with a
+/// timestamp are refused until this is done.
+pub(super) async fn acquire(node: Rc<Node>) {
+    let spread = rand::rng().random_range(Duration::ZERO..START_SPREAD);
     sleep(Millis::from(spread)).await;
     let mut predecessor = None;
     loop {
-        match try_take(&node, &mut predecessor).await {
+        match try_acquire(&node, &mut predecessor).await {
             Ok(Some(revision)) => {
                 node.calls.home_row.set(Some(revision));
                 break;
             }
             Ok(None) => {}
-            Err(err) => slog::warn!(node.log, "home row not taken"; "error" => %err),
+            Err(err) => slog::warn!(node.log, "home row not acquired"; "error" => %err),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
     if let Some(HomeRow { birth, left: true }) = predecessor {
-        resume(&node, birth).await;
+        restore(&node, birth).await;
     }
     node.calls.has_home.set(true);
 }
 
-/// One try; gives the row's revision once it names this process.
+/// Tries once to write this process into the row. Returns the row's revision as soon as the row
+/// names this process.
 ///
-/// A commit whose answer was lost shows itself in the next try's read. The
-/// predecessor is then the one of the last commit, since a commit lands only on
-/// the row that it was made for.
-async fn try_take(
+/// If the answer to a commit is lost, the read of the next try shows whether it was applied. The
+/// predecessor is then the one found before that commit, since a commit is only applied to the row
+/// revision for which it was made.
+async fn try_acquire(
     node: &Node,
     predecessor: &mut Option<HomeRow>,
 ) -> Result<Option<TableRevision>, PlatformError> {
-    let birth = birth(node);
+    let birth = own_incarnation(node);
     let found = read(node).await?;
     let key = row_key(node);
     let condition = match found {
@@ -104,25 +104,25 @@
     write(node, HomeRow { birth, left: false }, condition).await
 }
 
-/// Hands the memory over. Call it once nothing runs and nothing is taken any
-/// more. Where it fails the next process starts with no memory, and keys made
-/// before it are unsettled, as after a crash.
+/// Stores the snapshot for the next process. Must only be called when nothing runs and no call is
+/// accepted any more. If it fails, the next process starts with an empty table, and the outcome
+/// of keys made before its start is unknown, as after a crash.
 pub(super) async fn leave(node: &Rc<Node>) {
     let Some(revision) = node.calls.home_row.get() else {
         return;
     };
-    let Some(object) = memory(node) else {
+    let Some(object) = snapshot(node) else {
         return;
     };
     if let Err(err) = hand_over(node, revision, &object).await {
-        slog::warn!(node.log, "memory of keys not handed over"; "error" => %err);
+        slog::warn!(node.log, "idempotency keys not handed over"; "error" => %err);
     }
 }
 
-fn memory(node: &Node) -> Option<MemoryObject> {
-    let birth = birth(node);
+fn snapshot(node: &Node) -> Option<SnapshotObject> {
+    let birth = own_incarnation(node);
     let tables = node.calls.executor.borrow();
-    Some(MemoryObject {
+    Some(SnapshotObject {
         birth,
         memory: tables.intents.memory()?,
         members: tables.homes.known(),
@@ -132,63 +132,66 @@
 async fn hand_over(
     node: &Node,
     revision: TableRevision,
-    object: &MemoryObject,
+    object: &SnapshotObject,
 ) -> Result<(), PlatformError> {
     let birth = object.birth;
     let bytes = rmp_serde::to_vec(object).expect("plain data always encodes");
-    // The object comes first: a row that names a memory which is not there yet
-    // would let the next process read the one before it.
+    // The object is written first: if the row were marked before its snapshot exists, the next
+    // process could read an earlier one.
     node.platform.put_object(&object_name(node), bytes).await?;
     let condition = Condition::AtRevision(row_key(node), revision);
-    let taken = write(node, HomeRow { birth, left: true }, condition).await?;
-    if taken.is_none() {
-        slog::warn!(node.log, "another process has taken this upstream");
+    let marked = write(node, HomeRow { birth, left: true }, condition).await?;
+    if marked.is_none() {
+        slog::warn!(
+            node.log,
+            "another process has become the home of this upstream"
+        );
     }
     Ok(())
 }
 
-async fn resume(node: &Rc<Node>, birth: Incarnation) {
-    for _ in 0..MEMORY_TRIES {
+async fn restore(node: &Rc<Node>, birth: Incarnation) {
+    for _ in 0..SNAPSHOT_TRIES {
         match node.platform.get_object(&object_name(node)).await {
-            Ok(bytes) => return adopt(node, birth, &bytes),
+            Ok(bytes) => return apply_snapshot(node, birth, &bytes),
             Err(PlatformError::NotFound) => return,
-            Err(err) => slog::warn!(node.log, "memory of keys not read"; "error" => %err),
+            Err(err) => slog::warn!(node.log, "idempotency keys not read"; "error" => %err),
         }
-        sleep(RETRY).await;
+        sleep(RETRY_DELAY).await;
     }
 }
 
-fn adopt(node: &Rc<Node>, birth: Incarnation, bytes: &[u8]) {
-    let object: MemoryObject = match rmp_serde::from_slice(bytes) {
+fn apply_snapshot(node: &Rc<Node>, birth: Incarnation, bytes: &[u8]) {
+    let object: SnapshotObject = match rmp_serde::from_slice(bytes) {
         Ok(object) => object,
         Err(err) => {
-            slog::error!(node.log, "memory of keys makes no sense"; "error" => %err);
+            slog::error!(node.log, "stored idempotency keys not decoded"; "error" => %err);
             return;
         }
     };
-    // A put that was stuck on its way may have replaced a newer memory. Used
-    // for the newer one, it would let keys run again that ran since.
+    // A delayed put may have replaced a newer snapshot by an older one. Restoring the older one
+    // would let keys run again that ran after it.
     if object.birth != birth {
-        slog::warn!(node.log, "memory of keys is of another process");
+        slog::warn!(node.log, "stored idempotency keys are from another process");
         return;
     }
     let keys = object.memory.intents.len();
     let mut tables = node.calls.executor.borrow_mut();
     tables.homes.resume(object.members);
     tables.intents.resume(object.memory);
-    slog::info!(node.log, "memory of keys taken over"; "keys" => keys);
+    slog::info!(node.log, "idempotency keys restored"; "keys" => keys);
 }
 
-async fn read(node: &Node) -> Result<Option<Found>, PlatformError> {
+async fn read(node: &Node) -> Result<Option<StoredRow>, PlatformError> {
     let req = ReadRequest {
         gets: vec![row_key(node)],
         ranges: Vec::new(),
     };
     let row = node.platform.read(req).await?.rows.into_iter().next();
-    Ok(row.flatten().map(|row| Found::from(&row)))
+    Ok(row.flatten().map(|row| StoredRow::from(&row)))
 }
 
-impl From<&Row> for Found {
+impl From<&Row> for StoredRow {
     fn from(row: &Row) -> Self {
         Self {
             revision: row.revision,
@@ -216,7 +219,7 @@
     })
 }
 
-fn birth(node: &Node) -> Incarnation {
+fn own_incarnation(node: &Node) -> Incarnation {
     let now = node.calls.clock.now();
     node.calls.executor.borrow().ledger.ticket(now).incarnation
 }
--- a/crates/daemon/src/call/headers.rs
+++ b/crates/daemon/src/call/headers.rs
@@ -1,5 +1,4 @@
-//! Names of the headers that calls carry. See
-//! `docs/contributing/interfaces.md`.
+//! Names of the request and response headers of calls. See `docs/contributing/interfaces.md`.
 
 use stoatstep_calls::is_of_connection;
 
@@ -17,16 +16,16 @@
 pub(super) const VERSION: &str = "stoatstep-version";
 pub(super) const SHED: &str = "stoatstep-shed";
 
-/// Between daemons: a short message, in place of a body.
+/// Holds a short message between daemons, which is then sent without a body.
 pub(super) const MESSAGE: &str = "stoatstep-message";
 
-/// What the names of our own headers begin with.
+/// Prefix of the names of the daemon's own headers.
 const OWN_PREFIX: &str = "stoatstep-";
 
-/// Whether a header passes from the caller to the target and back. Those of
-/// one connection end with it, and ours are written anew on each side, so that
-/// neither side can forge them for the other.
-pub(super) fn passes(name: &str) -> bool {
+/// Whether a header is forwarded from the caller to the target or back. Hop-by-hop headers are not,
+/// and the daemon's own headers are set anew on each side, so that neither side can forge them for
+/// the other.
+pub(super) fn is_forwarded(name: &str) -> bool {
     let is_own = name == IDEMPOTENCY_KEY || name.starts_with(OWN_PREFIX);
     !is_own && !is_of_connection(name)
 }
--- a/crates/daemon/src/call/homes.rs
+++ b/crates/daemon/src/call/homes.rs
@@ -1,4 +1,5 @@
-//! Homes of idempotency keys: asking previous homes, and answering new ones.
+//! Homes of idempotency keys. The home of a key is the executor that is responsible for it; when
+//! the set of upstreams changes, the new home queries previous ones before it runs a key.
 
 use std::fmt::Display;
 use std::rc::Rc;
@@ -8,79 +9,83 @@
 
 use super::sync;
 use super::target::RunEnd;
-use super::wire::{Attempt, WireHome, WireHomeAnswer, WireHomeReply};
+use super::wire::{Attempt, WireHomeAnswer, WireHomeQuery, WireHomeReply};
 use crate::control::warning::warn;
 use crate::node::Node;
 
-/// Most that the calendar clocks of two machines differ.
+/// Largest assumed difference between the calendar clocks of two machines.
 pub(super) const SKEW: Duration = Duration::from_secs(2);
 
-/// How long keys are remembered.
+/// Time for which keys are stored.
 pub(super) const RETENTION: Duration = Duration::from_mins(10);
 
-/// Time for a previous home to answer.
-const ASK_BOUND: Duration = Duration::from_millis(400);
+/// Timeout of a query to a previous home.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Pause asked for while a previous home has not answered.
+/// Retry delay sent to callers while a previous home has not answered.
 const MOVING_RETRY: Duration = Duration::from_millis(250);
 
-/// Time after a deletion in which the upstream's instance may still show up.
-/// Longer than a configuration takes to be in force everywhere.
-const UNKNOWN_AFTER: Duration = Duration::from_secs(10);
+/// Time after the deletion of an upstream in which its instance may still appear. It is longer
+/// than a configuration takes to be in force everywhere.
+const DELETION_GRACE: Duration = Duration::from_secs(10);
 
-/// Whether this executor may run the key now; `Err` has the end otherwise.
+/// Checks whether this executor may run the key now. Otherwise `Err` holds the attempt's end.
 pub(super) async fn check(
     node: &Rc<Node>,
     attempt: &Attempt,
     key: &IntentKey,
 ) -> Result<(), RunEnd> {
-    let home = checked(node, attempt, key);
-    let Home::Ask(questions) = home else {
-        return decide(&home);
+    let home = check_home(node, attempt, key);
+    let Home::Ask(home_queries) = home else {
+        return home_result(&home);
     };
-    for question in questions {
-        ask(node, key, &question).await?;
+    for home_query in home_queries {
+        query(node, key, &home_query).await?;
     }
-    // The answers hold for the set under which they were asked. A change that
-    // came in meanwhile asks other homes.
+    // The answers are valid for the set of upstreams for which the homes were queried. If the set
+    // has changed in the meantime, other homes have to be queried.
     let tables = node.calls.executor.borrow();
     let unchanged = tables.homes.current_id(&key.service) == Some(attempt.call.set);
     if unchanged {
         Ok(())
     } else {
-        Err(RunEnd::Refused(stale()))
+        Err(RunEnd::Refused(stale_config()))
     }
 }
 
-fn checked(node: &Rc<Node>, attempt: &Attempt, key: &IntentKey) -> Home {
-    sync::config(node);
+fn check_home(node: &Rc<Node>, attempt: &Attempt, key: &IntentKey) -> Home {
+    sync::apply_config(node);
     let tables = node.calls.executor.borrow();
     tables.homes.check(key, attempt.call.set)
 }
 
-fn decide(home: &Home) -> Result<(), RunEnd> {
+fn home_result(home: &Home) -> Result<(), RunEnd> {
     match home {
         Home::Mine => Ok(()),
-        Home::Ask(_) => Err(RunEnd::Refused(moving())),
+        Home::Ask(_) => Err(RunEnd::Refused(home_moving())),
         Home::Unsettled => Err(RunEnd::refused(Reason::KeyUnsettled)),
-        Home::StaleConfig | Home::NotMine => Err(RunEnd::Refused(stale())),
+        Home::StaleConfig | Home::NotMine => Err(RunEnd::Refused(stale_config())),
     }
 }
 
-fn stale() -> Refusal {
+fn stale_config() -> Refusal {
     Refusal::retry(Reason::StaleConfig, MOVING_RETRY)
 }
 
-fn moving() -> Refusal {
+fn home_moving() -> Refusal {
     Refusal::retry(Reason::HomeMoving, MOVING_RETRY)
 }
 
-async fn ask(node: &Rc<Node>, key: &IntentKey, question: &Handover) -> Result<(), RunEnd> {
-    let Some(member) = node.control.serving(&question.upstream).pop() else {
-        settle_deleted(node, key, question);
-        return Err(unsettled(node, question, &"no instance of it is known"));
+async fn query(node: &Rc<Node>, key: &IntentKey, home_query: &Handover) -> Result<(), RunEnd> {
+    let Some(member) = node.control.serving(&home_query.upstream).pop() else {
+        mark_if_deleted(node, key, home_query);
+        return Err(not_confirmed(
+            node,
+            home_query,
+            &"no instance of this upstream is known",
+        ));
     };
-    let message = WireHome {
+    let message = WireHomeQuery {
         key: key.clone(),
         asker: node.cfg.upstream.clone(),
     };
@@ -88,56 +93,60 @@
     let answer = node
         .calls
         .peers
-        .send_fresh(addr, "/peer/home", &message, ASK_BOUND);
+        .send_fresh(addr, "/peer/home", &message, QUERY_TIMEOUT);
     let reply: WireHomeReply = match answer.await {
         Ok(reply) => reply,
-        Err(err) => return Err(unsettled(node, question, &err)),
+        Err(err) => return Err(not_confirmed(node, home_query, &err)),
     };
-    if reply.version < question.version {
+    if reply.version < home_query.version {
         let behind = format_args!("it has applied version {}", reply.version);
-        return Err(unsettled(node, question, &behind));
+        return Err(not_confirmed(node, home_query, &behind));
     }
     let wall = node.calls.clock.wall();
     let mut tables = node.calls.executor.borrow_mut();
     tables
         .homes
-        .confirm(&question.upstream, reply.version, wall);
+        .confirm(&home_query.upstream, reply.version, wall);
     match HomeAnswer::from(reply.answer) {
         HomeAnswer::Never => Ok(()),
-        HomeAnswer::Running => Err(unsettled(node, question, &"the key runs there")),
+        HomeAnswer::Running => Err(not_confirmed(
+            node,
+            home_query,
+            &"the key is still running there",
+        )),
         HomeAnswer::Done(answer) => Err(RunEnd::Done(answer)),
         HomeAnswer::Unknown => Err(RunEnd::refused(Reason::KeyUnsettled)),
     }
 }
 
-/// The end of an attempt whose key a previous home has not spoken for.
-fn unsettled(node: &Node, question: &Handover, cause: &dyn Display) -> RunEnd {
-    let what = format_args!("{}: {cause}", question.upstream);
+/// Logs why a previous home has not given a usable answer, and returns the attempt's end.
+fn not_confirmed(node: &Node, home_query: &Handover, cause: &dyn Display) -> RunEnd {
+    let what = format_args!("{}: {cause}", home_query.upstream);
     warn(node, "key waits for a previous home", &what);
-    RunEnd::Refused(moving())
+    RunEnd::Refused(home_moving())
 }
 
-/// An upstream that is still configured may be cut off and running keys, so
-/// silence alone never settles it. Its deletion is the operator's word that its
-/// instance runs nothing.
-fn settle_deleted(node: &Rc<Node>, key: &IntentKey, question: &Handover) {
+/// Stops querying the previous home if its upstream has been deleted. An upstream that is still
+/// configured may be unreachable and run keys, so a missing answer is not enough. By deleting it
+/// the operator confirms that its instance runs nothing.
+fn mark_if_deleted(node: &Rc<Node>, key: &IntentKey, home_query: &Handover) {
     let wall = node.calls.clock.wall();
     let mut tables = node.calls.executor.borrow_mut();
-    if tables.homes.is_member(&key.service, &question.upstream) {
+    if tables.homes.is_member(&key.service, &home_query.upstream) {
         return;
     }
-    if tables.homes.noted_at(question.version) + UNKNOWN_AFTER < wall {
+    if tables.homes.noted_at(home_query.version) + DELETION_GRACE < wall {
         tables
             .homes
-            .gone(&question.upstream, question.version, wall);
+            .gone(&home_query.upstream, home_query.version, wall);
     }
 }
 
-/// Answers a new home.
-pub(super) fn answer(node: &Rc<Node>, message: &WireHome) -> WireHomeReply {
-    // From here on this executor judges by the configuration that it names in
-    // the answer, and so takes no more attempts under an earlier set.
-    let version = sync::config(node);
+/// Answers the query of a new home.
+pub(super) fn answer(node: &Rc<Node>, message: &WireHomeQuery) -> WireHomeReply {
+    // From here on this executor uses the configuration version that it puts into the answer, so
+    // it accepts no more attempts for an earlier set of upstreams.
+    let version = sync::apply_config(node);
     let tables = node.calls.executor.borrow();
     if !tables.homes.is_home(&message.key, &message.asker) {
         return WireHomeReply {
--- a/crates/daemon/src/call/in_flight.rs
+++ b/crates/daemon/src/call/in_flight.rs
@@ -1,10 +1,10 @@
-//! Counts the calls that a drain has to wait for.
+//! Counts the calls and attempts for which a drain has to wait.
 
 use std::rc::Rc;
 
 use crate::node::Node;
 
-/// One call that was taken and not yet answered.
+/// One accepted call or attempt that is not answered yet. It is counted until it is dropped.
 pub(super) struct InFlight(Rc<Node>);
 
 impl InFlight {
--- a/crates/daemon/src/call/keyed.rs
+++ b/crates/daemon/src/call/keyed.rs
@@ -1,4 +1,4 @@
-//! Attempts with an idempotency key, at the key's home.
+//! Attempts with an idempotency key at the key's home, the executor that is responsible for it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -20,67 +20,66 @@
 use super::wire::Attempt;
 use crate::node::Node;
 
-/// Time for one request to the platform while a slot is held.
-const CLAIM_BOUND: Duration = Duration::from_millis(500);
+/// Timeout of a request to the platform that is made while the attempt holds a slot.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Pause asked for while the platform is out.
+/// Retry delay sent to callers while the platform does not respond.
 const PLATFORM_RETRY: Duration = Duration::from_secs(1);
 
-/// Pause asked for until this process has taken its home row.
+/// Retry delay sent to callers until this process has written its home row.
 const HOME_RETRY: Duration = Duration::from_millis(250);
 
-/// Largest answer that is written back to a claim row.
-const MAX_RECORDED: usize = 32 << 10;
+/// Largest answer that is written to a claim row.
+const MAX_RECORDED_ANSWER: usize = 32 << 10;
 
-/// What the home makes of a key.
-pub(super) enum Opened {
-    /// This attempt runs it.
+/// Whether an attempt runs its key.
+pub(super) enum KeyResolution {
+    /// The attempt runs.
     Run,
-    /// This attempt does not run; here is its end.
+    /// The attempt does not run and ends like this.
     Ended(RunEnd),
 }
 
-/// Settles whether this attempt runs the key, waiting for another one that
-/// does.
-pub(super) async fn open(
+/// Decides whether this attempt runs its key. Waits while another attempt with the key runs.
+pub(super) async fn resolve(
     node: &Rc<Node>,
     attempt: &Attempt,
     key: &IntentKey,
     deadline: Deadline,
-) -> Opened {
+) -> KeyResolution {
     let fingerprint = fingerprint(attempt);
     loop {
-        // What ran here is settled here. Were previous homes asked first, one
-        // that is dead would turn the retry of a claim that ran into "not run".
-        let begin = if let Some(known) = recall(node, key, fingerprint) {
+        // A key that ran here is decided here, before previous homes are asked: one that has
+        // failed would turn the retry of a claim that ran into "not run".
+        let begin = if let Some(known) = lookup(node, key, fingerprint) {
             known
         } else {
-            if !may_take(node, key) {
-                return Opened::Ended(RunEnd::Refused(not_ready()));
+            if !may_run(node, key) {
+                return KeyResolution::Ended(RunEnd::Refused(not_ready()));
             }
             if let Err(end) = homes::check(node, attempt, key).await {
-                return Opened::Ended(end);
+                return KeyResolution::Ended(end);
             }
             begin(node, attempt, key, fingerprint)
         };
         match begin {
-            Begin::Run => return Opened::Run,
-            Begin::Replay(answer) => return Opened::Ended(RunEnd::Done(answer)),
-            Begin::Refused(refusal) => return Opened::Ended(RunEnd::Refused(refusal)),
+            Begin::Run => return KeyResolution::Run,
+            Begin::Replay(answer) => return KeyResolution::Ended(RunEnd::Done(answer)),
+            Begin::Refused(refusal) => return KeyResolution::Ended(RunEnd::Refused(refusal)),
             Begin::Wait(other) => {
-                if !wait_for(node, other, deadline).await {
-                    return Opened::Ended(RunEnd::refused(Reason::TimedOut));
+                if !wait_for_end(node, other, deadline).await {
+                    return KeyResolution::Ended(RunEnd::refused(Reason::TimedOut));
                 }
             }
         }
     }
 }
 
-/// Keys that state their time are judged by memory, so the row that makes this
-/// process the one that remembers comes first. Without it a process that the
-/// platform never heard of would run keys, and the next one, with the memory of
-/// the one before, would run them again.
-fn may_take(node: &Node, key: &IntentKey) -> bool {
+/// Whether this process may run the key yet. Keys with a timestamp are checked against the table
+/// in memory only, so the home row that names this process has to be written first. Otherwise the
+/// next process, which restores the snapshot of an earlier one, would run the keys again that
+/// ran here.
+fn may_run(node: &Node, key: &IntentKey) -> bool {
     node.calls.has_home.get() || matches!(key.key, KeyText::Plain(_))
 }
 
@@ -88,7 +87,7 @@
     Refusal::retry(Reason::NotReady, HOME_RETRY)
 }
 
-fn recall(node: &Rc<Node>, key: &IntentKey, fingerprint: Fingerprint) -> Option<Begin> {
+fn lookup(node: &Rc<Node>, key: &IntentKey, fingerprint: Fingerprint) -> Option<Begin> {
     let tables = node.calls.executor.borrow();
     tables.intents.recall(key, fingerprint)
 }
@@ -104,16 +103,16 @@
     Fingerprint::of(&call.method, &call.path, &call.body)
 }
 
-async fn wait_for(node: &Rc<Node>, other: AttemptId, deadline: Deadline) -> bool {
+async fn wait_for_end(node: &Rc<Node>, other: AttemptId, deadline: Deadline) -> bool {
     let (tx, rx) = oneshot::channel();
     if let Some(run) = node.calls.executor.borrow_mut().runs.get_mut(&other) {
         run.waiters.push(tx);
     }
-    let ended = node.calls.alarms.by(deadline.expires(), rx).await;
+    let ended = node.calls.timers.run_until(deadline.expires(), rx).await;
     ended.is_some()
 }
 
-/// Row of a key that states no time.
+/// Row that claims a key without a timestamp for one attempt.
 #[derive(Serialize, Deserialize)]
 struct ClaimRow {
     attempt: AttemptId,
@@ -121,8 +120,8 @@
     answer: Option<Answer>,
 }
 
-/// Writes the claim row of a key that states no time. Without one nothing tells
-/// a first send from a retry of what an earlier process ran.
+/// Writes the claim row of a key without a timestamp. Without the row, a first send can't be told
+/// from the retry of an attempt that an earlier process ran.
 pub(super) async fn claim(
     node: &Rc<Node>,
     attempt: &Attempt,
@@ -133,37 +132,37 @@
         return Ok(());
     }
     attempt.claimed.set(true);
-    let bound = CLAIM_BOUND.min(deadline.left(node.calls.clock.now()));
+    let time_limit = CLAIM_TIMEOUT.min(deadline.left(node.calls.clock.now()));
     let row = ClaimRow {
         attempt: attempt.id,
         fingerprint: fingerprint(attempt),
         answer: None,
     };
-    let commit = put(&row, Condition::Absent(row_key(key)), key);
-    let written = timeout(bound, node.platform.commit(commit)).await;
+    let commit = put_claim(&row, Condition::Absent(row_key(key)), key);
+    let written = timeout(time_limit, node.platform.commit(commit)).await;
     match written {
         Ok(Ok(CommitAnswer::Committed { .. })) => Ok(()),
-        Ok(Err(err)) if err.is_not_done() => Err(RunEnd::Refused(platform_down())),
-        // Lost answer, or somebody was first: the row tells which.
+        Ok(Err(err)) if err.is_not_done() => Err(RunEnd::Refused(platform_unavailable())),
+        // The answer was lost or another attempt has claimed the key; the row tells which.
         Ok(Ok(CommitAnswer::Conflict { .. }) | Err(_)) | Err(()) => {
-            read_back(node, attempt, key, bound).await
+            check_claim(node, attempt, key, time_limit).await
         }
     }
 }
 
-async fn read_back(
+async fn check_claim(
     node: &Rc<Node>,
     attempt: &Attempt,
     key: &IntentKey,
-    bound: Duration,
+    time_limit: Duration,
 ) -> Result<(), RunEnd> {
-    let Ok(Ok(row)) = timeout(bound, read(node, key)).await else {
-        return Err(RunEnd::Refused(platform_down()));
+    let Ok(Ok(row)) = timeout(time_limit, read(node, key)).await else {
+        return Err(RunEnd::Refused(platform_unavailable()));
     };
     let Some(row) = row else {
-        // The write may still land. It then bears this attempt's id and keeps
-        // the key from running, which is safe: this attempt does not run.
-        return Err(RunEnd::Refused(platform_down()));
+        // The write may still be applied. The row then holds the id of this attempt, which does
+        // not run, and prevents the key from running at all, which is safe.
+        return Err(RunEnd::Refused(platform_unavailable()));
     };
     let claim: Result<ClaimRow, _> = rmp_serde::from_slice(&row.value);
     let Ok(claim) = claim else {
@@ -181,10 +180,10 @@
     }
 }
 
-/// Takes back the claim of an attempt that did not run, so that the next one
-/// can. Where this fails the key stays claimed, and its callers hear "unknown".
-pub(super) fn unclaim(node: &Rc<Node>, attempt: &Attempt) {
-    after_claim(node, attempt, |_, row, key| {
+/// Deletes the claim row of an attempt that did not run, so that the next one can run. If this
+/// fails, the key stays claimed and its callers get "unknown".
+pub(super) fn release_claim(node: &Rc<Node>, attempt: &Attempt) {
+    update_own_claim(node, attempt, |_, row, key| {
         let condition = Condition::AtRevision(row_key(key), row.revision);
         CommitRequest {
             conditions: vec![condition],
@@ -193,21 +192,21 @@
     });
 }
 
-/// Writes the answer into the claim row, for retries after this process.
-pub(super) fn record(node: &Rc<Node>, attempt: &Attempt, answer: &Answer) {
-    if answer.weight() > MAX_RECORDED {
+/// Writes the answer into the claim row, for retries that reach a later process.
+pub(super) fn record_answer(node: &Rc<Node>, attempt: &Attempt, answer: &Answer) {
+    if answer.weight() > MAX_RECORDED_ANSWER {
         return;
     }
     let answer = answer.clone();
-    after_claim(node, attempt, move |mut claim, row, key| {
+    update_own_claim(node, attempt, move |mut claim, row, key| {
         claim.answer = Some(answer);
         let condition = Condition::AtRevision(row_key(key), row.revision);
-        put(&claim, condition, key)
+        put_claim(&claim, condition, key)
     });
 }
 
-/// Changes this attempt's own claim row, if it is there.
-fn after_claim(
+/// Changes the claim row if it exists and belongs to this attempt.
+fn update_own_claim(
     node: &Rc<Node>,
     attempt: &Attempt,
     change: impl FnOnce(ClaimRow, Row, &IntentKey) -> CommitRequest + 'static,
@@ -241,7 +240,7 @@
     Ok(answer.rows.into_iter().next().flatten())
 }
 
-fn put(row: &ClaimRow, condition: Condition, key: &IntentKey) -> CommitRequest {
+fn put_claim(row: &ClaimRow, condition: Condition, key: &IntentKey) -> CommitRequest {
     let value = rmp_serde::to_vec(row).expect("plain data always encodes");
     CommitRequest {
         conditions: vec![condition],
@@ -256,6 +255,6 @@
     format_smolstr!("claim/{}/{}", key.service, key.name())
 }
 
-fn platform_down() -> Refusal {
+fn platform_unavailable() -> Refusal {
     Refusal::retry(Reason::PlatformDown, PLATFORM_RETRY)
 }
--- a/crates/daemon/src/call/mod.rs
+++ b/crates/daemon/src/call/mod.rs
@@ -1,9 +1,9 @@
-//! The call side of the daemon: entry (from a caller to an executor) and
-//! executor (from an entry to this instance's target).
+//! Call path of the daemon. The entry forwards a caller's request to an executor, which runs it
+//! on the target of its own instance.
 //!
-//! The decisions come from `stoatstep-calls`; the code here moves bytes, reads
-//! clocks and holds the tables. See `docs/design/calls.md` for how a call goes,
-//! and `docs/design/at-most-once.md` for keys.
+//! The decisions are made in `stoatstep-calls`; this module does the I/O, reads the clocks and
+//! holds the tables. See `docs/design/calls.md` for the path of a call and
+//! `docs/design/at-most-once.md` for idempotency keys.
 
 mod attempt;
 mod clock;
@@ -40,18 +40,18 @@
 use peers::Peers;
 use tables::{EntryTables, ExecutorTables};
 use target::TargetClient;
-use timer::Alarms;
+use timer::Timers;
 
 pub(crate) use executor::handle as handle_peer;
 
-/// Tenants with histograms of their own; the others share one.
+/// Largest number of tenants with histograms of their own; all others share one.
 const MAX_TENANTS: usize = 64;
 
-/// Tables and clients of the call side. Borrows of the cells never last over an
-/// `await`, so that no two tasks meet in one.
+/// Tables and clients of the call path. No borrow of a cell is held across an `await`, so two
+/// tasks never borrow the same cell at once.
 pub(crate) struct Calls {
     clock: Clock,
-    alarms: Alarms,
+    timers: Timers,
     target: RefCell<TargetClient>,
     peers: Peers,
     entry: RefCell<EntryTables>,
@@ -60,10 +60,11 @@
     in_flight: Cell<u32>,
     /// Revision of the row that names this process as the home of its keys.
     home_row: Cell<Option<TableRevision>>,
-    /// Whether keys that state their time may run here: nothing that an earlier
-    /// process ran can be missing from the memory without this process knowing.
+    /// Whether keys with a timestamp may run here. Set once the home row names this process and the
+    /// predecessor's snapshot was processed, so that no key that an earlier process ran can be
+    /// missing from the table without this process knowing.
     has_home: Cell<bool>,
-    /// Set once all calls are answered and the last steps of the stop began.
+    /// Set once the drain has ended and the keys are being handed over.
     leaving: Cell<bool>,
     pub(crate) histograms: RefCell<Histograms>,
 }
@@ -76,20 +77,20 @@
             peers: Peers::new(cfg.peer_token.clone()).await,
             entry: RefCell::new(EntryTables::new(cfg)),
             executor: RefCell::new(ExecutorTables::new(cfg, &clock)),
-            drain: RefCell::new(stoatstep_calls::Drain::new(drain::BOUND)),
+            drain: RefCell::new(stoatstep_calls::Drain::new(drain::MAX_DRAIN)),
             in_flight: Cell::new(0),
             home_row: Cell::new(None),
             has_home: Cell::new(false),
             leaving: Cell::new(false),
-            alarms: Alarms::default(),
+            timers: Timers::default(),
             histograms: RefCell::new(Histograms::new(MAX_TENANTS)),
             clock,
         }
     }
 }
 
-/// Starts the tasks of the call side.
+/// Starts the background tasks of the call path.
 pub(crate) fn start(node: &Rc<Node>) {
     ntex::rt::spawn(tick::run(Rc::clone(node)));
-    ntex::rt::spawn(handover::take(Rc::clone(node)));
+    ntex::rt::spawn(handover::acquire(Rc::clone(node)));
 }
--- a/crates/daemon/src/call/peers.rs
+++ b/crates/daemon/src/call/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to other daemons.
+//! HTTP clients for messages to other daemons.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -28,39 +28,37 @@
 use crate::control::peer::PEER_TOKEN;
 use crate::http::{from_msgpack, read_body};
 
-/// Connections to one other daemon.
+/// Largest number of pooled connections to one other daemon.
 const CONNECTIONS: usize = 64;
 
-/// Time for a connection to come up. Inside a region it takes a millisecond.
+/// Timeout for establishing a connection, which takes about a millisecond within a region.
 const CONNECT_TIMEOUT: Millis = Millis(300);
 
-/// Largest message that goes in a header. Well below the listener's bound on
-/// headers, which are a third longer in this encoding.
+/// Largest message that is sent in a header. It is well below the listener's limit on headers,
+/// since the encoding makes the message a third longer.
 const MAX_IN_HEADER: usize = 4 << 10;
 
-/// Largest message between daemons: an answer with its headers.
+/// Largest message between daemons: an answer of the target with its headers.
 pub(super) const MAX_MESSAGE: usize = 5 << 20;
 
-/// Idle time after which a connection is not used again. Well below the
-/// listener's, so that no request meets a connection that the other end is
-/// closing.
-const KEEP_ALIVE_SECS: u16 = 30;
+/// Idle time after which a connection is not reused, in seconds. It is well below the listener's
+/// timeout, so that no request meets a connection that the other end is closing.
+const MAX_IDLE_SECS: u16 = 30;
 
-/// Why there is no answer to a message.
+/// Why a message got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerError {
-    /// Not a byte of the body left this process: the other daemon cannot have
-    /// acted on it.
+    /// The message was not sent, so the other daemon cannot have acted on it.
     NotSent,
-    /// It may have arrived.
+    /// The message may have arrived.
     Lost,
 }
 
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::NotSent => "the question was not sent",
-            Self::Lost => "no answer",
+            Self::NotSent => "the message was not sent",
+            Self::Lost => "no usable answer",
         })
     }
 }
@@ -70,11 +68,12 @@
     ticket: Ticket,
 }
 
-/// Clients by address. Each daemon has a pool of its own: in one shared pool
-/// the calls to a daemon that hangs would take the connections of all others.
+/// Clients by address. Each daemon has a pool of its own: in a shared pool, calls to a daemon that
+/// hangs would use up the connections to all others.
 pub(super) struct Peers {
     token: Secret,
     table: RefCell<BTreeMap<SocketAddr, Peer>>,
+    /// Client that opens a new connection for each message.
     fresh: Client,
 }
 
@@ -83,12 +82,12 @@
         Self {
             token,
             table: RefCell::default(),
-            fresh: client(0, 0).await,
+            fresh: build_client(0, 0).await,
         }
     }
 
-    /// The newest ticket of the daemon at `addr`. Before its first answer there
-    /// is none, and one that it will refuse stands in.
+    /// Returns the newest ticket of the daemon at `addr`. Before its first answer, this is a
+    /// placeholder that the daemon refuses.
     pub(super) fn ticket(&self, addr: SocketAddr) -> Ticket {
         let none = Ticket {
             incarnation: 0,
@@ -97,29 +96,29 @@
         self.table.borrow().get(&addr).map_or(none, |it| it.ticket)
     }
 
-    /// Keeps a ticket that came with an answer.
+    /// Stores the ticket that came with an answer.
     pub(super) fn set_ticket(&self, addr: SocketAddr, ticket: Ticket) {
         if let Some(peer) = self.table.borrow_mut().get_mut(&addr) {
             peer.ticket = ticket;
         }
     }
 
-    /// Leaves all connections to `addr`: one of them has gone silent, and what
-    /// made it so may have hit the others. Attempts on them end by themselves or
-    /// are found silent in turn.
+    /// Stops using the present connections to `addr` for new messages. One of them went silent,
+    /// and the same cause may affect the others. Attempts on them end by themselves or are found
+    /// silent in turn.
     pub(super) async fn retire(&self, addr: SocketAddr) {
-        let client = pooled().await;
+        let client = pooled_client().await;
         if let Some(peer) = self.table.borrow_mut().get_mut(&addr) {
             peer.client = client;
         }
     }
 
-    /// Forgets daemons that are not in `keep`.
+    /// Removes daemons for whose address `keep` returns `false`.
     pub(super) fn retain(&self, keep: impl Fn(SocketAddr) -> bool) {
         self.table.borrow_mut().retain(|addr, _| keep(*addr));
     }
 
-    /// Sends a message over a pooled connection.
+    /// Sends a message over a pooled connection and waits for the answer.
     pub(super) async fn send<A: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -130,16 +129,16 @@
         self.exchange(&client, addr, path, message).await
     }
 
-    /// Sends a message over a new connection, for at most `bound`.
+    /// Sends a message over a new connection and waits for the answer for at most `time_limit`.
     pub(super) async fn send_fresh<A: DeserializeOwned>(
         &self,
         addr: SocketAddr,
         path: &str,
         message: &impl Serialize,
-        bound: Duration,
+        time_limit: Duration,
     ) -> Result<A, PeerError> {
         let exchange = self.exchange(&self.fresh, addr, path, message);
-        let answer = timeout(bound, exchange).await;
+        let answer = timeout(time_limit, exchange).await;
         answer.unwrap_or(Err(PeerError::Lost))
     }
 
@@ -147,7 +146,7 @@
         if let Some(peer) = self.table.borrow().get(&addr) {
             return peer.client.clone();
         }
-        let client = pooled().await;
+        let client = pooled_client().await;
         let ticket = self.ticket(addr);
         let mut table = self.table.borrow_mut();
         let peer = table.entry(addr).or_insert(Peer { client, ticket });
@@ -178,8 +177,8 @@
     }
 }
 
-/// The HTTP library writes head and body apart, and the second write wakes the
-/// other daemon a second time. A short message goes with the head instead.
+/// Sends a short message in a header. The HTTP library writes head and body separately, and the
+/// second write would wake the other daemon a second time.
 async fn send_in_header(req: ClientRequest, bytes: &[u8]) -> Result<ClientResponse, PeerError> {
     let text = STANDARD_NO_PAD.encode(bytes);
     let sent = req.header(headers::MESSAGE, text).send().await;
@@ -204,10 +203,9 @@
     })
 }
 
-/// Whether the error is one of a connection that never came up, so that not a
-/// byte was sent. A connection that was up reports neither of these kinds: a
-/// reset is another one, and the kernel gives up sending after a quarter of an
-/// hour only, long after any deadline.
+/// Whether the connection was never established, so that not a byte was sent. An established
+/// connection reports neither of these kinds of error: a reset is another kind, and the kernel only
+/// times out after a quarter of an hour, long after any deadline.
 pub(super) fn never_connected(err: &ClientError) -> bool {
     let ClientError::Connect(ConnectError::Disconnected(Some(err))) = err else {
         return false;
@@ -216,7 +214,7 @@
     matches!(kind, ErrorKind::ConnectionRefused | ErrorKind::TimedOut)
 }
 
-/// Decodes a message from where the sender put it.
+/// Decodes the message of a request, from its header or its body.
 pub(super) async fn receive<T: DeserializeOwned>(req: &mut Request) -> Option<T> {
     if let Some(text) = req.headers().get(headers::MESSAGE) {
         let bytes = STANDARD_NO_PAD.decode(text.as_bytes()).ok()?;
@@ -226,14 +224,14 @@
     from_msgpack(&body).ok()
 }
 
-async fn pooled() -> Client {
-    client(CONNECTIONS, KEEP_ALIVE_SECS).await
+async fn pooled_client() -> Client {
+    build_client(CONNECTIONS, MAX_IDLE_SECS).await
 }
 
-async fn client(connections: usize, keep_alive_secs: u16) -> Client {
+async fn build_client(connections: usize, max_idle_secs: u16) -> Client {
     let connector = Connector::new()
         .limit(connections)
-        .keep_alive(ntex::time::Seconds(keep_alive_secs));
+        .keep_alive(ntex::time::Seconds(max_idle_secs));
     let io = IoConfig::new().set_connect_timeout(CONNECT_TIMEOUT);
     Client::builder()
         .no_default_headers()
@@ -245,9 +243,9 @@
         .expect("a client without TLS always builds")
 }
 
-/// A body that remembers whether the library has asked for it. The HTTP library
-/// reports a connection that broke under a request and one that never came up
-/// with the same error; only the second means "did not run".
+/// A request body that records whether the HTTP library has read it. The library reports the same
+/// error for a connection that broke during a request and for one that was never established; only
+/// the latter means "did not run".
 pub(super) struct TrackedBody {
     bytes: Option<Bytes>,
     len: u64,
--- a/crates/daemon/src/call/request.rs
+++ b/crates/daemon/src/call/request.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request, with every finding in one go.
+//! Reads and validates a caller's request. All errors in its headers are reported at once.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -21,36 +21,36 @@
 use crate::in_force::InForce;
 use crate::node::Node;
 
-/// Largest request body. It is kept whole until the call ends, so that an
-/// attempt that did not run can be sent again.
+/// Largest request body. The body is buffered until the call ends, so that an attempt that did not
+/// run can be sent again.
 const MAX_BODY: usize = 256 << 10;
 
-/// Longest name of a tenant.
-const LONGEST_TENANT: usize = 64;
+/// Longest name of a tenant, in bytes.
+const MAX_TENANT_LEN: usize = 64;
 
-/// Who a caller is that says nothing of itself.
-const NO_TENANT: CustomerName = SmolStr::new_static("default");
+/// Tenant of callers that name none.
+const DEFAULT_TENANT: CustomerName = SmolStr::new_static("default");
 
-/// Longest request id that is passed on.
-const LONGEST_REQUEST_ID: usize = 64;
+/// Longest accepted request id, in bytes.
+const MAX_REQUEST_ID_LEN: usize = 64;
 
-/// Pause asked for by a daemon that has just started.
+/// Retry delay sent to callers while this daemon may not serve yet.
 const NOT_READY_RETRY: Duration = Duration::from_millis(500);
 
 /// Weight of a tenant that the policy does not name.
 const DEFAULT_WEIGHT: u32 = 1;
 
-/// A request that was not taken.
+/// A request that was rejected before any attempt.
 pub(super) struct Rejected {
     pub(super) refusal: Refusal,
-    /// What is wrong with it, one finding a line.
+    /// The errors in the request's headers; each becomes a line of the response.
     pub(super) findings: Vec<SmolStr>,
 }
 
 impl Rejected {
-    /// A daemon that has just started does not know yet which version it may
-    /// serve by. Judged by the empty one that it holds, every path would be
-    /// without a route, and callers would take that for final.
+    /// Rejects a request because the daemon does not know yet which configuration version it may
+    /// use. With the empty configuration that it starts with, no path would have a route, and
+    /// callers would take that answer as final.
     fn not_ready() -> Self {
         Self {
             refusal: Refusal::retry(Reason::NotReady, NOT_READY_RETRY),
@@ -58,7 +58,7 @@
         }
     }
 
-    fn bare(reason: Reason) -> Self {
+    fn permanent(reason: Reason) -> Self {
         Self {
             refusal: Refusal::permanent(reason),
             findings: Vec::new(),
@@ -68,11 +68,11 @@
 
 /// A caller's request.
 pub(super) struct Call {
-    /// The configuration that it began with and keeps.
+    /// The configuration in force when the call arrived; it is used until the call ends.
     pub(super) in_force: Rc<InForce>,
     pub(super) route: Arc<ResolvedRoute>,
     pub(super) deadline: Deadline,
-    /// The key, where the call may run only once.
+    /// The idempotency key; `None` if the call has none or is idempotent anyway.
     pub(super) key: Option<IntentKey>,
     pub(super) parts: Rc<WireCall>,
 }
@@ -86,17 +86,17 @@
         let in_force = node.control.in_force();
         let route = in_force.route(host(req), req.path());
         let Some(route) = route.cloned() else {
-            return Err(Rejected::bare(Reason::NoRoute));
+            return Err(Rejected::permanent(Reason::NoRoute));
         };
         let customer = customer(&in_force, &route, req.headers())?;
-        let mut head = Head::read(req.headers())?;
+        let mut head = CallHeaders::read(req.headers())?;
         if !in_force.keys.is_empty() {
-            head.tenant = customer.unwrap_or(NO_TENANT);
+            head.tenant = customer.unwrap_or(DEFAULT_TENANT);
         }
         let body = read_body(req.take_payload(), MAX_BODY).await;
         let body = body.map_err(|err| match err {
-            BodyError::TooLarge => Rejected::bare(Reason::TooLarge),
-            BodyError::CutShort => Rejected::bare(Reason::BadRequest),
+            BodyError::TooLarge => Rejected::permanent(Reason::TooLarge),
+            BodyError::CutShort => Rejected::permanent(Reason::BadRequest),
         })?;
         let timeout = head.timeout.unwrap_or(route.policy.timeout);
         let idempotent = route.route.idempotent || is_idempotent(req.method());
@@ -111,7 +111,7 @@
             tenant: head.tenant.clone(),
             key,
         });
-        let parts = parts(req, &in_force, (&route, service), head, body, idempotent);
+        let parts = wire_call(req, &in_force, (&route, service), head, body, idempotent);
         Ok(Self {
             in_force,
             route,
@@ -122,11 +122,11 @@
     }
 }
 
-fn parts(
+fn wire_call(
     req: &Request,
     in_force: &InForce,
     (route, service): (&ResolvedRoute, ServiceName),
-    head: Head,
+    head: CallHeaders,
     body: Bytes,
     idempotent: bool,
 ) -> WireCall {
@@ -138,7 +138,7 @@
     WireCall {
         method: req.method().as_str().to_smolstr(),
         path: path.map_or_else(|| "/".into(), |it| it.as_str().to_smolstr()),
-        headers: passed(req.headers(), in_force.keys.is_empty()),
+        headers: forwarded_headers(req.headers(), in_force.keys.is_empty()),
         body,
         class: head.class,
         depth: head.depth,
@@ -153,14 +153,14 @@
     }
 }
 
-/// The host that the caller named.
+/// The value of the `host` header, or an empty string.
 fn host(req: &Request) -> &str {
     let named = req.headers().get("host").and_then(|it| it.to_str().ok());
     named.unwrap_or_default()
 }
 
-/// The customer that holds the caller's key; none where the route needs no key and the
-/// caller shows none that opens anything.
+/// Finds the customer whose key the caller presents. Returns `None` if the caller presents no
+/// valid key and the route does not need one.
 fn customer(
     in_force: &InForce,
     route: &ResolvedRoute,
@@ -170,7 +170,7 @@
     let key = bearer_key(credentials).ok();
     let holder = key.and_then(|it| in_force.keys.holder(&it));
     if holder.is_none() && !route.route.public && !in_force.keys.is_empty() {
-        return Err(Rejected::bare(Reason::Unauthenticated));
+        return Err(Rejected::permanent(Reason::Unauthenticated));
     }
     Ok(holder.map(|it| it.name.clone()))
 }
@@ -182,21 +182,22 @@
     )
 }
 
-/// The headers that go through. Keys are none of them where there are customers: no target
-/// is to get one.
-fn passed(map: &HeaderMap, passes_credential: bool) -> Vec<Header> {
+/// The headers that are forwarded to the target. If there are customers, their keys are not: no
+/// target should receive one.
+fn forwarded_headers(map: &HeaderMap, forwards_credential: bool) -> Vec<Header> {
     let all = map.iter();
-    let goes_on = |name: &str| headers::passes(name) && (passes_credential || name != CREDENTIAL);
-    let passed = all.filter(|(name, _)| goes_on(name.as_str()));
-    let header = passed.map(|(name, value)| Header {
+    let is_allowed =
+        |name: &str| headers::is_forwarded(name) && (forwards_credential || name != CREDENTIAL);
+    let forwarded = all.filter(|(name, _)| is_allowed(name.as_str()));
+    let header = forwarded.map(|(name, value)| Header {
         name: name.as_str().to_smolstr(),
         value: value.as_bytes().to_vec(),
     });
     header.collect()
 }
 
-/// The headers that are ours.
-struct Head {
+/// Values of the headers that the daemon itself reads.
+struct CallHeaders {
     tenant: SmolStr,
     class: Class,
     timeout: Option<Duration>,
@@ -205,7 +206,7 @@
     request_id: SmolStr,
 }
 
-impl Head {
+impl CallHeaders {
     fn read(map: &HeaderMap) -> Result<Self, Rejected> {
         let mut findings = Vec::new();
         let head = Self {
@@ -256,7 +257,7 @@
 }
 
 fn request_id(text: &str) -> Result<SmolStr, SmolStr> {
-    if text.len() > LONGEST_REQUEST_ID {
+    if text.len() > MAX_REQUEST_ID_LEN {
         return Err("has more than 64 characters".into());
     }
     Ok(text.into())
@@ -264,10 +265,10 @@
 
 fn tenant(map: &HeaderMap, findings: &mut Vec<SmolStr>) -> SmolStr {
     let tenant = field(map, headers::TENANT, findings, |text| {
-        if text.is_empty() || text.len() > LONGEST_TENANT {
+        if text.is_empty() || text.len() > MAX_TENANT_LEN {
             return Err("must have 1 to 64 characters".into());
         }
         Ok(text.into())
     });
-    tenant.unwrap_or(NO_TENANT)
+    tenant.unwrap_or(DEFAULT_TENANT)
 }
--- a/crates/daemon/src/call/respond.rs
+++ b/crates/daemon/src/call/respond.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Builds the HTTP responses to callers.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use super::headers;
 
-/// The target's whole answer.
+/// Builds the response with the target's whole answer.
 pub(super) fn answered(answer: &Answer, version: Version) -> Response {
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let mut res = Response::build(status);
@@ -17,21 +17,21 @@
         res.header(header.name.as_str(), header.value.as_slice());
     }
     res.header(headers::OUTCOME, Outcome::Answered.as_str());
-    with_version(&mut res, version);
+    add_version_header(&mut res, version);
     res.body(answer.body.clone())
 }
 
-/// An ending without the target's answer.
+/// Builds the response to a call that ended without the target's answer.
 pub(super) fn refused(refusal: &Refusal, findings: &[SmolStr], version: Version) -> Response {
     let mut res = Response::build(status(refusal));
     res.header(headers::OUTCOME, refusal.outcome().as_str());
     res.header(headers::REASON, refusal.reason.as_str());
-    if let Some(pause) = refusal.retry_after {
-        let ms = whole_millis(pause);
+    if let Some(delay) = refusal.retry_after {
+        let ms = whole_millis(delay);
         res.header(headers::RETRY_AFTER_MS, ms.to_string());
         res.header(headers::RETRY_AFTER, ms.div_ceil(1000).to_string());
     }
-    with_version(&mut res, version);
+    add_version_header(&mut res, version);
     if findings.is_empty() {
         return res.finish();
     }
@@ -40,12 +40,12 @@
     res.content_type("text/plain").body(text)
 }
 
-fn with_version(res: &mut ResponseBuilder, version: Version) {
+fn add_version_header(res: &mut ResponseBuilder, version: Version) {
     res.header(headers::VERSION, version.to_string());
 }
 
-fn whole_millis(pause: Duration) -> u64 {
-    let ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
+fn whole_millis(delay: Duration) -> u64 {
+    let ms = u64::try_from(delay.as_millis()).unwrap_or(u64::MAX);
     ms.max(1)
 }
 
--- a/crates/daemon/src/call/run.rs
+++ b/crates/daemon/src/call/run.rs
@@ -1,5 +1,4 @@
-//! One run of an attempt at its executor, from the queue to the record of its
-//! end.
+//! One run of an attempt at its executor, from the queue until its outcome is recorded.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -10,28 +9,28 @@
 use stoatstep_calls::{Answer, AttemptId, Deadline, Outcome, Reason, Refusal, Settled};
 
 use super::in_flight::InFlight;
-use super::keyed::{self, Opened};
+use super::keyed::{self, KeyResolution};
 use super::target::RunEnd;
 use super::wire::Attempt;
 use super::{slot, tables};
 use crate::node::Node;
 
-/// Largest answer that the ledger keeps.
-const MAX_KEPT: usize = 256 << 10;
+/// Largest answer that the ledger and the table of idempotency keys keep.
+const MAX_STORED_ANSWER: usize = 256 << 10;
 
-/// How much longer than its caller a run with a key goes on. The caller's next
+/// Time for which a run with an idempotency key goes on after its deadline. The caller's next
 /// try with the key then finds the answer instead of "unknown".
-const KEYED_EXTRA: Duration = Duration::from_secs(30);
+const KEYED_EXTENSION: Duration = Duration::from_secs(30);
 
-/// How a run ended, and where its time went.
+/// How a run ended, and how long it spent in the queue and in the target.
 #[derive(Clone, Debug)]
-pub(super) struct Report {
+pub(super) struct RunOutcome {
     pub(super) end: RunEnd,
     pub(super) queue: Duration,
     pub(super) target: Duration,
 }
 
-impl Report {
+impl RunOutcome {
     pub(super) fn of(end: RunEnd) -> Self {
         Self {
             end,
@@ -41,13 +40,13 @@
     }
 }
 
-/// Starts the run as a task of its own. It outlives the entry's connection: an
-/// answer whose connection broke is what the ledger is for.
+/// Starts the run as a task of its own, which outlives the entry's connection: if that breaks,
+/// the entry can still get the answer from the ledger.
 pub(super) fn start(
     node: &Rc<Node>,
     attempt: Attempt,
     in_flight: InFlight,
-) -> oneshot::Receiver<Report> {
+) -> oneshot::Receiver<RunOutcome> {
     let (tx, rx) = oneshot::channel();
     let (cancel, cancelled) = oneshot::channel();
     let run = tables::Run {
@@ -60,16 +59,16 @@
     drop(tables);
     let node = Rc::clone(node);
     ntex::rt::spawn(async move {
-        let report = carry_or_cancel(&node, &attempt, cancelled).await;
-        finish(&node, &attempt, &report.end);
-        // The entry's connection may be gone; the ledger has the end then.
-        let _ = tx.send(report);
+        let outcome = run_or_cancel(&node, &attempt, cancelled).await;
+        finish(&node, &attempt, &outcome.end);
+        // If the entry's connection is closed, the ledger holds the outcome.
+        let _ = tx.send(outcome);
         drop(in_flight);
     });
     rx
 }
 
-/// Cancels a run that goes on.
+/// Cancels a run that has not ended.
 pub(super) fn cancel(node: &Rc<Node>, attempt: AttemptId) {
     let mut tables = node.calls.executor.borrow_mut();
     let run = tables.runs.get_mut(&attempt);
@@ -78,8 +77,8 @@
     }
 }
 
-/// Cancels a run that goes on, unless it has a key: the caller's next try with
-/// the key is to find the answer.
+/// Cancels a run that has not ended, unless it has an idempotency key: the caller's next try
+/// with the key should find the answer.
 pub(super) fn cancel_unkeyed(node: &Rc<Node>, attempt: AttemptId) {
     let tables = node.calls.executor.borrow();
     let keyed = tables.runs.get(&attempt).is_some_and(|run| run.keyed);
@@ -89,18 +88,18 @@
     }
 }
 
-async fn carry_or_cancel(
+async fn run_or_cancel(
     node: &Rc<Node>,
     attempt: &Attempt,
     cancelled: oneshot::Receiver<()>,
-) -> Report {
-    match select(cancelled, carry(node, attempt)).await {
-        Either::Left(_) => Report::of(RunEnd::refused(reason_of_cancelled(node, attempt))),
-        Either::Right(report) => report,
+) -> RunOutcome {
+    match select(cancelled, run_attempt(node, attempt)).await {
+        Either::Left(_) => RunOutcome::of(RunEnd::refused(reason_of_cancellation(node, attempt))),
+        Either::Right(outcome) => outcome,
     }
 }
 
-fn reason_of_cancelled(node: &Rc<Node>, attempt: &Attempt) -> Reason {
+fn reason_of_cancellation(node: &Rc<Node>, attempt: &Attempt) -> Reason {
     let now = node.calls.clock.now();
     let tables = node.calls.executor.borrow();
     match tables.ledger.peek(attempt.id, attempt.ticket, now) {
@@ -109,42 +108,46 @@
     }
 }
 
-async fn carry(node: &Rc<Node>, attempt: &Attempt) -> Report {
+async fn run_attempt(node: &Rc<Node>, attempt: &Attempt) -> RunOutcome {
     let arrived = node.calls.clock.now();
     let deadline = Deadline::after(attempt.left, arrived);
     if let Some(key) = &attempt.key
-        && let Opened::Ended(end) = keyed::open(node, attempt, key, deadline).await
+        && let KeyResolution::Ended(end) = keyed::resolve(node, attempt, key, deadline).await
     {
-        return Report::of(end);
+        return RunOutcome::of(end);
     }
-    let slot = match slot::take(node, attempt, deadline).await {
+    let slot = match slot::acquire(node, attempt, deadline).await {
         Ok(slot) => slot,
-        Err(refusal) => return Report::of(RunEnd::Refused(refusal)),
+        Err(refusal) => return RunOutcome::of(RunEnd::Refused(refusal)),
     };
     if let Some(key) = &attempt.key
         && let Err(end) = keyed::claim(node, attempt, key, deadline).await
     {
-        return Report::of(end);
+        return RunOutcome::of(end);
     }
     let started = node.calls.clock.now();
     let Some(left) = deadline.for_next_hop(started) else {
-        return Report::of(RunEnd::refused(Reason::Deadline));
+        return RunOutcome::of(RunEnd::refused(Reason::Deadline));
     };
     if !node.calls.executor.borrow_mut().ledger.start(attempt.id) {
-        return Report::of(RunEnd::refused(Reason::Revoked));
+        return RunOutcome::of(RunEnd::refused(Reason::Revoked));
     }
-    let bound = match attempt.key {
-        Some(_) => left + KEYED_EXTRA,
+    let timeout = match attempt.key {
+        Some(_) => left + KEYED_EXTENSION,
         None => left,
     };
     let target = node.calls.target.borrow().clone();
-    let due = started + bound;
-    let end = node.calls.alarms.by(due, target.call(attempt, left)).await;
+    let due = started + timeout;
+    let end = node
+        .calls
+        .timers
+        .run_until(due, target.call(attempt, left))
+        .await;
     let end = end.unwrap_or(RunEnd::refused(Reason::TimedOut));
     if matches!(end, RunEnd::Done(_)) {
         slot.finish();
     }
-    Report {
+    RunOutcome {
         end,
         queue: started.saturating_sub(arrived),
         target: node.calls.clock.now().saturating_sub(started),
@@ -153,9 +156,9 @@
 
 fn finish(node: &Rc<Node>, attempt: &Attempt, end: &RunEnd) {
     match end {
-        RunEnd::Done(answer) => keyed::record(node, attempt, answer),
+        RunEnd::Done(answer) => keyed::record_answer(node, attempt, answer),
         RunEnd::Refused(refusal) if refusal.outcome() == Outcome::NotRun => {
-            keyed::unclaim(node, attempt);
+            keyed::release_claim(node, attempt);
         }
         RunEnd::Refused(_) => {}
     }
@@ -172,9 +175,10 @@
 }
 
 fn record_done(tables: &mut tables::ExecutorTables, attempt: &Attempt, answer: &Arc<Answer>) {
-    // A stored answer handed out again has not passed through the queue.
+    // An attempt that got a stored answer did not pass through the queue, so the ledger does not
+    // know it as started yet.
     let _ = tables.ledger.start(attempt.id);
-    if answer.weight() > MAX_KEPT {
+    if answer.weight() > MAX_STORED_ANSWER {
         tables.ledger.done_without_answer(attempt.id);
     } else {
         tables.ledger.done(attempt.id, Arc::clone(answer));
@@ -182,7 +186,7 @@
     let Some(key) = &attempt.key else {
         return;
     };
-    if answer.weight() > MAX_KEPT {
+    if answer.weight() > MAX_STORED_ANSWER {
         tables.intents.done_without_answer(key, attempt.id);
     } else {
         tables.intents.done(key, attempt.id, Arc::clone(answer));
--- a/crates/daemon/src/call/settle.rs
+++ b/crates/daemon/src/call/settle.rs
@@ -1,5 +1,5 @@
-//! Settling an attempt whose answer did not come: asking its executor's ledger
-//! over a fresh connection.
+//! Settles an attempt whose answer did not arrive, by querying its executor's ledger over a new
+//! connection, and answers such queries of other daemons.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,51 +13,52 @@
 
 use super::run;
 use super::target::RunEnd;
-use super::wire::{WireSettle, WireSettled};
+use super::wire::{WireAttemptRef, WireAttemptStatus};
 use crate::node::Node;
 
-/// Time for one question to a ledger.
-const ASK_BOUND: Duration = Duration::from_millis(200);
+/// Timeout of one query to a ledger.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Questions that may stay without an answer.
-const TRIES: u32 = 3;
+/// Queries without an answer after which the attempt counts as lost.
+const MAX_UNANSWERED: u32 = 3;
 
-/// First pause between two questions; each further one doubles it.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
+/// First delay between two queries; it doubles each time.
+const FIRST_DELAY: Duration = Duration::from_millis(10);
 
-/// Longest pause between two questions.
-const LONGEST_PAUSE: Duration = Duration::from_millis(250);
+/// Longest delay between two queries.
+const MAX_DELAY: Duration = Duration::from_millis(250);
 
-/// Pause before a revoked call is worth sending again.
+/// Retry delay after an attempt was revoked.
 const REVOKED_RETRY: Duration = Duration::from_millis(10);
 
 /// An attempt at another daemon.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Remote {
+pub(super) struct RemoteAttempt {
     pub(super) addr: SocketAddr,
     pub(super) attempt: AttemptId,
     pub(super) ticket: Ticket,
 }
 
-impl Remote {
-    async fn ask(&self, node: &Rc<Node>, path: &str) -> Option<Settled> {
-        let message = WireSettle {
+impl RemoteAttempt {
+    async fn query(&self, node: &Rc<Node>, path: &str) -> Option<Settled> {
+        let message = WireAttemptRef {
             attempt: self.attempt,
             ticket: self.ticket,
         };
         let peers = &node.calls.peers;
-        let answer = peers.send_fresh(self.addr, path, &message, ASK_BOUND).await;
-        let answer: WireSettled = answer.ok()?;
+        let answer = peers
+            .send_fresh(self.addr, path, &message, QUERY_TIMEOUT)
+            .await;
+        let answer: WireAttemptStatus = answer.ok()?;
         Some(answer.into())
     }
 
-    /// Revokes the attempt and gives its end: not run, the whole answer, or an
-    /// honest "unknown".
+    /// Revokes the attempt and returns how it ended: not run, the whole answer, or unknown.
     pub(super) async fn settle(&self, node: &Rc<Node>, deadline: Deadline) -> RunEnd {
-        let mut pause = FIRST_PAUSE;
+        let mut delay = FIRST_DELAY;
         let mut unanswered = 0;
         loop {
-            match self.ask(node, "/peer/revoke").await {
+            match self.query(node, "/peer/revoke").await {
                 Some(Settled::NotRun) => {
                     return RunEnd::Refused(Refusal::retry(Reason::Revoked, REVOKED_RETRY));
                 }
@@ -73,32 +74,32 @@
                 }
                 None => {
                     unanswered += 1;
-                    if unanswered >= TRIES {
+                    if unanswered >= MAX_UNANSWERED {
                         return RunEnd::refused(Reason::LostAnswer);
                     }
                 }
             }
-            sleep(pause).await;
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            sleep(delay).await;
+            delay = (delay * 2).min(MAX_DELAY);
         }
     }
 
-    /// Ends when the attempt's connection has to be given up. `false` where no
-    /// fresh connection gets an answer either.
-    pub(super) async fn silent(&self, node: &Rc<Node>, idempotent: bool) -> bool {
+    /// Waits until the attempt's connection has to be abandoned. Returns `true` if the ledger still
+    /// answers over new connections, otherwise `false`.
+    pub(super) async fn detect_silence(&self, node: &Rc<Node>, idempotent: bool) -> bool {
         let mut cfg = SilenceConfig::default();
         if idempotent {
-            // Another executor may run it too, so there is no use in waiting.
+            // Another executor may run the call as well, so there is no reason to wait.
             cfg.unanswered = 1;
         }
         let sent = node.calls.clock.now();
-        node.calls.alarms.until(sent + cfg.first_ask).await;
+        node.calls.timers.until(sent + cfg.first_ask).await;
         let mut silence = SilenceDetector::new(cfg);
         silence.sent(self.attempt, sent);
         loop {
             let now = node.calls.clock.now();
             for action in silence.tick(now) {
-                match self.act(node, &mut silence, action).await {
+                match self.handle_action(node, &mut silence, action).await {
                     Some(SilenceAction::Retire(_)) => return true,
                     Some(SilenceAction::GiveUp(_)) => return false,
                     Some(SilenceAction::Ask(_)) | None => {}
@@ -110,7 +111,7 @@
         }
     }
 
-    async fn act(
+    async fn handle_action(
         &self,
         node: &Rc<Node>,
         silence: &mut SilenceDetector,
@@ -119,13 +120,13 @@
         let SilenceAction::Ask(attempt) = action else {
             return Some(action);
         };
-        let settled = self.ask(node, "/peer/peek").await?;
+        let settled = self.query(node, "/peer/peek").await?;
         silence.ledger_answered(attempt, &settled, node.calls.clock.now())
     }
 }
 
-/// Answers `/peer/peek`.
-pub(super) fn peek(node: &Rc<Node>, message: WireSettle) -> WireSettled {
+/// Answers `/peer/peek`: returns what the ledger knows of the attempt.
+pub(super) fn peek(node: &Rc<Node>, message: WireAttemptRef) -> WireAttemptStatus {
     let now = node.calls.clock.now();
     let tables = node.calls.executor.borrow();
     tables
@@ -134,23 +135,23 @@
         .into()
 }
 
-/// Answers `/peer/revoke`.
-pub(super) fn revoke(node: &Rc<Node>, message: WireSettle) -> WireSettled {
+/// Answers `/peer/revoke`: prevents the attempt from running if it has not started.
+pub(super) fn revoke(node: &Rc<Node>, message: WireAttemptRef) -> WireAttemptStatus {
     let now = node.calls.clock.now();
     let mut tables = node.calls.executor.borrow_mut();
     let settled = tables.ledger.revoke(message.attempt, message.ticket, now);
     drop(tables);
     if settled == Settled::NotRun {
-        // It may wait in the queue, where it would only take a place.
+        // The attempt may still be in the queue, where it would only take up a place.
         run::cancel(node, message.attempt);
     }
     settled.into()
 }
 
-/// Answers `/peer/cancel`: the caller has gone.
-pub(super) fn cancel(node: &Rc<Node>, message: WireSettle) -> WireSettled {
+/// Answers `/peer/cancel`, which an entry sends when its caller has disconnected.
+pub(super) fn cancel(node: &Rc<Node>, message: WireAttemptRef) -> WireAttemptStatus {
     let settled = revoke(node, message);
-    if matches!(settled, WireSettled::Running) {
+    if matches!(settled, WireAttemptStatus::Running) {
         run::cancel_unkeyed(node, message.attempt);
     }
     settled
--- a/crates/daemon/src/call/slot.rs
+++ b/crates/daemon/src/call/slot.rs
@@ -1,4 +1,4 @@
-//! Slots of the target: waiting for one, and giving it back.
+//! Acquires and releases the slots of the target.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use super::wire::Attempt;
 use crate::node::Node;
 
-/// A slot, or a place in the queue. Dropping it gives back whichever it is, so
-/// that a run that is cancelled at any point cannot leak a slot.
+/// A slot, or a place in the queue. Both are released on drop, so a run that is cancelled at any
+/// point cannot leak a slot.
 pub(super) struct Slot {
     node: Rc<Node>,
     attempt: AttemptId,
@@ -20,7 +20,8 @@
 }
 
 impl Slot {
-    /// The run ended by itself: its time counts for the estimate.
+    /// Releases the slot of a run that ended by itself, so that its run time is counted in the
+    /// estimate.
     pub(super) fn finish(mut self) {
         self.measured = true;
     }
@@ -37,18 +38,18 @@
             tables.admission.release_unmeasured(self.attempt);
         }
         drop(tables);
-        pump(&self.node);
+        dispatch_waiting(&self.node);
     }
 }
 
-/// Takes a slot, waiting for it where that is worthwhile.
-pub(super) async fn take(
+/// Acquires a slot. Waits in the queue if the admission decides so.
+pub(super) async fn acquire(
     node: &Rc<Node>,
     attempt: &Attempt,
     deadline: Deadline,
 ) -> Result<Slot, Refusal> {
     let now = node.calls.clock.now();
-    let ask = AdmissionRequest {
+    let request = AdmissionRequest {
         attempt: attempt.id,
         tenant: attempt.call.tenant.clone(),
         class: attempt.call.class,
@@ -56,10 +57,15 @@
         concurrency: attempt.call.concurrency,
         expires: deadline.expires(),
     };
-    let offered = node.calls.executor.borrow_mut().admission.offer(ask, now);
-    let (verdict, pushed_out) = offered;
-    deliver(node, pushed_out);
-    if let AdmissionDecision::Refused(refusal) = verdict {
+    let admitted = node
+        .calls
+        .executor
+        .borrow_mut()
+        .admission
+        .offer(request, now);
+    let (decision, evicted) = admitted;
+    deliver(node, evicted);
+    if let AdmissionDecision::Refused(refusal) = decision {
         return Err(refusal);
     }
     let slot = Slot {
@@ -67,7 +73,7 @@
         attempt: attempt.id,
         measured: false,
     };
-    if verdict == AdmissionDecision::Wait {
+    if decision == AdmissionDecision::Wait {
         wait(node, attempt.id).await?;
     }
     Ok(slot)
@@ -80,24 +86,25 @@
     rx.await.unwrap_or(Err(gone))
 }
 
-/// Starts and refuses what waits, as the queue decides now.
-pub(super) fn pump(node: &Rc<Node>) {
+/// Starts or refuses waiting attempts as the queue decides at this moment.
+pub(super) fn dispatch_waiting(node: &Rc<Node>) {
     let now = node.calls.clock.now();
     let dispatches = node.calls.executor.borrow_mut().admission.next(now);
     deliver(node, dispatches);
 }
 
+/// Notifies waiting attempts that they start or are refused.
 pub(super) fn deliver(node: &Rc<Node>, dispatches: Vec<Dispatch>) {
     for dispatch in dispatches {
-        let (attempt, word) = match dispatch {
+        let (attempt, result) = match dispatch {
             Dispatch::Run(attempt) => (attempt, Ok(())),
             Dispatch::Refused(attempt, refusal) => (attempt, Err(refusal)),
         };
         let waiting = node.calls.executor.borrow_mut().waiting.remove(&attempt);
         if let Some(tx) = waiting {
-            // Where nobody listens any more, the waiter's own slot is being
-            // dropped and gives the place back.
-            let _ = tx.send(word);
+            // If the receiver is gone, the waiting attempt is being dropped, and its `Slot`
+            // releases the place.
+            let _ = tx.send(result);
         }
     }
 }
--- a/crates/daemon/src/call/sync.rs
+++ b/crates/daemon/src/call/sync.rs
@@ -1,4 +1,4 @@
-//! Brings the call tables up to the configuration and membership in force.
+//! Updates the call tables from the configuration in force and the membership.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -9,27 +9,29 @@
 use crate::in_force::InForce;
 use crate::node::Node;
 
-/// Notes the sets of upstreams and the slots of the version in force, which it
-/// returns. Cheap where nothing changed, so that each decision that rests on a
-/// set can call it first.
-pub(super) fn config(node: &Rc<Node>) -> Version {
+/// Applies the sets of upstreams and the slots of the configuration version in force, and returns
+/// that version. It is cheap if nothing changed, so it is called before each decision that
+/// depends on a set.
+pub(super) fn apply_config(node: &Rc<Node>) -> Version {
     let in_force = node.control.in_force();
     let version = in_force.state.version();
     let mut tables = node.calls.executor.borrow_mut();
-    if tables.noted == Some(version) {
+    if tables.applied_version == Some(version) {
         return version;
     }
     if version == 0 {
         return 0;
     }
-    let follows = tables
-        .noted
-        .is_some_and(|noted| sets_follow(node, noted, version));
+    let contiguous = tables
+        .applied_version
+        .is_some_and(|applied| is_contiguous(node, applied, version));
     let wall = node.calls.clock.wall();
-    for (service, names) in sets(&in_force) {
-        tables.homes.note(&service, names, version, follows, wall);
+    for (service, names) in upstream_sets(&in_force) {
+        tables
+            .homes
+            .note(&service, names, version, contiguous, wall);
     }
-    tables.noted = Some(version);
+    tables.applied_version = Some(version);
     if let Some(upstream) = in_force.upstream(&node.cfg.upstream) {
         let cfg = AdmissionConfig::for_slots(upstream.slots);
         tables.admission.set_config(cfg);
@@ -37,40 +39,41 @@
     version
 }
 
-/// Whether at most one of the versions between changed a set, so that no set in
-/// between was missed.
-fn sets_follow(node: &Rc<Node>, noted: Version, version: Version) -> bool {
-    if noted + 1 == version {
+/// Whether at most one of the versions after `applied` changed a set, so that no set in between
+/// was missed.
+fn is_contiguous(node: &Rc<Node>, applied: Version, version: Version) -> bool {
+    if applied + 1 == version {
         return true;
     }
-    let Ok(deltas) = node.control.deltas_after(noted) else {
+    let Ok(deltas) = node.control.deltas_after(applied) else {
         return false;
     };
-    let changes_sets = deltas.iter().filter(|delta| {
+    let upstream_changes = deltas.iter().filter(|delta| {
         let put = delta.puts.iter().any(|it| it.kind() == Kind::Upstream);
         put || delta.deletes.iter().any(|it| it.kind == Kind::Upstream)
     });
-    changes_sets.count() <= 1
+    upstream_changes.count() <= 1
 }
 
-fn sets(in_force: &InForce) -> Vec<(ServiceName, BTreeSet<UpstreamName>)> {
+fn upstream_sets(in_force: &InForce) -> Vec<(ServiceName, BTreeSet<UpstreamName>)> {
     let services = in_force.state.of_kind(Kind::Service);
     let names = services.map(|held| held.resource.key().name);
     let set = |name: &ServiceName| in_force.upstreams_of(name).iter().cloned().collect();
     names.map(|name| (name.clone(), set(&name))).collect()
 }
 
-/// Brings the router's candidates up to date.
-pub(super) fn candidates(node: &Rc<Node>) {
+/// Updates the router's candidates and removes what belongs to services and members that no
+/// longer exist.
+pub(super) fn update_candidates(node: &Rc<Node>) {
     let in_force = node.control.in_force();
     let now = node.calls.clock.now();
     let mut tables = node.calls.entry.borrow_mut();
-    let sets = sets(&in_force);
+    let sets = upstream_sets(&in_force);
     for (service, names) in &sets {
-        let known = names
+        let listed = names
             .iter()
             .filter_map(|name| candidate(node, &in_force, name));
-        let list: Vec<Candidate> = known.collect();
+        let list: Vec<Candidate> = listed.collect();
         tables.router.set_candidates(service, &list, now);
     }
     let is_known = |name: &ServiceName| sets.iter().any(|(it, _)| it == name);
--- a/crates/daemon/src/call/tables.rs
+++ b/crates/daemon/src/call/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of both sides of a call.
+//! Tables of the entry and of the executor.
 
 use std::collections::BTreeMap;
 
@@ -16,9 +16,9 @@
 use crate::config::Config;
 
 /// Slots of the target until a configuration names its upstream.
-const SLOTS_UNKNOWN: u32 = 1;
+const INITIAL_SLOTS: u32 = 1;
 
-/// What an entry knows.
+/// State of the entry.
 pub(super) struct EntryTables {
     pub(super) router: Router,
     pub(super) budgets: BTreeMap<ServiceName, RetryBudget>,
@@ -39,23 +39,24 @@
     }
 }
 
-/// A run that goes on.
+/// A run that has not ended.
 pub(super) struct Run {
-    /// Cancels it.
+    /// Cancels the run; `None` once it was used.
     pub(super) cancel: Option<oneshot::Sender<()>>,
     /// Whether it has an idempotency key.
     pub(super) keyed: bool,
-    /// Wakes those that wait for its end.
+    /// Notifies the attempts that wait for the end of this run.
     pub(super) waiters: Vec<oneshot::Sender<()>>,
 }
 
-/// What an executor knows.
+/// State of the executor.
 pub(super) struct ExecutorTables {
     pub(super) ledger: Ledger,
     pub(super) admission: Admission,
     pub(super) intents: IntentTable,
     pub(super) homes: HomeSets,
-    pub(super) noted: Option<Version>,
+    /// Configuration version whose sets of upstreams `homes` has applied.
+    pub(super) applied_version: Option<Version>,
     pub(super) waiting: BTreeMap<AttemptId, oneshot::Sender<Result<(), Refusal>>>,
     pub(super) runs: BTreeMap<AttemptId, Run>,
 }
@@ -63,14 +64,14 @@
 impl ExecutorTables {
     pub(super) fn new(cfg: &Config, clock: &Clock) -> Self {
         let incarnation: Incarnation = rand::rng().random();
-        let admission = AdmissionConfig::for_slots(SLOTS_UNKNOWN);
+        let admission = AdmissionConfig::for_slots(INITIAL_SLOTS);
         let intents = IntentConfig::default().skew(SKEW).retention(RETENTION);
         Self {
             ledger: Ledger::new(incarnation, LedgerConfig::default()),
             admission: Admission::new(admission),
             intents: IntentTable::new(clock.started_wall(), intents),
             homes: HomeSets::new(cfg.upstream.clone(), SKEW, RETENTION),
-            noted: None,
+            applied_version: None,
             waiting: BTreeMap::new(),
             runs: BTreeMap::new(),
         }
--- a/crates/daemon/src/call/target.rs
+++ b/crates/daemon/src/call/target.rs
@@ -1,4 +1,4 @@
-//! Calls to this instance's target.
+//! HTTP client of this instance's target.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,21 +17,20 @@
 use super::wire::Attempt;
 use crate::http::{BodyError, read_body};
 
-/// Connections to the target unless its upstream says otherwise.
-const CONNECTIONS: u32 = 120;
+/// Limit of connections to the target until the configuration sets another one.
+const DEFAULT_CONNECTIONS: u32 = 120;
 
-/// Time for a connection to come up.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Millis = Millis(500);
 
-/// Idle time after which a connection is not used again. Below the 5 s that
-/// many servers keep one: a request that meets a closing connection may or may
-/// not have run.
-const KEEP_ALIVE: Seconds = Seconds(4);
+/// Idle time after which a connection is not reused. It is below the 5 s after which many servers
+/// close one: a request that meets a closing connection may or may not have run.
+const MAX_IDLE: Seconds = Seconds(4);
 
-/// Largest answer that is passed on, kept whole in memory until its last byte.
+/// Largest answer that is forwarded. Answers are buffered in memory as a whole.
 const MAX_ANSWER: usize = 4 << 20;
 
-/// Pause asked for where the target does not say.
+/// Retry delay sent to callers when the target sheds the request or can't be reached.
 const SHED_RETRY: Duration = Duration::from_millis(100);
 
 /// How a run ended.
@@ -39,7 +38,7 @@
 pub(super) enum RunEnd {
     /// The target's whole answer.
     Done(Arc<Answer>),
-    /// It did not run, or nobody can tell; the reason says which.
+    /// It did not run, or it is unknown whether it ran; the reason says which.
     Refused(Refusal),
 }
 
@@ -59,13 +58,13 @@
 
 impl TargetClient {
     pub(super) async fn connect(addr: SocketAddr) -> Self {
-        Self::with_connections(addr, CONNECTIONS).await
+        Self::with_connections(addr, DEFAULT_CONNECTIONS).await
     }
 
     async fn with_connections(addr: SocketAddr, connections: u32) -> Self {
         let connector = Connector::new()
             .limit(connections as usize)
-            .keep_alive(KEEP_ALIVE);
+            .keep_alive(MAX_IDLE);
         let io = IoConfig::new().set_connect_timeout(CONNECT_TIMEOUT);
         let client = Client::builder()
             .no_default_headers()
@@ -82,16 +81,16 @@
         }
     }
 
-    /// A client with another cap, or `None` where the cap is the same.
-    pub(super) async fn capped(&self, connections: u32) -> Option<Self> {
+    /// Returns a client with another limit of connections, or `None` if the limit is the same.
+    pub(super) async fn with_limit(&self, connections: u32) -> Option<Self> {
         if connections == self.connections {
             return None;
         }
         Some(Self::with_connections(self.addr, connections).await)
     }
 
-    /// Runs an attempt. Dropping the future closes the connection, which is how
-    /// a cancellation reaches the target.
+    /// Runs an attempt. Dropping the future closes the connection, by which the target sees that
+    /// the attempt was cancelled.
     pub(super) async fn call(&self, attempt: &Attempt, left: Duration) -> RunEnd {
         let req = self.request(attempt, left);
         let (body, sent) = TrackedBody::new(attempt.call.body.clone());
@@ -136,14 +135,14 @@
     }
     let status = answer.status().as_u16();
     let all = answer.headers().iter();
-    let passed = all.filter(|(name, _)| headers::passes(name.as_str()));
-    let headers = passed.map(|(name, value)| Header {
+    let forwarded = all.filter(|(name, _)| headers::is_forwarded(name.as_str()));
+    let headers = forwarded.map(|(name, value)| Header {
         name: name.as_str().to_smolstr(),
         value: value.as_bytes().to_vec(),
     });
     let headers = headers.collect();
-    // A body cut short must never look like a shorter answer: the length that
-    // the target stated is checked, and what is missing is an error.
+    // A truncated body must never look like a shorter answer, so a body that is shorter than its
+    // declared length is an error.
     match read_body(answer.take_payload(), MAX_ANSWER).await {
         Ok(body) => RunEnd::Done(Arc::new(Answer {
             status,
--- a/crates/daemon/src/call/tick.rs
+++ b/crates/daemon/src/call/tick.rs
@@ -1,4 +1,4 @@
-//! What the call side does from time to time.
+//! Periodic work of the call path.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use super::{drain, slot, sync};
 use crate::node::Node;
 
-/// Timeouts of calls are rounded up to it.
+/// Time between two ticks. Timeouts of calls are rounded up to a multiple of it.
 const INTERVAL: Millis = Millis(20);
 
-/// Ticks between two looks at configuration and membership.
+/// Ticks between two updates from configuration and membership.
 const SYNC_EVERY: u32 = 10;
 
-/// Ticks between two clean-ups of the tables.
+/// Ticks between two removals of expired entries from the tables.
 const CLEAN_EVERY: u32 = 50;
 
-/// A gap between two ticks that only a freeze explains.
-const FREEZE: Duration = Duration::from_millis(800);
+/// Time between two ticks after which the process must have been suspended.
+const SUSPENSION: Duration = Duration::from_millis(800);
 
 pub(super) async fn run(node: Rc<Node>) {
     let mut last = node.calls.clock.now();
@@ -27,28 +27,29 @@
     loop {
         let now = node.calls.clock.now();
         let gap = now.saturating_sub(last);
-        if gap > FREEZE {
-            wake(&node, gap);
+        if gap > SUSPENSION {
+            resumed(&node, gap);
         }
         last = now;
-        node.calls.alarms.tick(now);
-        slot::pump(&node);
+        node.calls.timers.tick(now);
+        slot::dispatch_waiting(&node);
         drain::tick(&node);
         if count.is_multiple_of(SYNC_EVERY) {
-            sync::config(&node);
-            sync::candidates(&node);
-            cap_target(&node).await;
+            sync::apply_config(&node);
+            sync::update_candidates(&node);
+            limit_target_connections(&node).await;
         }
         if count.is_multiple_of(CLEAN_EVERY) {
-            clean(&node);
+            remove_expired(&node);
         }
         count = count.wrapping_add(1);
         sleep(INTERVAL).await;
     }
 }
 
-/// After a freeze the queue holds calls whose callers gave up meanwhile.
-fn wake(node: &Rc<Node>, gap: Duration) {
+/// Empties the queue after a suspension of the process, during which the callers of the waiting
+/// calls have given up.
+fn resumed(node: &Rc<Node>, gap: Duration) {
     slog::warn!(node.log, "woke from a freeze"; "gap_ms" => gap.as_millis());
     let flushed = node
         .calls
@@ -59,7 +60,7 @@
     slot::deliver(node, flushed);
 }
 
-fn clean(node: &Rc<Node>) {
+fn remove_expired(node: &Rc<Node>) {
     let now = node.calls.clock.now();
     let wall = node.calls.clock.wall();
     let mut tables = node.calls.executor.borrow_mut();
@@ -68,13 +69,13 @@
     tables.homes.tick(wall);
 }
 
-async fn cap_target(node: &Rc<Node>) {
+async fn limit_target_connections(node: &Rc<Node>) {
     let in_force = node.control.in_force();
     let Some(upstream) = in_force.upstream(&node.cfg.upstream) else {
         return;
     };
     let current = node.calls.target.borrow().clone();
-    if let Some(capped) = current.capped(upstream.connections).await {
-        *node.calls.target.borrow_mut() = capped;
+    if let Some(limited) = current.with_limit(upstream.connections).await {
+        *node.calls.target.borrow_mut() = limited;
     }
 }
--- a/crates/daemon/src/call/timer.rs
+++ b/crates/daemon/src/call/timer.rs
@@ -9,37 +9,41 @@
 
 type Key = (Time, u64);
 
-/// Alarms that the tick rings, to the tick's interval.
+/// Timers that the tick expires, with the resolution of the tick's interval.
 ///
-/// Nearly every alarm is dropped before it is due, since calls end in time. A
-/// timer of the runtime costs two switches to its timer thread and back even
-/// then, several times for each call; an entry here costs none.
+/// Nearly every timer is dropped before it is due, since calls end in time. Even then a timer of
+/// the runtime costs two switches to its timer thread and back, several times for each call; an
+/// entry in this table costs none.
 #[derive(Default)]
-pub(super) struct Alarms {
+pub(super) struct Timers {
     table: RefCell<BTreeMap<Key, oneshot::Sender<()>>>,
     next: Cell<u64>,
 }
 
-impl Alarms {
-    /// Ends at the first tick after `due`.
+impl Timers {
+    /// Waits for the first tick at or after `due`.
     pub(super) async fn until(&self, due: Time) {
         let (tx, rx) = oneshot::channel();
         let key = (due, self.next.get());
         self.next.set(key.1 + 1);
         self.table.borrow_mut().insert(key, tx);
-        let _entry = Entry { alarms: self, key };
+        let _entry = TimerEntry { timers: self, key };
         let _ = rx.await;
     }
 
-    /// The future's output, or `None` where it is not there by `due`.
-    pub(super) async fn by<T>(&self, due: Time, future: impl Future<Output = T>) -> Option<T> {
+    /// Returns the future's output, or `None` if it is not ready by `due`.
+    pub(super) async fn run_until<T>(
+        &self,
+        due: Time,
+        future: impl Future<Output = T>,
+    ) -> Option<T> {
         match select(future, self.until(due)).await {
             Either::Left(output) => Some(output),
             Either::Right(()) => None,
         }
     }
 
-    /// Rings what is due.
+    /// Expires all timers that are due.
     pub(super) fn tick(&self, now: Time) {
         loop {
             let mut table = self.table.borrow_mut();
@@ -53,14 +57,14 @@
     }
 }
 
-/// Takes the alarm out of the table when its future is dropped.
-struct Entry<'a> {
-    alarms: &'a Alarms,
+/// Removes the timer from the table when its future is dropped.
+struct TimerEntry<'a> {
+    timers: &'a Timers,
     key: Key,
 }
 
-impl Drop for Entry<'_> {
+impl Drop for TimerEntry<'_> {
     fn drop(&mut self) {
-        self.alarms.table.borrow_mut().remove(&self.key);
+        self.timers.table.borrow_mut().remove(&self.key);
     }
 }
--- a/crates/daemon/src/call/wire.rs
+++ b/crates/daemon/src/call/wire.rs
@@ -1,5 +1,4 @@
-//! Messages between daemons about calls. See
-//! `docs/contributing/interfaces.md`.
+//! Messages about calls that daemons exchange. See `docs/contributing/interfaces.md`.
 
 use std::cell::Cell;
 use std::fmt;
@@ -17,7 +16,7 @@
 };
 use stoatstep_resource::{CustomerName, ServiceName, UpstreamName, Version};
 
-/// What every attempt of one call has in common.
+/// The request of a call, as all of its attempts carry it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct WireCall {
     pub(super) service: ServiceName,
@@ -30,16 +29,16 @@
     pub(super) class: Class,
     pub(super) depth: u32,
     pub(super) idempotent: bool,
-    /// Text of the idempotency key, only where it matters.
+    /// Text of the idempotency key; `None` if the call is idempotent anyway.
     pub(super) key: Option<SmolStr>,
-    /// The set of upstreams under which the entry chose the key's home.
+    /// Id of the set of upstreams from which the entry chose the key's home.
     pub(super) set: SetId,
     pub(super) weight: u32,
     pub(super) concurrency: Option<u32>,
     pub(super) request_id: SmolStr,
 }
 
-/// `POST /peer/attempt`.
+/// Message to `POST /peer/attempt`: asks an executor to run an attempt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct WireAttempt {
     pub(super) attempt: AttemptId,
@@ -49,7 +48,7 @@
     pub(super) call: Rc<WireCall>,
 }
 
-/// An attempt whose message was checked.
+/// A validated [`WireAttempt`].
 #[derive(Clone, Debug)]
 pub(super) struct Attempt {
     pub(super) id: AttemptId,
@@ -57,12 +56,12 @@
     pub(super) left: Duration,
     pub(super) method: Method,
     pub(super) key: Option<IntentKey>,
-    /// Whether its claim row may have been written.
+    /// Whether the claim row of its key may have been written.
     pub(super) claimed: Cell<bool>,
     pub(super) call: Rc<WireCall>,
 }
 
-/// Why another daemon's message was not taken.
+/// Why another daemon's message was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum WireError {
     Method,
@@ -73,7 +72,7 @@
 impl fmt::Display for WireError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Method => "method is not one of HTTP",
+            Self::Method => "not a valid HTTP method",
             Self::Path => "path does not begin with a slash",
             Self::Key => "idempotency key is malformed",
         })
@@ -123,26 +122,26 @@
 /// Answer to [`WireAttempt`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct WireReply {
-    /// For the entry's next attempts here.
+    /// Ticket for the entry's next attempts at this executor.
     pub(super) ticket: Ticket,
     pub(super) load: Load,
-    /// Time in the queue, in microseconds.
+    /// Time that the attempt spent in the queue, in microseconds.
     pub(super) queue_us: u64,
-    /// Time in the target, in microseconds.
+    /// Time that the attempt spent in the target, in microseconds.
     pub(super) target_us: u64,
     pub(super) end: WireEnd,
 }
 
-/// `POST /peer/peek`, `/peer/revoke` and `/peer/cancel`.
+/// Message to `POST /peer/peek`, `/peer/revoke` and `/peer/cancel`: the attempt in question.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub(super) struct WireSettle {
+pub(super) struct WireAttemptRef {
     pub(super) attempt: AttemptId,
     pub(super) ticket: Ticket,
 }
 
-/// Answer to [`WireSettle`].
+/// Answer to [`WireAttemptRef`]: what the executor's ledger knows of the attempt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) enum WireSettled {
+pub(super) enum WireAttemptStatus {
     NeverSeen,
     Queued,
     Running,
@@ -152,7 +151,7 @@
     Unknown,
 }
 
-impl From<Settled> for WireSettled {
+impl From<Settled> for WireAttemptStatus {
     fn from(settled: Settled) -> Self {
         match settled {
             Settled::NeverSeen => Self::NeverSeen,
@@ -166,25 +165,25 @@
     }
 }
 
-impl From<WireSettled> for Settled {
-    fn from(settled: WireSettled) -> Self {
+impl From<WireAttemptStatus> for Settled {
+    fn from(settled: WireAttemptStatus) -> Self {
         match settled {
-            WireSettled::NeverSeen => Self::NeverSeen,
-            WireSettled::Queued => Self::Queued,
-            WireSettled::Running => Self::Running,
-            WireSettled::NotRun => Self::NotRun,
-            WireSettled::Done(answer) => Self::Done(answer),
-            WireSettled::DoneWithoutAnswer => Self::DoneWithoutAnswer,
-            WireSettled::Unknown => Self::Unknown,
+            WireAttemptStatus::NeverSeen => Self::NeverSeen,
+            WireAttemptStatus::Queued => Self::Queued,
+            WireAttemptStatus::Running => Self::Running,
+            WireAttemptStatus::NotRun => Self::NotRun,
+            WireAttemptStatus::Done(answer) => Self::Done(answer),
+            WireAttemptStatus::DoneWithoutAnswer => Self::DoneWithoutAnswer,
+            WireAttemptStatus::Unknown => Self::Unknown,
         }
     }
 }
 
-/// `POST /peer/home`: a new home asks the previous one about a key.
+/// Message to `POST /peer/home`: the new home of a key asks the previous one whether it ran.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub(super) struct WireHome {
+pub(super) struct WireHomeQuery {
     pub(super) key: IntentKey,
-    /// The new home.
+    /// Upstream whose instance is the new home.
     pub(super) asker: UpstreamName,
 }
 
@@ -197,11 +196,11 @@
     Unknown,
 }
 
-/// Answer to [`WireHome`].
+/// Answer to [`WireHomeQuery`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) struct WireHomeReply {
-    /// The version that the previous home has applied; 0 where it takes another
-    /// one than the asker for the home, and so promises nothing.
+    /// Configuration version that the previous home has applied. It is 0 if, by that version,
+    /// the asker is not the key's home; the answer then says nothing about the key.
     pub(super) version: Version,
     pub(super) answer: WireHomeAnswer,
 }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -1,4 +1,4 @@
-//! What all parts of one daemon share.
+//! State that all parts of one daemon share.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,18 +13,18 @@
 use crate::config::Config;
 use crate::control::Control;
 
-/// One daemon: its settings, its tables and its clients. Everything runs on
-/// one thread, so the cells are never contended.
+/// One daemon: its settings, tables and clients. Everything runs on one thread, so the cells need
+/// no locks.
 pub(crate) struct Node {
     pub(crate) cfg: Config,
     pub(crate) log: Logger,
     pub(crate) metrics: Metrics,
     pub(crate) platform: HttpPlatform,
-    /// Connections to other daemons.
+    /// HTTP client of the control side for other daemons.
     pub(crate) peers: Client,
     pub(crate) control: Control,
     pub(crate) calls: Calls,
-    /// Set once the daemon is told to stop; new work is refused from then on.
+    /// Set once the daemon is told to stop; new calls are refused from then on.
     pub(crate) draining: Cell<bool>,
     pub(crate) started: Instant,
 }
@@ -34,8 +34,8 @@
 }
 
 impl Node {
-    /// The node of this thread. The first listener to start creates it.
-    pub(crate) async fn of_thread(cfg: Config) -> Rc<Self> {
+    /// Returns the node of this thread. The first listener that starts creates it.
+    pub(crate) async fn for_this_thread(cfg: Config) -> Rc<Self> {
         if let Some(node) = NODE.with_borrow(Clone::clone) {
             return node;
         }
@@ -46,7 +46,7 @@
         node
     }
 
-    /// Every metric of this daemon as text lines.
+    /// Renders all metrics of this daemon as lines of text.
     pub(crate) fn metrics_text(&self) -> String {
         let usage = self.platform.usage();
         self.control.report(&self.metrics);
--- a/crates/daemon/src/server.rs
+++ b/crates/daemon/src/server.rs
@@ -1,4 +1,4 @@
-//! Starts the three listeners and ends them gracefully.
+//! Starts the three listeners and stops them gracefully.
 
 use std::io;
 use std::process::ExitCode;
@@ -13,21 +13,21 @@
 use crate::node::Node;
 use crate::{call, control, operator};
 
-/// Time that answers to peers and operators get once every call is answered. The
-/// longest of their questions is bounded to two seconds.
-const LAST_ANSWERS: Seconds = Seconds(2);
-/// Time after which the process ends whether or not the HTTP library says that it
-/// has stopped. In 4 of 560 stops its threads ended and that word never came, so
-/// that the service manager had to kill the process. By now nothing is under way:
-/// a second more than what answers get.
-const STOP_BOUND: Seconds = Seconds(3);
-/// Connections that one daemon accepts at a time over all of its listeners.
+/// Time to finish requests of peers and operators after every call was answered. The longest of
+/// these requests is limited to two seconds.
+const FINAL_ANSWER_TIMEOUT: Seconds = Seconds(2);
+/// Time after which the process ends although the HTTP library has not reported that it stopped.
+/// In 4 of 560 stops the library's threads ended without that report, and the service manager had
+/// to kill the process. No request is left by then: this is a second more than
+/// [`FINAL_ANSWER_TIMEOUT`].
+const STOP_TIMEOUT: Seconds = Seconds(3);
+/// Largest number of open connections over all listeners of the daemon.
 const MAX_CONNECTIONS: usize = 4096;
-/// Header bytes of one request.
+/// Largest size of a request's headers.
 const MAX_HEADER_BYTES: usize = 16 * 1024;
-/// Time for a caller to send its headers.
+/// Timeout for receiving the headers of a request.
 const HEADER_TIMEOUT: Seconds = Seconds(5);
-/// Time that an unused connection stays open.
+/// Time after which an idle connection is closed.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
 /// Runs the daemon until SIGTERM or SIGINT.
@@ -48,9 +48,9 @@
         .workers(1)
         .disable_signals()
         .maxconn(MAX_CONNECTIONS)
-        .shutdown_timeout(Millis::from(LAST_ANSWERS))
+        .shutdown_timeout(Millis::from(FINAL_ANSWER_TIMEOUT))
         .bind("callers", cfg.caller_addr, async move |_| {
-            let node = Node::of_thread(callers.clone()).await;
+            let node = Node::for_this_thread(callers.clone()).await;
             HttpService::h1(move |req: Request| {
                 let node = Rc::clone(&node);
                 async move { Ok::<_, io::Error>(call::entry::handle(&node, req).await) }
@@ -58,7 +58,7 @@
         })?
         .config("callers", http_config("callers"))
         .bind("peers", cfg.peer_addr, async move |_| {
-            let node = Node::of_thread(peers.clone()).await;
+            let node = Node::for_this_thread(peers.clone()).await;
             HttpService::h1(move |req: Request| {
                 let node = Rc::clone(&node);
                 async move { Ok::<_, io::Error>(control::peer::handle(&node, req).await) }
@@ -66,7 +66,7 @@
         })?
         .config("peers", http_config("peers"))
         .bind("operators", cfg.operator_addr, async move |_| {
-            let node = Node::of_thread(operators.clone()).await;
+            let node = Node::for_this_thread(operators.clone()).await;
             HttpService::h1(move |req: Request| {
                 let node = Rc::clone(&node);
                 async move { Ok::<_, io::Error>(operator::handle(&node, req).await) }
@@ -82,25 +82,25 @@
     }
 }
 
-/// The HTTP library would close idle connections at once on SIGTERM, and with
-/// them attempts that are on their way. So the signal only starts the drain.
+/// Requests the drain on SIGTERM or SIGINT. The HTTP library's own handler would close idle
+/// connections at once, and with them attempts that are being transmitted.
 async fn drain_on_signal() {
     while let Ok(signals) = ntex::server::signal().await {
         let stops = |it: &Signal| matches!(it, Signal::Term | Signal::Int);
         if signals.iter().any(stops) {
-            call::drain::ask();
+            call::drain::request_stop();
         }
     }
 }
 
-/// Ends once the daemon has left and the server has stopped.
+/// Waits until the drain has finished, then stops the server.
 async fn stopped_when_drained(server: Server) {
     const POLL: Millis = Millis(200);
-    while !call::drain::has_left() {
+    while !call::drain::is_finished() {
         sleep(POLL).await;
     }
-    if timeout(STOP_BOUND, server.stop(true)).await.is_err() {
-        eprintln!("stoatstepd: the server did not say that it stopped");
+    if timeout(STOP_TIMEOUT, server.stop(true)).await.is_err() {
+        eprintln!("stoatstepd: the HTTP server did not report that it stopped");
     }
 }
 
