--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemon, checked before anything starts.
+//! Settings of the daemon. All are validated before anything starts.
 
 use std::net::SocketAddr;
 
@@ -65,8 +65,7 @@
 }
 
 impl Config {
-    /// Reads the settings of this process. Every wrong one is reported, not
-    /// only the first.
+    /// Reads the settings of this process. All invalid ones are reported, not only the first.
     pub(crate) fn read() -> Result<Self, Stop> {
         let mut values = PROGRAM.read()?;
         let instance = values.required("instance");
@@ -98,6 +97,6 @@
             })
         })();
         values.finish()?;
-        Ok(cfg.expect("a missing value is a finding"))
+        Ok(cfg.expect("`finish` reports missing values"))
     }
 }
--- a/crates/daemon/src/http.rs
+++ b/crates/daemon/src/http.rs
@@ -1,16 +1,16 @@
-//! Small helpers over the HTTP library, shared by all three ports.
+//! Helpers for requests and responses, shared by the three ports.
 
 use ntex::http::{Response, StatusCode};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 pub(crate) use stoatstep_http::{BodyError, drop_body, read_body};
 
-/// An answer with a JSON body.
+/// Builds a response with a JSON body.
 pub(crate) fn json<T: Serialize>(status: StatusCode, body: &T) -> Response {
     Response::build(status).json(body)
 }
 
-/// An answer with a `MessagePack` body, as daemons send each other.
+/// Builds a response with a `MessagePack` body, as daemons send each other.
 pub(crate) fn msgpack<T: Serialize>(status: StatusCode, body: &T) -> Response {
     match rmp_serde::to_vec(body) {
         Ok(bytes) => Response::build(status).body(bytes),
--- a/crates/daemon/src/in_force.rs
+++ b/crates/daemon/src/in_force.rs
@@ -1,4 +1,4 @@
-//! The configuration in the form in which calls use it.
+//! The configuration, compiled for the call path.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -6,13 +6,13 @@
 use stoatstep_calls::{KeyRing, ResolvedRoute, RouteTable};
 use stoatstep_resource::{Digest, Resource, ServiceName, State, Upstream, UpstreamName};
 
-/// One version, compiled for routing. It is immutable: a call keeps the one
-/// that it began with, and a new version replaces the pointer to it.
+/// A configuration version, compiled for routing. It is immutable: a call uses the same one until
+/// it ends, and a new version replaces the pointer to it.
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub(crate) state: Arc<State>,
     pub(crate) digest: Digest,
-    /// The customers, by their keys.
+    /// The customers by their keys.
     pub(crate) keys: KeyRing,
     routes: RouteTable,
     services: BTreeMap<ServiceName, Vec<UpstreamName>>,
@@ -20,7 +20,7 @@
 }
 
 impl InForce {
-    /// Compiles `state`, whose references have been checked.
+    /// Compiles `state`, whose references must have been validated.
     pub(crate) fn new(state: &Arc<State>) -> Self {
         let mut in_force = Self {
             digest: state.digest(),
@@ -42,17 +42,17 @@
         in_force
     }
 
-    /// The route for a request.
+    /// Finds the route for a request.
     pub(crate) fn route(&self, host: &str, path: &str) -> Option<&Arc<ResolvedRoute>> {
         self.routes.find(host, path)
     }
 
-    /// Names of a service's upstreams, in order.
+    /// Returns the names of a service's upstreams, in order.
     pub(crate) fn upstreams_of(&self, service: &str) -> &[UpstreamName] {
         self.services.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// The upstream of this name.
+    /// Returns the upstream with this name.
     pub(crate) fn upstream(&self, name: &str) -> Option<&Arc<Upstream>> {
         self.upstreams.get(name)
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,11 +1,10 @@
-//! The daemon that runs beside every target: it takes calls from callers,
-//! runs them on targets, holds the configuration and answers operators.
+//! The daemon that runs next to every target. It accepts calls from callers, runs them on targets,
+//! holds the configuration and serves operators.
 //!
-//! The decisions live in the pure crates (`membership`, `distribution`,
-//! `calls`, `versionlog`). This crate is the edge of the process: sockets,
-//! clocks and the platform's service. It runs on one thread, so that state
-//! needs no locks and a call meets no queue but the target's own.
-//! See `docs/contributing/interfaces.md` for what the ports speak.
+//! The decisions are made in crates without I/O (`membership`, `distribution`, `calls`,
+//! `versionlog`). This crate adds sockets, clocks and the platform's service. It runs on one
+//! thread, so that state needs no locks and a call waits in no queue but the target's own.
+//! See `docs/contributing/interfaces.md` for the protocols of the ports.
 
 mod call;
 mod config;
@@ -20,8 +19,7 @@
 
 use config::Config;
 
-/// Runs the daemon with the arguments and environment of the process until it
-/// is told to stop.
+/// Runs the daemon with the arguments and environment of the process until it is told to stop.
 #[must_use]
 pub fn main() -> ExitCode {
     match Config::read() {
