--- a/crates/versionlog/src/backoff.rs
+++ b/crates/versionlog/src/backoff.rs
@@ -1,4 +1,4 @@
-//! How long to wait between tries.
+//! Delays between retries.
 
 use std::time::Duration;
 
@@ -8,11 +8,11 @@
 
 use crate::config::LogConfig;
 
-/// Full jitter within a budget of time.
+/// Exponential backoff with full jitter, up to a timeout.
 ///
-/// After an outage every daemon tries again. Equal waits would keep them in
-/// step and hit the platform as one; a wait drawn from the whole interval
-/// spreads them evenly. The budget ends a try that nobody waits for any more.
+/// After an outage every daemon retries. With equal delays all of them would reach the platform at
+/// the same time; a delay drawn from the whole interval spreads them evenly. The timeout ends
+/// retries whose result nobody waits for any more.
 #[derive(Clone, Debug)]
 pub(crate) struct Backoff {
     rng: Xoshiro256PlusPlus,
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Starts the budget, if it has not been started.
+    /// Starts the timeout if it has not been started.
     pub(crate) fn start(&mut self, now: Duration) {
         self.deadline.get_or_insert(now + self.budget);
     }
 
-    /// The wait before the next try; `None` once the budget does not allow it.
-    /// A hint of the platform comes on top, so that jitter still spreads those
-    /// who were given the same hint.
+    /// The delay before the next retry, or `None` if it would end after the timeout. The retry time
+    /// that the platform asked for is added to the random delay, so that processes which were given
+    /// the same time are still spread.
     pub(crate) fn next(&mut self, now: Duration, hint: Option<Duration>) -> Option<Duration> {
         self.start(now);
         let wait = hint.unwrap_or_default() + self.jitter();
@@ -49,7 +49,8 @@
         (now + wait <= deadline).then_some(wait)
     }
 
-    /// As [`Backoff::next`] after an error; `None` too where a retry is futile.
+    /// The delay before a retry after `error`, or `None` if the timeout or the kind of the error
+    /// rules a retry out.
     pub(crate) fn after(&mut self, now: Duration, error: &PlatformError) -> Option<Duration> {
         match error {
             PlatformError::Refused { .. } | PlatformError::NotFound => None,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A fresh hint for whoever comes back after the budget was used up.
+    /// The retry time to report to the caller once the timeout has passed.
     pub(crate) fn hint(&mut self) -> Duration {
         self.longest + self.jitter()
     }
--- a/crates/versionlog/src/config.rs
+++ b/crates/versionlog/src/config.rs
@@ -1,4 +1,4 @@
-//! How the log is kept.
+//! Settings of the version log.
 
 use std::time::Duration;
 
@@ -11,8 +11,7 @@
 const BUDGET: Duration = Duration::from_secs(5);
 const ROWS_AT_ONCE: usize = 256;
 
-/// How the log is kept and how long its users try. Built by
-/// [`LogConfig::builder`].
+/// Settings of the log's storage, and of retries and timeouts. Built by [`LogConfig::builder`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogConfig {
     pub(crate) snapshot_every: Version,
@@ -37,7 +36,7 @@
 }
 
 impl LogConfig {
-    /// Starts from the defaults.
+    /// Returns a builder with the default settings.
     #[must_use]
     pub fn builder() -> LogConfigBuilder {
         LogConfigBuilder {
@@ -46,60 +45,61 @@
     }
 }
 
-/// Sets what differs from the defaults of a [`LogConfig`].
+/// Builds a [`LogConfig`] from the defaults.
 #[derive(Clone, Debug)]
 pub struct LogConfigBuilder {
     cfg: LogConfig,
 }
 
 impl LogConfigBuilder {
-    /// Versions from one snapshot to the next; 64 by default. More of them
-    /// make a cold start read a longer tail, fewer write objects more often.
+    /// Sets the number of versions from one snapshot to the next; 64 by default. With a larger
+    /// number a cold start reads a longer tail, with a smaller one objects are written more often.
     #[must_use]
     pub fn snapshot_every(mut self, versions: Version) -> Self {
         self.cfg.snapshot_every = versions.max(1);
         self
     }
 
-    /// Versions kept in the log below the newest snapshot; 256 by default. A
-    /// watch resumes, and an operation id is remembered, for as long.
+    /// Sets the number of versions kept in the log below the newest snapshot; 256 by default. It
+    /// limits how far back a watch can resume and an operation id is recognized.
     #[must_use]
     pub fn retained_tail(mut self, versions: Version) -> Self {
         self.cfg.retained_tail = versions;
         self
     }
 
-    /// Bound of the first random wait after a failure; 20 ms by default. Each
-    /// further one doubles it.
+    /// Sets the upper bound of the first random delay after a failure; 20 ms by default. Each further
+    /// failure doubles it.
     #[must_use]
     pub fn first_wait(mut self, wait: Duration) -> Self {
         self.cfg.first_wait = wait;
         self
     }
 
-    /// Bound that the waits' doubling ends at; 500 ms by default.
+    /// Sets the upper bound at which the delays stop growing; 500 ms by default.
     #[must_use]
     pub fn longest_wait(mut self, wait: Duration) -> Self {
         self.cfg.longest_wait = wait;
         self
     }
 
-    /// Time after which a task gives up and says so; 5 s by default.
+    /// Sets the time after which a write, a snapshot or a recovery stops retrying and returns an
+    /// error; 5 s by default.
     #[must_use]
     pub fn budget(mut self, budget: Duration) -> Self {
         self.cfg.budget = budget;
         self
     }
 
-    /// Log rows in one read at most; 256 by default. It bounds the answer's
-    /// size; a longer tail takes further reads.
+    /// Sets the largest number of log rows in one read; 256 by default. It bounds the size of an
+    /// answer; a longer tail takes several reads.
     #[must_use]
     pub fn rows_at_once(mut self, rows: usize) -> Self {
         self.cfg.rows_at_once = rows.max(1);
         self
     }
 
-    /// Ends the building.
+    /// Returns the finished settings.
     #[must_use]
     pub fn build(self) -> LogConfig {
         self.cfg
--- a/crates/versionlog/src/driver.rs
+++ b/crates/versionlog/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs the pure parts against a platform.
+//! Runs the state machines of this crate against a platform.
 
 use std::future::Future;
 use std::sync::Arc;
@@ -17,37 +17,37 @@
 use crate::tail::{Tail, head_request, read_head, read_tail, tail_request};
 use crate::writer::{Accepted, WriteAction, WriteError, WriteInput, Writer};
 
-/// What the version log needs of the process around it.
+/// The services that the version log needs from the process that it runs in.
 pub trait Edge {
-    /// The platform's client.
+    /// Type of the platform's client.
     type Platform: Platform;
 
     /// The platform's client.
     fn platform(&self) -> &Self::Platform;
 
-    /// Time since any fixed moment, by a clock that never goes back.
+    /// Time since an arbitrary fixed moment, by a monotonic clock.
     fn now(&self) -> Duration;
 
-    /// Waits.
+    /// Waits for `time`.
     fn sleep(&self, time: Duration) -> impl Future<Output = ()>;
 
-    /// A seed that no other process has, so that waits differ between them.
+    /// A random seed that differs between processes, so that their delays do too.
     fn seed(&self) -> u64;
 }
 
-/// The version log as a process uses it.
+/// Asynchronous operations on the version log, for use in a process.
 #[derive(Debug)]
 pub struct VersionLog<E> {
     edge: E,
     cfg: LogConfig,
 }
 
-/// Why a poll brought nothing.
+/// Why a read of the log failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollError {
     /// The platform gave no answer.
     Platform(PlatformError),
-    /// The log can't be followed.
+    /// The log is inconsistent or malformed.
     Log(LogError),
 }
 
@@ -75,52 +75,52 @@
 }
 
 impl<E: Edge> VersionLog<E> {
-    /// A log kept as `cfg` says.
+    /// Creates a log with these settings.
     #[must_use]
     pub fn new(edge: E, cfg: LogConfig) -> Self {
         Self { edge, cfg }
     }
 
-    /// What the process gave.
+    /// The environment that was passed to [`VersionLog::new`].
     #[must_use]
     pub fn edge(&self) -> &E {
         &self.edge
     }
 
-    /// How the log is kept.
+    /// The settings of the log.
     #[must_use]
     pub fn config(&self) -> &LogConfig {
         &self.cfg
     }
 
-    /// The head, by one read of one row. It is not tried again on failure:
-    /// the caller's own schedule of polls does that.
+    /// Reads the head, which is a single row. A failed read is not retried here, since the caller
+    /// polls on its own schedule.
     ///
     /// # Errors
     ///
-    /// Whatever [`PollError`] names.
+    /// The platform did not answer, or the head row is malformed.
     pub async fn head(&self) -> Result<Head, PollError> {
         let answer = self.edge.platform().read(head_request()).await?;
         Ok(read_head(&answer)?.head)
     }
 
-    /// The head and the versions after `from`, by one read. Nor is this tried
-    /// again.
+    /// Reads the head and the versions after `from` in one request. A failed read is not retried
+    /// here, since the caller polls on its own schedule.
     ///
     /// # Errors
     ///
-    /// Whatever [`PollError`] names.
+    /// The platform did not answer, or the log is inconsistent or malformed.
     pub async fn tail(&self, from: Version) -> Result<Tail, PollError> {
         let req = tail_request(from, self.cfg.rows_at_once);
         let answer = self.edge.platform().read(req).await?;
         Ok(read_tail(from, &answer)?)
     }
 
-    /// The newest state, for a process that holds none.
+    /// Fetches the newest state, for a process that holds none.
     ///
     /// # Errors
     ///
-    /// Whatever [`RecoveryError`] names.
+    /// [`RecoveryError`] lists the reasons.
     pub async fn recover(&self) -> Result<Recovered, RecoveryError> {
         let platform = self.edge.platform();
         let mut recovery = Recovery::new(&self.cfg, self.edge.seed());
@@ -140,11 +140,11 @@
         }
     }
 
-    /// Writes a change, starting from a state that is held.
+    /// Writes a change to the log, starting from a state that the caller holds.
     ///
     /// # Errors
     ///
-    /// Whatever [`WriteError`] names.
+    /// [`WriteError`] lists the reasons.
     pub async fn write(
         &self,
         change: Change,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Whether a snapshot is due at this head.
+    /// Whether a new snapshot should be taken at this head.
     #[must_use]
     pub fn snapshot_is_due(&self, head: &Head) -> bool {
         Snapshotter::is_due(head, &self.cfg)
@@ -181,7 +181,7 @@
     ///
     /// # Errors
     ///
-    /// Whatever [`SnapshotError`] names.
+    /// [`SnapshotError`] lists the reasons.
     pub async fn snapshot(&self, state: Arc<State>) -> Result<Snapshot, SnapshotError> {
         let platform = self.edge.platform();
         let mut snapshotter = Snapshotter::new(state, &self.cfg, self.edge.seed());
--- a/crates/versionlog/src/error.rs
+++ b/crates/versionlog/src/error.rs
@@ -1,11 +1,11 @@
-//! What can be wrong with the log itself.
+//! Errors in the contents of the log.
 
 use std::fmt;
 
 use smol_str::SmolStr;
 use stoatstep_resource::{ApplyError, Version};
 
-/// A row that does not hold what its key promises.
+/// A row whose contents are malformed or don't match its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowError {
     /// Key of the row.
@@ -22,39 +22,38 @@
 
 impl std::error::Error for RowError {}
 
-/// Why the log as read can't be followed. Whoever meets one keeps the state
-/// that it has.
+/// An inconsistency in the log as it was read. A process that meets one keeps the state that it
+/// holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogError {
-    /// A row can't be understood.
+    /// A row can't be decoded.
     Row(RowError),
-    /// A version's row is missing although the head says that it is kept.
+    /// A version's row is missing although the log should hold it according to the head.
     Missing {
         /// The version.
         version: Version,
     },
-    /// A version's delta can't be applied to the version before.
+    /// A version's delta can't be applied to the previous version.
     Apply {
         /// The version.
         version: Version,
-        /// Why.
+        /// Why it can't be applied.
         error: ApplyError,
     },
-    /// The head is behind a version that is already held: the platform lost
-    /// data, or was put back to an older copy. Following it would move
-    /// configuration back.
+    /// The head is older than a version that is already held: the platform lost data or was
+    /// restored from an older copy. Following it would revert the configuration.
     Regressed {
         /// The version held.
         held: Version,
         /// The version in the head row.
         head: Version,
     },
-    /// The state at the head's version has another digest than the head says.
+    /// The state at the head's version doesn't have the digest in the head row.
     HeadDigest {
         /// The head's version.
         version: Version,
     },
-    /// The answer has not as many rows as were asked for.
+    /// The answer has fewer rows or ranges than were requested.
     Shape,
 }
 
--- a/crates/versionlog/src/lib.rs
+++ b/crates/versionlog/src/lib.rs
@@ -1,16 +1,15 @@
-//! The order of configuration versions, kept in the platform's table.
+//! The log of configuration versions, stored in the platform's table.
 //!
-//! One `head` row names the newest version and its digest; each version has a
-//! `log/` row with its delta, and each operation an `operation/` row with the
-//! version that it became. A change is one transaction over all three,
-//! conditioned on the head, so that versions form one line whoever writes and
-//! whichever answer gets lost. Snapshots in the object store let the log be
-//! trimmed.
+//! One `head` row holds the newest version and its digest. Each version has a `log/` row with its
+//! delta, and each operation an `operation/` row with the version that it produced. A change is one
+//! transaction over all three rows, conditioned on the head, so the versions form a single sequence
+//! even when several writers compete or answers are lost. Snapshots in the object store allow old
+//! rows of the log to be deleted.
 //!
-//! [`Writer`], [`Snapshotter`] and [`Recovery`] are pure: they are told what
-//! the platform answered and at what time, and name the next request. The same
-//! code runs in the daemon through [`VersionLog`], in tests against faults,
-//! and under a model checker. See `docs/design/version-log.md`.
+//! [`Writer`], [`Snapshotter`] and [`Recovery`] are state machines without I/O: their input is an
+//! answer of the platform and the current time, their output the next request. The same code runs
+//! in the daemon through [`VersionLog`], in tests that inject faults, and under a model checker.
+//! See `docs/design/version-log.md`.
 
 mod backoff;
 mod config;
--- a/crates/versionlog/src/recovery.rs
+++ b/crates/versionlog/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The newest state, fetched by a process that holds none.
+//! Fetches the newest state for a process that holds none.
 
 use std::fmt;
 use std::sync::Arc;
@@ -16,47 +16,47 @@
 use crate::snapshot::decode_snapshot;
 use crate::tail::{Tail, apply_all, head_request, read_head, read_tail, tail_request};
 
-/// What the recovery is told.
+/// Input of a step of the [`Recovery`].
 #[derive(Clone, Debug)]
 pub enum RecoveryInput {
-    /// Begin.
+    /// Starts the recovery.
     Start,
     /// The answer to [`RecoveryAction::Read`].
     Read(Result<ReadAnswer, PlatformError>),
     /// The answer to [`RecoveryAction::GetObject`].
     Object(Result<Vec<u8>, PlatformError>),
-    /// The time of [`RecoveryAction::Wait`] is over.
+    /// The delay of [`RecoveryAction::Wait`] has elapsed.
     Woke,
 }
 
-/// What the recovery wants done next.
+/// What the caller of the [`Recovery`] has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryAction {
     /// Read these rows.
     Read(ReadRequest),
     /// Fetch this object.
     GetObject(SmolStr),
-    /// Come back after this time.
+    /// Wait for this time.
     Wait(Duration),
-    /// The end.
+    /// The recovery has ended with this result.
     Finish(Result<Recovered, RecoveryError>),
 }
 
-/// The newest state.
+/// Result of a successful recovery.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recovered {
     /// The state, at the head's version.
     pub state: Arc<State>,
-    /// The head that it belongs to.
+    /// The head that was read with it.
     pub head: Head,
-    /// Snapshots that were missing or damaged, for the log.
+    /// Snapshots that were missing or damaged, to be logged by the caller.
     pub skipped: Vec<SkippedSnapshot>,
 }
 
-/// A snapshot that the head vouches for and that could not be used.
+/// A snapshot that the head refers to and that could not be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SkippedSnapshot {
-    /// The version that it should hold.
+    /// The version that it should contain.
     pub version: Version,
     /// What is wrong with it.
     pub reason: SmolStr,
@@ -65,20 +65,19 @@
 /// Why no state could be recovered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RecoveryError {
-    /// The platform could not be used in time.
+    /// The platform did not carry out the requests before the timeout.
     Unavailable {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
     },
-    /// The platform refuses the request itself.
+    /// The platform rejects the request, so that a retry is of no use.
     Refused {
-        /// What it objects to.
+        /// The platform's reason.
         reason: SmolStr,
     },
-    /// The log can't be followed.
+    /// The log is inconsistent or malformed.
     Log(LogError),
-    /// No snapshot can be used, and the log does not reach back to the empty
-    /// configuration.
+    /// No snapshot can be used, and the log does not reach back to the empty configuration.
     NoSnapshot {
         /// What is wrong with each of them.
         skipped: Vec<SkippedSnapshot>,
@@ -86,7 +85,7 @@
 }
 
 impl RecoveryError {
-    /// When to come back, where that may help.
+    /// Time after which to retry, or `None` if a retry would not help.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
@@ -113,13 +112,12 @@
 
 impl std::error::Error for RecoveryError {}
 
-/// Fetches the newest state: the head, its newest usable snapshot, and the log
-/// from there on.
+/// Fetches the newest state: the head, its newest usable snapshot, and the log after that snapshot.
 #[derive(Clone, Debug)]
 pub struct Recovery {
     cfg: LogConfig,
     backoff: Backoff,
-    /// Snapshots that are left to try, newest first.
+    /// Snapshots that have not been tried yet, newest first.
     candidates: Vec<SnapshotRef>,
     skipped: Vec<SkippedSnapshot>,
     state: Option<State>,
@@ -128,7 +126,7 @@
 }
 
 impl Recovery {
-    /// A recovery that holds nothing yet.
+    /// Creates a recovery.
     #[must_use]
     pub fn new(cfg: &LogConfig, seed: u64) -> Self {
         Self {
@@ -141,8 +139,8 @@
         }
     }
 
-    /// Takes what happened at `now` and names what to do next. The input has
-    /// to be the answer to the last action.
+    /// Handles an input at time `now` and returns the next action. The input has to be the answer to
+    /// the previous action.
     pub fn step(&mut self, now: Duration, input: RecoveryInput) -> RecoveryAction {
         self.backoff.start(now);
         match input {
@@ -161,7 +159,7 @@
         }
     }
 
-    /// The next request by what is held.
+    /// Chooses the next request from what has been fetched so far.
     fn next(&mut self) -> RecoveryAction {
         if let Some(state) = &self.state {
             let req = tail_request(state.version(), self.cfg.rows_at_once);
@@ -174,8 +172,8 @@
             self.state = Some(State::default());
             return self.next();
         }
-        // A snapshot that is gone may have been replaced since the head was
-        // read, so what none is left of is looked up again.
+        // All known snapshots are unusable. They may have been replaced since the head was read, so
+        // it is read again.
         RecoveryAction::Read(head_request())
     }
 
@@ -185,7 +183,7 @@
             return self.choose(head);
         };
         match read_tail(state.version(), answer)? {
-            // The log was trimmed meanwhile, so there is a newer snapshot.
+            // The log was trimmed in the meantime, so there is a newer snapshot.
             Tail::Trimmed { head } => self.choose(head),
             Tail::Deltas { head, deltas } => {
                 let state = apply_all(&state, &deltas)?.unwrap_or(state);
@@ -198,8 +196,7 @@
         }
     }
 
-    /// Takes the snapshots of a head as candidates. One that was skipped
-    /// before is not tried again.
+    /// Takes the snapshots of a head as candidates, except those that were already skipped.
     fn choose(&mut self, head: Head) -> Result<RecoveryAction, LogError> {
         self.log_is_whole = head.leads_on_from(0);
         if head.version == 0 {
@@ -216,9 +213,8 @@
         Ok(self.next())
     }
 
-    /// A snapshot counts only if it is the state that the head row vouches
-    /// for. Its own digest shows damage; the head's shows an object that was
-    /// put there by something else.
+    /// Accepts a snapshot only if its version and digest are those in the head row. Its own digest
+    /// reveals damage; the head's reveals an object that doesn't belong to this log.
     fn after_object(&mut self, bytes: &[u8]) -> RecoveryAction {
         let Some(wanted) = self.candidates.first().copied() else {
             return self.next();
--- a/crates/versionlog/src/rows.rs
+++ b/crates/versionlog/src/rows.rs
@@ -1,4 +1,4 @@
-//! What the rows hold, and how it is encoded.
+//! Contents and encoding of the table's rows.
 
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
@@ -10,29 +10,29 @@
 use crate::error::RowError;
 use crate::keys::{HEAD, LOG_PREFIX, log_key, operation_key};
 
-/// Encoding of the rows that this code writes. A row of a later one is an
-/// error that names it, and not a guess.
+/// Version of the encoding that this code writes and reads. Decoding a row of another version fails
+/// with an error that states that version.
 const FORMAT: u8 = 1;
 
-/// A snapshot that the head row vouches for.
+/// A snapshot that the head row refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SnapshotRef {
-    /// The version that it holds.
+    /// The version that the snapshot contains.
     pub version: Version,
-    /// Digest of that version.
+    /// Digest of the state at that version.
     pub digest: Digest,
 }
 
-/// The newest version, and what of the older ones is kept.
+/// Contents of the head row: the newest version and which older ones are stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
     /// The newest version.
     pub version: Version,
-    /// Digest of the newest version.
+    /// Digest of the state at the newest version.
     pub digest: Digest,
-    /// The first version whose log row is kept.
+    /// The oldest version whose log row is stored.
     pub log_start: Version,
-    /// Snapshots from which the log leads on, newest first.
+    /// Snapshots after which the log is complete, newest first.
     pub snapshots: Vec<SnapshotRef>,
 }
 
@@ -48,30 +48,30 @@
         }
     }
 
-    /// The newest snapshot's version; 0, the empty configuration, if none.
+    /// Version of the newest snapshot, or 0 (the empty configuration) if there is none.
     #[must_use]
     pub fn snapshot_version(&self) -> Version {
         self.snapshots.first().map_or(0, |it| it.version)
     }
 
-    /// Whether the log leads on from version `from`.
+    /// Whether the log holds every version after `from`.
     #[must_use]
     pub fn leads_on_from(&self, from: Version) -> bool {
         self.log_start <= from + 1
     }
 }
 
-/// A head as it was read, with what a transaction must find unchanged.
+/// A head as it was read, with the row's revision for conditional writes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HeadRow {
-    /// What the row says.
+    /// Contents of the row.
     pub head: Head,
-    /// The commit that wrote the row; `None` where there is no row yet.
+    /// Revision at which the row was last written, or `None` if it does not exist yet.
     pub revision: Option<TableRevision>,
 }
 
 impl HeadRow {
-    /// Holds as long as nobody wrote the head row since it was read.
+    /// The condition that the head row was not written since it was read.
     #[must_use]
     pub fn unchanged(&self) -> Condition {
         let key = SmolStr::new_static(HEAD);
@@ -85,20 +85,20 @@
 /// One version in the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// What changed.
+    /// The resources that changed.
     pub delta: Delta,
-    /// The operation that it was.
+    /// Id of the operation that made the change.
     pub operation: OperationId,
-    /// Who wrote it, for people.
+    /// Who made the change, for readers of the log.
     pub author: SmolStr,
 }
 
-/// What became of an operation.
+/// Result of an operation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OperationEntry {
-    /// The version that it became.
+    /// The version that the operation produced.
     pub version: Version,
-    /// Fingerprint of what it asked for.
+    /// Fingerprint of the requested change.
     pub fingerprint: Digest,
 }
 
@@ -160,7 +160,7 @@
         Ok(())
     }
 
-    /// Writes the head row.
+    /// The write that stores the head row.
     #[must_use]
     pub fn put(&self) -> Write {
         let snapshots = self.snapshots.iter();
@@ -197,7 +197,7 @@
 }
 
 impl LogEntry {
-    /// Writes the version's row.
+    /// The write that stores the version's row.
     #[must_use]
     pub fn put(&self) -> Write {
         let wire = LogWire {
@@ -226,7 +226,7 @@
 }
 
 impl OperationEntry {
-    /// Writes the operation's row.
+    /// The write that stores the operation's row.
     #[must_use]
     pub fn put(&self, operation: &OperationId) -> Write {
         let wire = OperationWire {
@@ -241,7 +241,7 @@
     }
 }
 
-/// The version that a log row's key names.
+/// Parses the version from a log row's key.
 pub(crate) fn version_of(row: &Row) -> Result<Version, RowError> {
     let digits = row.key.strip_prefix(LOG_PREFIX);
     digits
--- a/crates/versionlog/src/snapshot/error.rs
+++ b/crates/versionlog/src/snapshot/error.rs
@@ -1,4 +1,4 @@
-//! Why a snapshot was not taken.
+//! Errors of a snapshot.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,21 +7,21 @@
 
 use crate::error::LogError;
 
-/// Why a snapshot was not taken. Nothing is lost by it: the log stays longer
-/// until the next one.
+/// Why a snapshot was not taken. A failed snapshot loses no data; the log stays longer until the
+/// next one succeeds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// The platform could not be used in time.
+    /// The platform did not carry out the requests before the timeout.
     Unavailable {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
     },
-    /// The platform refuses the request itself.
+    /// The platform rejects the request, so that a retry is of no use.
     Refused {
-        /// What it objects to.
+        /// The platform's reason.
         reason: SmolStr,
     },
-    /// The log can't be followed.
+    /// The log is inconsistent or malformed.
     Log(LogError),
 }
 
--- a/crates/versionlog/src/snapshot/format.rs
+++ b/crates/versionlog/src/snapshot/format.rs
@@ -1,14 +1,14 @@
-//! The bytes of a snapshot.
+//! Encoding of a snapshot.
 
 use smol_str::{SmolStr, ToSmolStr, format_smolstr};
 use stoatstep_resource::State;
 use stoatstep_resource::wire::SnapshotWire;
 
-/// Leads the bytes of every snapshot: a name, and the encoding's number.
+/// Prefix of every encoded snapshot: a name and the version of the encoding.
 const MAGIC: &[u8] = b"stoatstep-snapshot-1\n";
 
-/// Encodes a state. Equal states give equal bytes, so two who write the same
-/// version's object can't harm each other.
+/// Encodes a state. Equal states have equal encodings, so two processes may write the object of the
+/// same version at the same time.
 ///
 /// # Panics
 ///
@@ -21,11 +21,11 @@
     bytes
 }
 
-/// Decodes a state and checks its own digest.
+/// Decodes a state and verifies its digest.
 ///
 /// # Errors
 ///
-/// What is wrong with the bytes.
+/// Describes what is wrong with the bytes.
 pub fn decode_snapshot(bytes: &[u8]) -> Result<State, SmolStr> {
     let body = bytes
         .strip_prefix(MAGIC)
--- a/crates/versionlog/src/snapshot/mod.rs
+++ b/crates/versionlog/src/snapshot/mod.rs
@@ -1,4 +1,4 @@
-//! Snapshots in the object store, and the trimming of the log that they allow.
+//! Takes snapshots of the state into the object store and trims the log below them.
 
 mod error;
 mod format;
@@ -21,10 +21,10 @@
 pub use error::SnapshotError;
 pub use format::{decode_snapshot, encode_snapshot};
 
-/// What the snapshotter is told.
+/// Input of a step of the [`Snapshotter`].
 #[derive(Clone, Debug)]
 pub enum SnapshotInput {
-    /// Begin.
+    /// Starts the snapshot.
     Start,
     /// The answer to [`SnapshotAction::PutObject`].
     Put(Result<(), PlatformError>),
@@ -36,35 +36,35 @@
     Listed(Result<Vec<SmolStr>, PlatformError>),
     /// The answer to [`SnapshotAction::DeleteObject`].
     Deleted(Result<(), PlatformError>),
-    /// The time of [`SnapshotAction::Wait`] is over.
+    /// The delay of [`SnapshotAction::Wait`] has elapsed.
     Woke,
 }
 
-/// What the snapshotter wants done next.
+/// What the caller of the [`Snapshotter`] has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotAction {
     /// Store this object.
     PutObject(SmolStr, Vec<u8>),
     /// Read these rows.
     Read(ReadRequest),
-    /// Try this transaction.
+    /// Commit this transaction.
     Commit(CommitRequest),
-    /// List the objects whose names begin so.
+    /// List the objects whose names have this prefix.
     ListObjects(SmolStr),
     /// Delete this object.
     DeleteObject(SmolStr),
-    /// Come back after this time.
+    /// Wait for this time.
     Wait(Duration),
-    /// The end.
+    /// The snapshot has ended with this result.
     Finish(Result<Snapshot, SnapshotError>),
 }
 
-/// How a snapshot ended.
+/// Result of a successful snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The head as it is now.
+    /// The head after the snapshot.
     pub head: Head,
-    /// Objects that nothing refers to any more and that were deleted.
+    /// Number of unreferenced objects that were deleted.
     pub deleted: usize,
 }
 
@@ -78,12 +78,11 @@
 
 /// Takes a snapshot of one state.
 ///
-/// The order is what makes a crash harmless at any point. The object is there
-/// before the head refers to it, so no reader is ever sent to an object that
-/// was never written. The rows and older objects go only once the head no
-/// longer needs them. What a crash leaves behind is an object that nothing
-/// refers to, and the next snapshot deletes it. Two who do it at once write
-/// the same bytes under the same name, and only one of them moves the head.
+/// The order of the requests makes a crash at any point harmless. The object is written before the
+/// head refers to it, so no reader follows a reference to a missing object. Log rows and older
+/// objects are deleted only once the head no longer refers to them. A crash can leave an
+/// unreferenced object behind, which the next snapshot deletes. Two processes that take the same
+/// snapshot write the same bytes under the same name, and only one of them updates the head.
 #[derive(Clone, Debug)]
 pub struct Snapshotter {
     cfg: LogConfig,
@@ -96,13 +95,13 @@
 }
 
 impl Snapshotter {
-    /// Whether a new snapshot is due at this head.
+    /// Whether a new snapshot should be taken at this head.
     #[must_use]
     pub fn is_due(head: &Head, cfg: &LogConfig) -> bool {
         head.version - head.snapshot_version() >= cfg.snapshot_every
     }
 
-    /// A snapshot of `state`, which has to be a version of the log.
+    /// Prepares a snapshot of `state`, which has to be a version of the log.
     #[must_use]
     pub fn new(state: Arc<State>, cfg: &LogConfig, seed: u64) -> Self {
         Self {
@@ -116,8 +115,8 @@
         }
     }
 
-    /// Takes what happened at `now` and names what to do next. The input has
-    /// to be the answer to the last action.
+    /// Handles an input at time `now` and returns the next action. The input has to be the answer to
+    /// the previous action.
     pub fn step(&mut self, now: Duration, input: SnapshotInput) -> SnapshotAction {
         self.backoff.start(now);
         match input {
@@ -147,8 +146,8 @@
         self.next()
     }
 
-    /// The next request. Each one may be repeated, so after a lost answer the
-    /// same stage is simply gone through again.
+    /// The request of the current stage. All requests are idempotent, so a stage whose answer was
+    /// lost is repeated.
     fn next(&mut self) -> SnapshotAction {
         match self.stage {
             Stage::Put => {
@@ -180,7 +179,8 @@
                 head: row.head.version,
             });
         }
-        // Another's snapshot, or this one's whose answer was lost.
+        // Another process took this snapshot or a newer one, or this process committed it and the
+        // answer was lost.
         if row.head.snapshot_version() >= version {
             self.head = Some(row.head);
             return Ok(self.go_to(Stage::List));
@@ -194,9 +194,9 @@
         Ok(SnapshotAction::Commit(req))
     }
 
-    /// Only names below this snapshot's version are looked at. An object above
-    /// it may be another's, written and not yet referred to; deleting that one
-    /// would leave a head that points at nothing.
+    /// Selects the unreferenced objects below this snapshot's version. An object above it may have
+    /// just been written by another process that has not updated the head yet; deleting it would
+    /// leave the head with a reference to a missing object.
     fn after_list(&mut self, names: Vec<SmolStr>) -> SnapshotAction {
         let kept: Vec<SnapshotRef> = match &self.head {
             Some(head) => head.snapshots.clone(),
--- a/crates/versionlog/src/snapshot/trim.rs
+++ b/crates/versionlog/src/snapshot/trim.rs
@@ -1,4 +1,4 @@
-//! The transaction that refers to a snapshot and trims the log.
+//! The transaction that adds a snapshot to the head and trims the log.
 
 use smol_str::SmolStr;
 use stoatstep_platform::{CommitRequest, Row, Write};
@@ -9,13 +9,13 @@
 use crate::keys::operation_key;
 use crate::rows::{Head, HeadRow, LogEntry, SnapshotRef, version_of};
 
-/// Snapshots in the head row. With the defaults the retained tail starts from
-/// five; the bound holds where the settings were changed in between.
+/// Most snapshots in the head row. With the default settings the retained tail needs five; the bound
+/// takes effect only where the settings were changed between snapshots.
 const MAX_SNAPSHOTS: usize = 8;
 
-/// The head with `snapshot`, and the transaction that gets there. Rows below
-/// the retained tail go, as far as `oldest_rows` shows them; the rest goes
-/// with a later snapshot.
+/// Returns the head with `snapshot` added, and the transaction that writes it. The transaction also
+/// deletes those of `oldest_rows` that lie below the retained tail; further ones are deleted by a
+/// later snapshot.
 pub(super) fn trim(
     row: &HeadRow,
     snapshot: SnapshotRef,
@@ -47,15 +47,15 @@
     Ok((head, req))
 }
 
-/// An operation is forgotten together with its version: a row that outlived
-/// it would be deleted by nobody, and the table would grow for good.
+/// Deletes a version's row together with that of its operation. An operation row that outlived its
+/// version would never be deleted, and the table would grow without bound.
 fn delete(row: &Row) -> Result<[Write; 2], LogError> {
     let entry = LogEntry::try_from(row)?;
     let key = |key: SmolStr| Write::Delete { key };
     Ok([key(row.key.clone()), key(operation_key(&entry.operation))])
 }
 
-/// The new snapshot and the older ones from which the log still leads on.
+/// The new snapshot and those older ones from which the log is still complete.
 fn snapshots(head: &Head, newest: SnapshotRef, log_start: Version) -> Vec<SnapshotRef> {
     let leads_on = |it: &&SnapshotRef| log_start <= it.version + 1;
     let older = head.snapshots.iter().filter(leads_on).copied();
--- a/crates/versionlog/src/tail.rs
+++ b/crates/versionlog/src/tail.rs
@@ -1,4 +1,4 @@
-//! Reading the head and the versions after one that is held.
+//! Reads the head and the versions after a given one.
 
 use smol_str::SmolStr;
 use stoatstep_platform::{ReadAnswer, ReadRequest, Row};
@@ -8,25 +8,25 @@
 use crate::keys::{HEAD, log_range};
 use crate::rows::{Head, HeadRow, LogEntry};
 
-/// The versions after one that is held.
+/// The versions after a given one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Tail {
-    /// The log leads on.
+    /// The log holds the next versions.
     Deltas {
         /// The head in the same view.
         head: Head,
-        /// The next versions in order; fewer than there are where the read's
-        /// limit cut them, so whoever is still behind the head reads on.
+        /// The next versions in order. They may end before the head where the read's limit was
+        /// reached; the rest takes another read.
         deltas: Vec<Delta>,
     },
-    /// The next version's row was trimmed; a snapshot has to be fetched.
+    /// The next version's row was deleted, so a snapshot has to be fetched.
     Trimmed {
         /// The head in the same view.
         head: Head,
     },
 }
 
-/// The read of a poll: one row.
+/// The request that reads the head row.
 #[must_use]
 pub fn head_request() -> ReadRequest {
     ReadRequest {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Understands the answer to [`head_request`].
+/// Decodes the answer to [`head_request`].
 ///
 /// # Errors
 ///
@@ -45,7 +45,8 @@
     head_row(row.as_ref())
 }
 
-/// Reads the head and the first `limit` versions after `from` in one view.
+/// The request that reads the head and the first `limit` versions after `from` in one consistent
+/// view.
 #[must_use]
 pub fn tail_request(from: Version, limit: usize) -> ReadRequest {
     ReadRequest {
@@ -54,11 +55,11 @@
     }
 }
 
-/// Understands the answer to [`tail_request`].
+/// Decodes the answer to [`tail_request`].
 ///
 /// # Errors
 ///
-/// A row is malformed or missing, or the head is behind `from`.
+/// A row is malformed or missing, or the head is older than `from`.
 pub fn read_tail(from: Version, answer: &ReadAnswer) -> Result<Tail, LogError> {
     let head = read_head(answer)?.head;
     let rows = answer.ranges.first().ok_or(LogError::Shape)?;
@@ -88,9 +89,8 @@
     })
 }
 
-/// The rows' deltas, checked for gaps. A view that lacks a row which the head
-/// vouches for would otherwise look like "nothing new", and its reader would
-/// stay behind for good without a word.
+/// Decodes the rows' deltas and checks for gaps. Without the check a missing row would look like the
+/// end of the log, and the reader would stay behind the head forever without an error.
 fn read_deltas(from: Version, head: &Head, rows: &[Row]) -> Result<Vec<Delta>, LogError> {
     let mut deltas = Vec::with_capacity(rows.len());
     let mut next = from + 1;
@@ -108,7 +108,7 @@
     Ok(deltas)
 }
 
-/// Applies deltas one after the other.
+/// Applies the deltas in order. Returns `None` if there are none.
 pub(crate) fn apply_all(state: &State, deltas: &[Delta]) -> Result<Option<State>, LogError> {
     let mut latest = None;
     for delta in deltas {
--- a/crates/versionlog/src/writer/error.rs
+++ b/crates/versionlog/src/writer/error.rs
@@ -1,4 +1,4 @@
-//! Why a change was not written.
+//! Errors of a write.
 
 use std::fmt;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 pub struct Race {
     /// The resource.
     pub key: Key,
-    /// The revision expected; 0: absent.
+    /// The expected revision, or 0 if the resource was expected to be absent.
     pub expected: Revision,
-    /// The revision found, which is the winner's; 0: absent.
+    /// The revision that the competing change produced, or 0 if the resource is absent.
     pub found: Revision,
 }
 
 impl Race {
-    /// The race as a finding.
+    /// Describes the conflict as a finding.
     #[must_use]
     pub fn finding(&self) -> Finding {
         let revision = |revision: Revision| match revision {
@@ -38,40 +38,40 @@
 /// Why a change was not written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteError {
-    /// Somebody else changed the same resources first.
+    /// Another change to the same resources was committed first.
     Conflict(Vec<Race>),
     /// The state that would result is not valid.
     Invalid(Vec<Finding>),
-    /// The operation id belongs to another change.
+    /// The operation id was already used for another change.
     OperationReused {
-        /// The version that the other change became.
+        /// The version that the other change produced.
         version: Version,
     },
-    /// The platform could not be used in time. The change did not take effect
-    /// and will not.
+    /// The platform did not carry out the requests before the timeout. The change did not take
+    /// effect and will not.
     Unavailable {
         /// When to come back.
         retry_after: Duration,
     },
-    /// The change may have taken effect, or may still. The same request with
-    /// the same operation id finds out and is safe.
+    /// The change may have taken effect or may still do so. Sending the same request with the same
+    /// operation id is safe and finds out.
     Unsettled {
         /// When to come back.
         retry_after: Duration,
     },
-    /// The platform will not take this change at any time.
+    /// The platform rejects this change, so that a retry is of no use.
     Refused {
-        /// What it objects to.
+        /// The platform's reason.
         reason: SmolStr,
     },
-    /// The log can't be followed; the change was not tried.
+    /// The log is inconsistent or malformed; the change was not sent.
     Log(LogError),
-    /// The newest state could not be fetched; the change was not tried.
+    /// The newest state could not be fetched; the change was not sent.
     Recovery(RecoveryError),
 }
 
 impl WriteError {
-    /// The findings to show to the operator, all of them together.
+    /// All findings to show to the operator.
     #[must_use]
     pub fn findings(&self) -> Vec<Finding> {
         match self {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// When to come back, where that may help.
+    /// Time after which to retry, or `None` if a retry would not help.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
--- a/crates/versionlog/src/writer/message.rs
+++ b/crates/versionlog/src/writer/message.rs
@@ -1,4 +1,4 @@
-//! What the writer is told, and what it wants done.
+//! Inputs, actions and result of the writer.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,49 +10,47 @@
 use crate::recovery::RecoveryError;
 use crate::rows::Head;
 
-/// What the writer is told.
+/// Input of a step of the [`Writer`](crate::Writer).
 #[derive(Clone, Debug)]
 pub enum WriteInput {
-    /// Begin.
+    /// Starts the write.
     Start,
     /// The answer to [`WriteAction::Read`].
     Read(Result<ReadAnswer, PlatformError>),
     /// The answer to [`WriteAction::Commit`].
     Commit(Result<CommitAnswer, PlatformError>),
-    /// How [`WriteAction::Recover`] ended.
+    /// The result of [`WriteAction::Recover`].
     Recovered(Result<Arc<State>, RecoveryError>),
-    /// The time of [`WriteAction::Wait`] is over.
+    /// The delay of [`WriteAction::Wait`] has elapsed.
     Woke,
 }
 
-/// What the writer wants done next.
+/// What the caller of the [`Writer`](crate::Writer) has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteAction {
     /// Read these rows.
     Read(ReadRequest),
-    /// Try this transaction.
+    /// Commit this transaction.
     Commit(CommitRequest),
-    /// The log no longer leads on from the held state: fetch the newest one.
+    /// Fetch the newest state, since the versions after the held one were trimmed.
     Recover,
-    /// Come back after this time.
+    /// Wait for this time.
     Wait(Duration),
-    /// The end.
+    /// The write has ended with this result.
     Finish(Result<Accepted, WriteError>),
 }
 
-/// A change that is in the log.
+/// A change that was committed to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Accepted {
-    /// The version that the change became.
+    /// The version that the change produced.
     pub version: Version,
-    /// Whether it had taken effect before this writer began, by an earlier
-    /// request with the same operation id.
+    /// Whether an earlier request with the same operation id had already committed the change.
     pub replayed: bool,
-    /// The newest state that the writer came to know; at least the state it
-    /// was given.
+    /// The newest state that the writer holds; at least the state that it was given.
     pub state: Arc<State>,
-    /// The deltas from the given state to `state`; empty where the writer had
-    /// to recover from a snapshot.
+    /// The deltas from the given state to `state`; those before a recovery from a snapshot are
+    /// missing.
     pub deltas: Vec<Delta>,
     /// The head at the time of the last read or write.
     pub head: Head,
--- a/crates/versionlog/src/writer/mod.rs
+++ b/crates/versionlog/src/writer/mod.rs
@@ -1,4 +1,4 @@
-//! Writing one change, whatever happens on the way.
+//! Writes one change to the log, despite lost answers, outages and competing writers.
 
 mod error;
 mod message;
@@ -22,10 +22,10 @@
 pub use error::{Race, WriteError};
 pub use message::{Accepted, WriteAction, WriteInput};
 
-/// Where the operation's row stands in a read; the head's is first.
+/// Index of the operation's row in a read; the head's row comes first.
 const OPERATION_ROW: usize = 1;
 
-/// A transaction that was sent, and the state that it leads to.
+/// A transaction that was sent, and the state that it produces.
 #[derive(Clone, Debug)]
 struct Prepared {
     delta: Delta,
@@ -34,29 +34,26 @@
     unchanged: Condition,
 }
 
-/// How far a writer has come: all that its further decisions depend on, but for
-/// the lengths of its waits. Two writers of one change that have the same do the
-/// same, by which a search over all orders of events knows that it has been
-/// there.
+/// Everything that a writer's further decisions depend on, except the lengths of its delays. Two
+/// writers of the same change with equal progress behave the same, which lets a model checker
+/// recognize states that it has already visited.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Progress {
-    /// Digest of the state from which the next try starts; it covers the
-    /// version.
+    /// Digest of the state that the next transaction is based on; it covers the version.
     pub held: Digest,
-    /// What the transaction under way is conditioned on.
+    /// The condition on the head of the transaction that is being sent.
     pub sent: Option<Condition>,
-    /// What an unanswered transaction is conditioned on.
+    /// The condition on the head of a transaction whose answer was lost.
     pub unanswered: Option<Condition>,
 }
 
 /// Writes one change.
 ///
-/// Every try reads the head, the operation's row and the missing versions in
-/// one view, and commits on condition that the head row is still the one it
-/// read. So of all transactions that start from one head at most one lands,
-/// whether the others are of other operators, of this operator's request at
-/// another daemon, or this writer's own first try whose answer was lost and
-/// which is still on its way.
+/// Every try reads the head, the operation's row and the missing versions in one consistent view,
+/// and commits on condition that the head row has not changed since. So at most one of the
+/// transactions that start from one head is applied, whether the others come from other operators,
+/// from the same request at another daemon, or from this writer's own earlier try whose answer was
+/// lost and which may still arrive.
 #[derive(Clone, Debug)]
 pub struct Writer {
     change: Change,
@@ -67,14 +64,14 @@
     state: Arc<State>,
     deltas: Vec<Delta>,
     prepared: Option<Prepared>,
-    /// What an unanswered transaction of this writer was conditioned on. As
-    /// long as it holds, that transaction may still land.
+    /// The condition on the head of this writer's transaction whose answer was lost. As long as the
+    /// condition holds, that transaction may still be applied.
     unanswered: Option<Condition>,
 }
 
 impl Writer {
-    /// A writer of `change`, starting from a state that is held already.
-    /// `author` is for people who read the log.
+    /// Creates a writer of `change` that starts from a state which the caller holds. `author` is
+    /// stored for readers of the log.
     #[must_use]
     pub fn new(
         change: Change,
@@ -96,8 +93,8 @@
         }
     }
 
-    /// Takes what happened at `now` and names what to do next. The input has
-    /// to be the answer to the last action.
+    /// Handles an input at time `now` and returns the next action. The input has to be the answer to
+    /// the previous action.
     pub fn step(&mut self, now: Duration, input: WriteInput) -> WriteAction {
         self.backoff.start(now);
         match input {
@@ -114,7 +111,7 @@
         }
     }
 
-    /// How far this writer has come.
+    /// Everything that this writer's further decisions depend on.
     #[must_use]
     pub fn progress(&self) -> Progress {
         Progress {
@@ -130,11 +127,10 @@
         WriteAction::Read(req)
     }
 
-    /// After a lost answer the operation's row decides: with it the change
-    /// took effect. Without this look a writer would commit a second time on
-    /// top of its own change, and the operator's one edit would be two
-    /// versions. The look comes before anything that can fail, since the
-    /// change that took effect may well make this one look invalid.
+    /// Looks up the operation's row first; if it exists, the change has taken effect. Without this
+    /// check a writer whose answer was lost would commit its change a second time, and one edit
+    /// would become two versions. The check comes before any other that can fail, since the change
+    /// that took effect may make this one look invalid.
     fn after_read(&mut self, answer: &ReadAnswer) -> WriteAction {
         match self.follow(answer) {
             Ok(action) => action,
@@ -178,8 +174,8 @@
             let version = entry.version;
             return WriteAction::Finish(Err(WriteError::OperationReused { version }));
         }
-        // The change is in the log whether or not the way there can be
-        // followed, so a bad row is no failure of this operation.
+        // The change is in the log even if the versions before it can't be read, so a malformed row
+        // does not make this operation fail.
         if let Some(Tail::Deltas { deltas, .. }) = tail {
             let _ = self.catch_up(deltas);
         }
@@ -194,7 +190,7 @@
 
     fn commit(&mut self, head: HeadRow) -> WriteAction {
         let unchanged = head.unchanged();
-        // The head was written again, so that transaction can't land any more.
+        // The head was written since, so the unanswered transaction can no longer be applied.
         if self.unanswered.as_ref() != Some(&unchanged) {
             self.unanswered = None;
         }
@@ -218,10 +214,10 @@
         WriteAction::Commit(req)
     }
 
-    /// The head's condition alone keeps one operation from landing twice, as
-    /// long as head and operation were read in one view. Should the platform
-    /// ever break that promise, a stale "absent" next to a fresh head would
-    /// make a second version; the operation's own condition refuses it.
+    /// Builds the transaction. The condition on the head alone prevents an operation from being
+    /// applied twice, provided that head and operation were read in one consistent view. If the
+    /// platform breaks that guarantee, a stale absence of the operation's row beside a fresh head
+    /// would produce a second version; the condition on the operation's row prevents that.
     fn transaction(&self, prepared: &Prepared) -> CommitRequest {
         let operation = &self.change.operation;
         let entry = LogEntry {
@@ -250,7 +246,7 @@
         let prepared = self.prepared.take();
         match (answer, prepared) {
             (Ok(CommitAnswer::Committed { .. }), Some(prepared)) => self.accepted(prepared),
-            // Somebody else was first, or this writer's own earlier try was.
+            // Another writer was first, or this writer's own earlier transaction was applied.
             (Ok(_), _) => self.wait(now, None),
             (Err(e), prepared) => {
                 if !e.is_not_done() {
@@ -296,9 +292,9 @@
         self.fail(WriteError::Unavailable { retry_after })
     }
 
-    /// Whatever else went wrong, a transaction that may still land makes the
-    /// outcome unknown: told "failed", an operator would give a second edit a
-    /// new id while the first one lands.
+    /// Ends with `error`, or with [`WriteError::Unsettled`] while a transaction may still be applied.
+    /// An operator who is told "failed" would repeat the edit under a new id, and both could take
+    /// effect.
     fn fail(&mut self, error: WriteError) -> WriteAction {
         let error = match &self.unanswered {
             Some(_) => WriteError::Unsettled {
--- a/crates/versionlog/src/writer/prepare.rs
+++ b/crates/versionlog/src/writer/prepare.rs
@@ -1,4 +1,4 @@
-//! What a change would make of a state, and whether that is allowed.
+//! Computes the state that a change produces and checks whether the change is allowed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 
 use super::error::{Race, WriteError};
 
-/// The delta of `change` on top of `state`, and the state that results.
+/// Returns the delta of `change` relative to `state`, and the resulting state.
 pub(super) fn prepare(change: &Change, state: &State) -> Result<(Delta, State), WriteError> {
     let races = races(change, state);
     if !races.is_empty() {
@@ -30,8 +30,8 @@
     Ok((delta, next))
 }
 
-/// What the change asks for, so that an operation id that comes with another
-/// body is told from a retry.
+/// Hashes the content of the change, to tell a retry from another change under the same operation
+/// id.
 pub(super) fn fingerprint(change: &Change) -> Digest {
     let body = (&change.puts, &change.deletes);
     let bytes = rmp_serde::to_vec(&body).expect("plain data always encodes");
@@ -40,9 +40,9 @@
     Digest(fingerprint)
 }
 
-/// Every resource that is not at the expected revision. Deciding by revision
-/// and not by the head lets operators who work on different resources pass,
-/// and still shows each who was first on the same one.
+/// Lists every resource that is not at the expected revision. Comparing revisions instead of the
+/// head lets operators change different resources at the same time, and still reports a conflict on
+/// the same resource.
 fn races(change: &Change, state: &State) -> Vec<Race> {
     let puts = change
         .puts
@@ -63,7 +63,7 @@
     })
 }
 
-/// The resulting state before it is known to be valid.
+/// The resulting state, not yet validated.
 fn changed(change: &Change, state: &State) -> Result<State, WriteError> {
     let version = state.version() + 1;
     let mut items: BTreeMap<Key, Held> = state
@@ -90,9 +90,9 @@
     changed_puts(change, state).cloned().collect()
 }
 
-/// The resources that differ from what is held. Operators apply whole folders
-/// of which one file changed; sending the rest again would cost every daemon
-/// about a snapshot, and move revisions under other operators' feet.
+/// The resources that differ from those in the state. Operators often apply a whole folder of which
+/// one file changed; sending the rest again would cost every daemon about as much as a snapshot, and
+/// would change revisions that other operators expect.
 fn changed_puts<'a>(change: &'a Change, state: &'a State) -> impl Iterator<Item = &'a Resource> {
     let puts = change.puts.iter().map(|(resource, _)| resource);
     puts.filter(|resource| {
