--- a/crates/versionlog/tests/random.rs
+++ b/crates/versionlog/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random faults, interleavings and damage.
+//! Property tests with random faults, interleavings and malformed rows.
 
 mod support;
 
@@ -13,11 +13,11 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// One request of this writer.
+    /// This writer carries out its next action.
     Step(usize),
-    /// The oldest transaction that hangs arrives.
+    /// The oldest delayed transaction arrives.
     Land,
-    /// The next request of this kind goes wrong in this way.
+    /// The next request of this kind fails in this way.
     Fault(Operation, Outcome),
 }
 
@@ -38,8 +38,8 @@
 
 const WRITERS: usize = 4;
 
-/// Four writers, of which the first two are the same operator's request at two
-/// daemons; all race on two resources.
+/// Four writers that compete for two resources. The first two are the same operator's request at
+/// two daemons.
 fn writers() -> Vec<Stepper> {
     let edit =
         |operation: &str, name: &str, expected| change(operation, vec![(service(name), expected)]);
@@ -65,9 +65,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Whatever goes wrong and whenever late transactions arrive, no operation
-    /// is in the log twice; who was told a version finds the operation there;
-    /// and who was told of a failure does not, then or later.
+    /// With any faults and any arrival of delayed transactions, no operation is in the log twice. An
+    /// operation reported as a version is in the log at that version; one reported as failed is not
+    /// in the log, then or later.
     #[test]
     fn what_writers_are_told_is_true(events in prop::collection::vec(event(), 0..120)) {
         let platform = MemoryPlatform::new();
@@ -83,7 +83,7 @@
                 Event::Fault(request, outcome) => platform.script(request, outcome),
             }
         }
-        // At the end some give up, and what hangs arrives after that.
+        // Every writer runs to its end, and the delayed transactions arrive after that.
         for writer in &mut writers {
             let _ = writer.finish(&platform);
         }
@@ -99,7 +99,7 @@
                     prop_assert_eq!(&log[index], name);
                 }
                 Some(Err(WriteError::Unsettled { .. })) | None => {}
-                // The same operation at the other daemon may have landed.
+                // The same operation at the other daemon may have been applied.
                 Some(Err(_)) if *name == "op-a" => {}
                 Some(Err(e)) => prop_assert_eq!(count(&log, name), 0, "{} told {}", name, e),
             }
--- a/crates/versionlog/tests/recovery.rs
+++ b/crates/versionlog/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Cold starts, with what the platform may have lost meanwhile.
+//! Recovery at a cold start, with missing or damaged data on the platform.
 
 mod support;
 
@@ -68,10 +68,10 @@
 
 #[test]
 fn a_missing_or_damaged_snapshot_is_passed_over() {
-    // The newest object is gone and the one before it has a flipped byte. The
-    // daemon starts from the third and a longer tail, and says what it met.
-    // Safeguard: the head keeps every snapshot that the tail starts from, and
-    // each one is held against its digest.
+    // The newest object is missing and the one before it has a flipped byte. The daemon starts from
+    // the third one with a longer tail, and reports both.
+    // Safeguard: the head refers to every snapshot within the retained tail, and each one is
+    // compared with its digest.
     let (platform, state) = with_snapshots();
     platform.with_objects(|objects| {
         objects.delete(&snapshot_name(28));
@@ -88,8 +88,8 @@
 
 #[test]
 fn a_snapshot_of_another_state_is_passed_over() {
-    // A whole and well-formed snapshot stands under the name, but not the one
-    // that the head vouches for (an operator copied objects between sites).
+    // The object is a well-formed snapshot but not the one that the head refers to, for example
+    // because an operator copied objects between sites.
     // Safeguard: the head row holds each snapshot's digest.
     let (platform, state) = with_snapshots();
     let foreign = {
@@ -120,9 +120,9 @@
 
 #[test]
 fn a_snapshot_replaced_meanwhile_is_found_anew() {
-    // Between the read of the head and that of the object, newer snapshots
-    // push all the known ones out. The daemon reads the head again.
-    // Safeguard: `Recovery::next` looks up the head once none is left.
+    // Between the read of the head and that of the object, newer snapshots replace all the known
+    // ones. The daemon reads the head again.
+    // Safeguard: `Recovery::next` reads the head once no candidate is left.
     let (platform, _) = with_snapshots();
     platform.script(Operation::GetObject, Outcome::Unavailable);
     let log = log(&platform, &cfg());
@@ -152,9 +152,9 @@
 
 #[test]
 fn a_missing_version_is_an_error_and_not_the_end_of_the_log() {
-    // A row that the head vouches for is gone. Taken for the end, the daemon
-    // would serve an old version as the newest.
-    // Safeguard: `read_deltas` counts the versions.
+    // A row that the log should hold according to the head is missing. If that were taken for the
+    // end of the log, the daemon would serve an old version as the newest.
+    // Safeguard: `read_deltas` checks that the versions are consecutive.
     for version in [29, 30] {
         let (platform, _) = with_snapshots();
         let key = log_key(version);
@@ -177,8 +177,8 @@
 
 #[test]
 fn a_state_other_than_the_heads_is_not_served() {
-    // The head row and the log tell different stories. The daemon serves
-    // neither, since it can't tell which one the others hold.
+    // The head row and the log contradict each other. The daemon serves neither, since it can't tell
+    // which one the other daemons hold.
     // Safeguard: `Recovery::check` compares digests.
     let (platform, _) = with_snapshots();
     let log = log(&platform, &cfg());
--- a/crates/versionlog/tests/sizes.rs
+++ b/crates/versionlog/tests/sizes.rs
@@ -1,4 +1,4 @@
-//! Sizes and requests at the size to design for, printed for the docs.
+//! Sizes of rows and numbers of requests at the largest supported site, printed for the docs.
 
 mod support;
 
--- a/crates/versionlog/tests/snapshots.rs
+++ b/crates/versionlog/tests/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots through crashes, lost answers and rivals.
+//! Snapshots with crashes, lost answers and concurrent snapshots.
 
 mod support;
 
@@ -18,7 +18,7 @@
     builder.snapshot_every(8).retained_tail(4).build()
 }
 
-/// A snapshotter that a test moves on by hand.
+/// A snapshotter that a test advances one request at a time.
 struct Stepper {
     snapshotter: Snapshotter,
     action: SnapshotAction,
@@ -69,7 +69,7 @@
     }
 }
 
-/// Requests whose order is tried in every way.
+/// Number of requests of which every interleaving is tried.
 const TURNS: u32 = 10;
 
 fn copy(platform: &MemoryPlatform) -> MemoryPlatform {
@@ -91,8 +91,8 @@
     platform.with_objects(|objects| objects.list(""))
 }
 
-/// Whatever happened: a cold start finds the newest state, every snapshot that
-/// the head names is there and whole, and the log leads on from each.
+/// Checks that a cold start finds the newest state, that every snapshot in the head exists and is
+/// undamaged, and that the log is complete after each of them.
 fn check(platform: &MemoryPlatform, newest: &Arc<State>) {
     let recovered = run(log(platform, &short_tail()).recover()).unwrap();
     assert_eq!(&recovered.state, newest);
@@ -137,10 +137,10 @@
 
 #[test]
 fn a_crash_at_any_point_leaves_nothing_that_matters() {
-    // The daemon dies after its first, second, ... request. Each time a cold
-    // start still finds the newest state, and the next snapshot cleans up.
-    // Safeguard: the object is written before the head refers to it, and rows
-    // and objects go in or after the transaction that no longer needs them.
+    // The daemon crashes after its first, second, ... request. Each time a cold start still finds the
+    // newest state, and the next snapshot deletes what was left behind.
+    // Safeguard: the object is written before the head refers to it, and rows and objects are deleted
+    // in or after the transaction that removes the references to them.
     for survived in 0..8 {
         let platform = MemoryPlatform::new();
         let state = fill(&platform, 8);
@@ -158,9 +158,10 @@
 
 #[test]
 fn answers_lost_at_any_point_change_nothing() {
-    // Every kind of request has its answer lost, is lost itself, or is late by
-    // minutes. The snapshot is taken once, and late writes harm nothing.
-    // Safeguard: every step may be repeated; the head row's revision decides.
+    // For every kind of request the answer is lost, the request is lost, the request is delayed past
+    // the end of the snapshot, or the platform is unavailable. The snapshot is taken once, and
+    // delayed writes do no harm.
+    // Safeguard: every step is idempotent, and the head is written conditionally on its revision.
     let requests = [
         Operation::PutObject,
         Operation::Read,
@@ -193,9 +194,8 @@
 
 #[test]
 fn two_at_once_come_to_one_snapshot() {
-    // Two daemons see that a snapshot is due and both take it, of the same
-    // version or of neighbours, in any interleaving of their requests. One
-    // moves the head; the other sees it and ends well.
+    // Two daemons take a snapshot of the same version or of adjacent ones, in any interleaving of
+    // their requests. One updates the head; the other one finds that and succeeds too.
     // Safeguard: the transaction is conditioned on the head row.
     let base = MemoryPlatform::new();
     snapshot(&base, &fill(&base, 8)).unwrap();
@@ -224,10 +224,9 @@
 
 #[test]
 fn a_snapshotter_that_was_frozen_harms_no_newer_one() {
-    // It freezes with its object written, others take newer snapshots, and it
-    // wakes: it must neither move the head's reference back nor delete what
-    // the newer ones wrote.
-    // Safeguard: a head with a newer snapshot ends it, and it cleans only
+    // The process is frozen after writing its object, and resumes after others took newer snapshots.
+    // It must neither move the head's reference back nor delete the newer objects.
+    // Safeguard: the snapshotter ends if the head has a newer snapshot, and deletes only objects
     // below its own version.
     let platform = MemoryPlatform::new();
     let old = fill(&platform, 8);
--- a/crates/versionlog/tests/support/mod.rs
+++ b/crates/versionlog/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A process with a clock of its own and a platform in memory.
+//! A test process with its own clock and an in-memory platform.
 
 #![allow(dead_code)] // Each test file uses a part of it.
 
@@ -20,8 +20,7 @@
 
 type WhileAsleep = Box<dyn FnOnce(&MemoryPlatform)>;
 
-/// The process: waits take no real time, and a test may let things happen
-/// during them.
+/// A process whose waits take no real time. A test can register actions to run during them.
 #[derive(Default)]
 pub(crate) struct Process {
     pub(crate) platform: MemoryPlatform,
@@ -65,13 +64,13 @@
     VersionLog::new(process, cfg.clone())
 }
 
-/// Runs a future that never has to wait for anything outside.
+/// Runs a future that completes without waiting for another task.
 pub(crate) fn run<T>(future: impl Future<Output = T>) -> T {
     let mut future = pin!(future);
     let mut cx = Context::from_waker(Waker::noop());
     match future.as_mut().poll(&mut cx) {
         Poll::Ready(value) => value,
-        Poll::Pending => panic!("waits for something outside"),
+        Poll::Pending => panic!("the future is pending"),
     }
 }
 
@@ -124,7 +123,7 @@
     change(operation, vec![(service(name), None)])
 }
 
-/// Writes through a process of its own.
+/// Writes a change from a new process.
 pub(crate) fn write(platform: &MemoryPlatform, change: Change) -> Result<Accepted, WriteError> {
     let log = log(platform, &LogConfig::default());
     run(log.write(change, "tester".into(), Arc::default()))
@@ -160,7 +159,7 @@
     entries.map(|entry| entry.operation.to_string()).collect()
 }
 
-/// A writer that a test moves on by hand, one request at a time.
+/// A writer that a test advances one request at a time.
 pub(crate) struct Stepper {
     pub(crate) writer: Writer,
     pub(crate) action: WriteAction,
@@ -179,7 +178,7 @@
         }
     }
 
-    /// Carries out the action that is next. Answers false at the end.
+    /// Carries out the next action. Returns false if the writer has finished.
     pub(crate) fn step(&mut self, platform: &MemoryPlatform) -> bool {
         let input = match self.action.clone() {
             WriteAction::Read(req) => WriteInput::Read(run(platform.read(req))),
--- a/crates/versionlog/tests/writer.rs
+++ b/crates/versionlog/tests/writer.rs
@@ -1,4 +1,4 @@
-//! One change and many, through lost answers, races and outages.
+//! Writes of one and of several changes, with lost answers, conflicts and outages.
 
 mod support;
 
@@ -45,10 +45,10 @@
 
 #[test]
 fn a_lost_answer_after_the_effect_is_settled_by_reading_back() {
-    // The operator sees one version, accepted. The transaction lands, its
-    // answer is lost; the writer reads the operation's row back and finds its
-    // own change. Without that look it commits again on top of itself.
-    // Safeguard: `Writer::follow` asks for the operation's row first.
+    // The transaction is applied and its answer is lost. The writer reads the operation's row and
+    // finds its own change, so the operator sees one accepted version. Without that read it would
+    // commit the change a second time.
+    // Safeguard: `Writer::follow` checks the operation's row first.
     let platform = MemoryPlatform::new();
     platform.script(Operation::Commit, Outcome::LoseAnswer);
     let accepted = write(&platform, put_service("op-1", "floatdesk")).unwrap();
@@ -60,10 +60,10 @@
 
 #[test]
 fn its_own_lost_create_is_no_race() {
-    // The operator creates a resource that must not exist yet. It lands, the
-    // answer is lost. Checked in the wrong order, the writer would find "its"
-    // resource taken and report a conflict with itself.
-    // Safeguard: the operation's row is looked at before the revisions.
+    // The operator creates a resource that must not exist yet. The transaction is applied and its
+    // answer is lost. With the checks in the wrong order the writer would find that the resource
+    // exists and report a conflict with its own change.
+    // Safeguard: the operation's row is checked before the revisions.
     let platform = MemoryPlatform::new();
     platform.script(Operation::Commit, Outcome::LoseAnswer);
     let create = change("op-1", vec![(service("floatdesk"), Some(0))]);
@@ -81,15 +81,15 @@
 
 #[test]
 fn an_original_that_lands_late_never_lands_beside_its_retry() {
-    // The first transaction hangs in the network; the writer reads that it is
-    // absent and tries again. The original lands before the look, between the
-    // look and the retry, or after the retry: there is one version each time.
+    // The first transaction is delayed in the network; the writer reads that it was not applied and
+    // retries. The original arrives before that read, between the read and the retry, or after the
+    // retry: there is one version each time.
     // Safeguard: both are conditioned on the same head row.
     for lands_after in 0..4 {
         let platform = MemoryPlatform::new();
         platform.script(Operation::Commit, Outcome::Delay);
         let mut stepper = Stepper::new(put_service("op-1", "floatdesk"), 1);
-        // Read, commit (hangs), and as many steps as the original takes.
+        // The read, the delayed commit, and the steps until the original arrives.
         for _ in 0..2 + lands_after {
             stepper.step(&platform);
         }
@@ -102,9 +102,9 @@
 
 #[test]
 fn an_original_that_lands_after_others_wrote_is_refused() {
-    // The original hangs; its retry lands, then another operator deletes what
-    // it made. When the original arrives at last, it must not bring it back.
-    // Safeguard: the head row's revision never comes back.
+    // The original is delayed; its retry is applied, then another operator deletes the resource.
+    // When the original arrives, it must not restore the resource.
+    // Safeguard: the head row never has the same revision again.
     let platform = MemoryPlatform::new();
     platform.script(Operation::Commit, Outcome::Delay);
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
@@ -120,10 +120,9 @@
 
 #[test]
 fn an_original_that_lands_after_its_version_was_trimmed_is_refused() {
-    // The original hangs while its retry lands, and for so long that the log
-    // and the operation's row are trimmed past it. When it arrives, nothing
-    // but the head is left to tell that version 1 was given away long ago;
-    // landing, it would move the head back to version 1.
+    // The original is delayed while its retry is applied, and until the version's row and the
+    // operation's row have been trimmed. When it arrives, only the head shows that version 1 exists
+    // already; if it were applied, it would move the head back to version 1.
     // Safeguard: the transaction is conditioned on the head row's revision.
     let platform = MemoryPlatform::new();
     platform.script(Operation::Commit, Outcome::Delay);
@@ -139,9 +138,9 @@
 
 #[test]
 fn a_view_that_is_torn_makes_no_second_version() {
-    // A platform at fault answers a read with the newest head and a stale
-    // "absent" for the operation that is in it. The writer commits on top of
-    // its own change, is refused, and settles with the next read.
+    // A faulty platform answers a read with the newest head but without the row of the operation
+    // that it includes. The writer commits on top of its own change, is refused, and finds the
+    // operation's row with the next read.
     // Safeguard: the transaction is conditioned on the operation's absence.
     let platform = MemoryPlatform::new();
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
@@ -160,9 +159,9 @@
 
 #[test]
 fn the_operators_own_retry_gets_the_first_result() {
-    // The operator's connection ends before the answer; the tool sends the
-    // same operation to another daemon, later and after other changes.
-    // Safeguard: the operation's row outlives the writer that wrote it.
+    // The operator's connection breaks before the answer arrives. The tool sends the same operation
+    // to another daemon, after other changes were made.
+    // Safeguard: the operation's row is stored on the platform.
     let platform = MemoryPlatform::new();
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
     write(&platform, put_service("op-2", "refundhall")).unwrap();
@@ -174,8 +173,8 @@
 
 #[test]
 fn an_operation_id_with_another_body_is_an_error() {
-    // Two tools made the same id, or one was edited between two tries. Told
-    // "accepted", its operator would believe in a change that never was.
+    // Two tools chose the same id, or a change was edited between two tries. If the second one were
+    // reported as accepted, its operator would rely on a change that was never made.
     // Safeguard: the operation's row holds a fingerprint of the request.
     let platform = MemoryPlatform::new();
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
@@ -186,10 +185,10 @@
 
 #[test]
 fn an_outage_after_a_lost_answer_is_unsettled() {
-    // The answer is lost and then the platform is gone for good. "Failed"
-    // would be a lie half of the time: the change is there. The operator is
-    // told to send the same id again, and that settles it.
-    // Safeguard: `Writer::fail` minds the unanswered transaction.
+    // The answer is lost, and then the platform stays unavailable. To report a failure would be
+    // wrong where the change took effect. The error asks the operator to send the same id again,
+    // which finds out.
+    // Safeguard: `Writer::fail` takes the unanswered transaction into account.
     let platform = MemoryPlatform::new();
     platform.script(Operation::Commit, Outcome::LoseAnswer);
     let mut stepper = Stepper::new(put_service("op-1", "floatdesk"), 1);
@@ -221,8 +220,8 @@
 
 #[test]
 fn what_can_no_longer_land_is_not_called_unsettled() {
-    // The answer is lost with the request, others move the head, and the
-    // writer sees that before the platform goes: its first transaction is dead.
+    // The transaction is delayed, another writer updates the head, and this writer reads that before
+    // the platform becomes unavailable: its first transaction can no longer be applied.
     let platform = MemoryPlatform::new();
     platform.script(Operation::Commit, Outcome::Delay);
     let mut stepper = Stepper::new(put_service("op-1", "floatdesk"), 1);
@@ -245,9 +244,9 @@
 
 #[test]
 fn a_race_on_the_same_resources_shows_each_winners_revision() {
-    // Two operators read the same revisions and both edit. The second is told
-    // which resources moved and to which revision, all of them at once.
-    // Safeguard: expected revisions are checked at every head anew.
+    // Two operators read the same revisions and both edit. The second one's error lists all resources
+    // that have changed, with their new revisions.
+    // Safeguard: expected revisions are checked again at every head.
     let platform = MemoryPlatform::new();
     let first = vec![(service("floatdesk"), None), (upstream("left", 13), None)];
     write(&platform, change("op-1", first)).unwrap();
@@ -280,9 +279,9 @@
 
 #[test]
 fn what_a_change_leaves_as_it_is_keeps_its_revision() {
-    // An operator applies a whole folder of which one file changed, while
-    // another has read the rest and edits it. The other's revisions hold.
-    // Safeguard: puts that equal what is held are no part of the delta.
+    // An operator applies a whole folder of which one file changed, while another one has read the
+    // rest and edits it. The revisions that the other one read stay valid.
+    // Safeguard: puts that equal the current resource are left out of the delta.
     let platform = MemoryPlatform::new();
     let folder = |operation, slots| {
         let left = (upstream("left", 13), None);
@@ -298,9 +297,9 @@
 
 #[test]
 fn operators_on_different_resources_all_pass() {
-    // Ten operators write at once, each its own resource, in lock step so that
-    // every round has one winner. Nobody sees a conflict.
-    // Safeguard: a lost race for the head is rebased and tried again.
+    // Ten operators write at once, each one its own resource, in lock step so that one of them
+    // commits in every round. None gets a conflict.
+    // Safeguard: a writer that finds the head changed rebases its change and retries.
     let platform = MemoryPlatform::new();
     let edit = |number: u64| {
         let resource = service(&format!("service-{number}"));
@@ -340,15 +339,15 @@
 
 #[test]
 fn writers_that_failed_together_come_back_apart() {
-    // After an outage every daemon tries again; equal waits would hit the
-    // platform in one beat again and again.
-    // Safeguard: the wait is drawn from the whole interval (full jitter).
+    // After an outage every daemon retries; with equal delays all requests would reach the platform
+    // at the same moment each time.
+    // Safeguard: the delay is drawn from the whole interval (full jitter).
     let platform = MemoryPlatform::new();
     platform.set_down(true);
     let mut waits: Vec<Duration> = (0..100)
         .map(|seed| {
             let mut stepper = Stepper::new(put_service("op", "floatdesk"), seed);
-            // Four tries: the bound is 160 ms by then.
+            // The bound of the delay is 160 ms after four tries.
             for _ in 0..7 {
                 stepper.step(&platform);
             }
@@ -366,8 +365,8 @@
 
 #[test]
 fn a_state_that_would_not_be_valid_is_refused_with_all_findings() {
-    // Two routes to services that are not there, in one change: both are
-    // named and nothing is written, so no proxy ever sees a dangling route.
+    // One change adds two routes to services that don't exist. The error lists both and nothing is
+    // written, so no proxy ever receives a dangling route.
     // Safeguard: the whole resulting state is validated before the commit.
     let platform = MemoryPlatform::new();
     let routes = vec![
@@ -381,8 +380,8 @@
 
 #[test]
 fn a_service_with_routes_cannot_go_while_another_adds_a_route() {
-    // One operator deletes a service, another adds a route to it at the same
-    // time; they touch different resources. Whoever is second is refused.
+    // One operator deletes a service while another adds a route to it. They change different
+    // resources, and the second change is refused.
     // Safeguard: validation runs again on top of the new head.
     let platform = MemoryPlatform::new();
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
@@ -400,9 +399,9 @@
 
 #[test]
 fn a_platform_that_lost_its_data_is_not_written_over() {
-    // The platform comes back empty, or from an old copy. A writer that went
-    // on from there would number new versions below those in force, and every
-    // proxy would have to go back or stand still.
+    // The platform was emptied or restored from an old copy. If a writer continued from there, new
+    // versions would have numbers below those in force, and every proxy would have to revert or stop
+    // updating.
     // Safeguard: `read_tail` refuses a head below the version held.
     let state = fill(&MemoryPlatform::new(), 5);
     let emptied = MemoryPlatform::new();
@@ -441,10 +440,9 @@
 
 #[test]
 fn a_bad_row_does_not_hide_what_became_of_an_operation() {
-    // The change was accepted, its answer was lost, and a row after it was
-    // damaged. The operator's retry asks what became of the change and not
-    // whether the log can be followed; it hears the version.
-    // Safeguard: the operation's row is judged before the tail.
+    // The change was accepted, its answer was lost, and a later row was damaged. The operator's retry
+    // only needs the result of the change, so it returns the version in spite of the damage.
+    // Safeguard: the operation's row is checked before the tail.
     let platform = MemoryPlatform::new();
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
     fill(&platform, 3);
@@ -469,9 +467,9 @@
 
 #[test]
 fn a_head_with_another_digest_is_not_built_upon() {
-    // The head row and the log tell different stories (a row was put back from
-    // a backup). A version built on top could be applied by nobody else.
-    // Safeguard: the caught-up state is held against the head's digest.
+    // The head row and the log contradict each other, for example because a row was restored from a
+    // backup. No other daemon could apply a version that builds on this state.
+    // Safeguard: the digest of the updated state is compared with the head's.
     let platform = MemoryPlatform::new();
     let state = fill(&platform, 2);
     let log = log(&platform, &LogConfig::default());
@@ -492,10 +490,9 @@
 
 #[test]
 fn what_a_change_leaves_as_it_was_is_not_sent() {
-    // An operator applies a whole folder of which one service is new. Daemons
-    // get that one, and the old one keeps its revision, so that another operator
-    // who works on it meets no race.
-    // Safeguard: `changed_puts` leaves out what is equal to what is held.
+    // An operator applies a whole folder of which one service is new. Daemons receive only that one.
+    // The old one keeps its revision, so another operator who edits it gets no conflict.
+    // Safeguard: `changed_puts` leaves out resources that equal the current ones.
     let platform = MemoryPlatform::new();
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
     let puts = vec![(service("floatdesk"), None), (service("refundhall"), None)];
