--- a/crates/spec/examples/search.rs
+++ b/crates/spec/examples/search.rs
@@ -1,5 +1,5 @@
-//! Searches every specification with all safeguards, and then without each, and
-//! prints what was found. `docs/design/model-checking.md` shows the output.
+//! Searches every case with all safeguards, then searches a case without each safeguard, and prints
+//! the results. `docs/design/model-checking.md` shows the output.
 
 use std::time::Instant;
 
--- a/crates/spec/src/attempt/entry.rs
+++ b/crates/spec/src/attempt/entry.rs
@@ -1,4 +1,4 @@
-//! What the entry knows of one call.
+//! State of one call at its entry.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,14 @@
 use super::message::{End, id};
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// What the caller was told.
+/// The outcome that was reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Told {
-    /// The answer to the call of this number.
+    /// The answer to the call with this index.
     Answered(u8),
-    /// It did not run: safe to send again.
+    /// The call did not run and is safe to send again.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
@@ -32,7 +32,7 @@
     made: u8,
     phase: Phase,
     ticket: Option<Ticket>,
-    /// Attempts that the entry was told did not run.
+    /// Attempts that were reported to the entry as not run.
     not_run: BTreeSet<AttemptId>,
 }
 
@@ -60,7 +60,7 @@
         self.phase == Phase::Settles
     }
 
-    /// Attempts made, the one under way included.
+    /// Number of attempts made, including the current one.
     pub(super) fn made(&self) -> u8 {
         self.made
     }
@@ -74,9 +74,9 @@
         self.ticket = Some(ticket);
     }
 
-    /// The ticket of the attempt under way.
+    /// The ticket of the current attempt.
     pub(super) fn ticket(&self) -> Ticket {
-        self.ticket.expect("an attempt is under way")
+        self.ticket.expect("an attempt was sent")
     }
 
     pub(super) fn is_under_way(&self, number: u8, attempt: AttemptId) -> bool {
@@ -91,7 +91,7 @@
         self.phase = Phase::Ended(Told::Unknown);
     }
 
-    /// A reply came on the attempt's connection.
+    /// Handles a reply that arrived on the attempt's connection.
     pub(super) fn hear(&mut self, number: u8, end: End, allowed: u8, safeguards: Safeguards) {
         match end {
             End::Answered(whose) => self.phase = Phase::Ended(Told::Answered(whose)),
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The ledger answered a revoke.
+    /// Handles the ledger's answer to a revoke.
     pub(super) fn settle(
         &mut self,
         number: u8,
@@ -115,7 +115,7 @@
             AttemptStatus::NotRun => End::NotRun,
             AttemptStatus::Done(answer) => End::Answered(answer.body[0]),
             AttemptStatus::DoneWithoutAnswer | AttemptStatus::Unknown => End::Unknown,
-            // It asks again until the deadline.
+            // The entry asks again until the deadline.
             AttemptStatus::NeverSeen | AttemptStatus::Queued | AttemptStatus::Running => return,
         };
         self.hear(number, end, allowed, safeguards);
--- a/crates/spec/src/attempt/executor.rs
+++ b/crates/spec/src/attempt/executor.rs
@@ -1,4 +1,4 @@
-//! One executor: its ledger, its queue, and what its target runs.
+//! State of one executor: its ledger, its queue, and the attempts that its target runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -11,26 +11,26 @@
 use super::{LEFT, TICKET_LIFE, ticks};
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// Incarnations of one executor are this far from those of the next.
+/// Difference between the first incarnations of two successive executors.
 const INCARNATIONS: Incarnation = 100;
 
-/// What became of a queued attempt whose turn came.
+/// What happened to a queued attempt that got a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Turn {
-    /// The target has it now.
+    /// The target runs it.
     Started {
-        /// Whether its time was over.
+        /// Whether its deadline had passed.
         late: bool,
     },
-    /// It does not run.
+    /// It was dropped without running.
     Dropped,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Waiting {
-    /// Tick at which it came in.
+    /// Tick at which the attempt arrived.
     arrived: u8,
-    /// Whether the ledger had seen it before.
+    /// Whether the ledger had a record of the attempt before.
     copy: bool,
 }
 
@@ -79,7 +79,7 @@
         self.running.iter().copied()
     }
 
-    /// Takes an attempt in; its end, if that is settled by it.
+    /// Receives an attempt. Returns how it ended if it is not queued.
     pub(super) fn arrive(
         &mut self,
         id: AttemptId,
@@ -104,7 +104,7 @@
         None
     }
 
-    /// The ticket as a ledger sees it that lacks one of its checks.
+    /// The ticket altered so that it passes a check of the ledger that is switched off.
     fn judged(&self, mut ticket: Ticket, now: u8, safeguards: Safeguards) -> Ticket {
         if !safeguards.has(Safeguard::TicketExpiry) {
             ticket.stamp = ticks(now);
--- a/crates/spec/src/attempt/message.rs
+++ b/crates/spec/src/attempt/message.rs
@@ -1,43 +1,43 @@
-//! What entry and executors send each other about attempts.
+//! Messages between the entry and the executors about attempts.
 
 use stoatstep_calls::{AttemptId, Ticket};
 
-/// Attempts of one call have ids from ten times its number.
+/// Factor between a call's index and the ids of its attempts.
 const IDS_OF_A_CALL: u128 = 10;
 
-/// How an attempt ended, as its executor says.
+/// How an attempt ended, as its executor reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum End {
-    /// The whole answer to this call.
+    /// The target answered, with the answer to the call with this index.
     Answered(u8),
-    /// It did not run and will not.
+    /// The attempt did not run and will not.
     NotRun,
-    /// It may have run.
+    /// The attempt may have run.
     Unknown,
 }
 
-/// Something on its way.
+/// A message in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// From the entry to an executor.
+    /// An attempt on its way from the entry to an executor.
     Attempt {
-        /// The attempt.
+        /// Id of the attempt.
         id: AttemptId,
-        /// The executor.
+        /// Index of the executor.
         to: u8,
-        /// Process that issued the ticket.
+        /// Incarnation of the process that issued the ticket.
         incarnation: u64,
-        /// Tick at which it did.
+        /// Tick at which the ticket was issued.
         stamp: u8,
-        /// Whether it is a second copy. The reply to a copy reaches nobody: the
-        /// entry waits on the connection of the first one.
+        /// Whether this is a duplicate. The reply to a duplicate is dropped, since the entry waits
+        /// on the connection of the first one.
         copy: bool,
     },
-    /// From an executor to the entry.
+    /// A reply on its way from an executor to the entry.
     Reply {
-        /// The attempt.
+        /// Id of the attempt.
         id: AttemptId,
-        /// How it ended.
+        /// How the attempt ended.
         end: End,
     },
 }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// What stays on its way of a message that arrived twice.
+    /// The duplicate that stays in flight when the message arrives.
     pub(super) fn doubled(self) -> Self {
         match self {
             Self::Attempt {
--- a/crates/spec/src/attempt/mod.rs
+++ b/crates/spec/src/attempt/mod.rs
@@ -1,11 +1,10 @@
-//! Calls that are not idempotent, from their entry to the target, while
-//! messages and processes are lost.
+//! Calls that are not idempotent, from their entry to the target, while messages are lost and
+//! processes restart.
 //!
-//! Each executor's memory is a shipped [`Ledger`](stoatstep_calls::Ledger), and
-//! whether another attempt may follow is decided by the shipped
-//! [`may_retry`](stoatstep_calls::may_retry). The entry's waiting and settling,
-//! which in the daemon is asynchronous code, is written here anew. An executor
-//! that is frozen is one to which nothing happens while time goes on.
+//! Each executor has a production [`Ledger`](stoatstep_calls::Ledger), and the production function
+//! [`may_retry`](stoatstep_calls::may_retry) decides whether another attempt may follow. How the
+//! entry waits for an attempt and settles it is asynchronous code in the daemon and reimplemented
+//! here. A frozen executor is covered as one that takes no step while time passes.
 
 mod entry;
 mod executor;
@@ -28,24 +27,24 @@
 use message::Message;
 pub use message::{End, Message as CallMessage};
 
-/// Life of a ticket, in ticks.
+/// Validity of a ticket, in ticks.
 const TICKET_LIFE: u8 = 2;
 
-/// Time that an attempt brings to its executor, in ticks.
+/// Time from an attempt's arrival at its executor to its deadline, in ticks.
 const LEFT: u8 = 1;
 
 /// Bounds of an [`AttemptSpec`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptBounds {
-    /// Calls, all under way at the same time at one entry.
+    /// Concurrent calls at one entry.
     pub calls: u8,
     /// Attempts that a call may make.
     pub attempts: u8,
-    /// Executors; the attempts of a call go to one after the other.
+    /// Executors; successive attempts of a call go to different ones in turn.
     pub executors: u8,
     /// Records that a ledger has room for.
     pub records: usize,
-    /// Messages, connections and answers that may be lost or doubled.
+    /// Messages, connections and answers that may be lost or duplicated.
     pub faults: u8,
     /// Restarts of executors.
     pub restarts: u8,
@@ -53,15 +52,15 @@
     pub ticks: u8,
 }
 
-/// A few calls at one entry.
+/// Specification of a few calls at one entry.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptSpec {
     pub(crate) bounds: AttemptBounds,
     pub(crate) safeguards: Safeguards,
 }
 
-/// What the entry knows of each call, what each executor knows of each attempt,
-/// what is on its way, and what the targets ran.
+/// State of the entry's calls, of the executors and of the messages in flight, and which attempts
+/// the targets ran.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptState {
     now: u8,
@@ -69,51 +68,51 @@
     tickets: Vec<Ticket>,
     executors: Vec<Shared<Executor>>,
     messages: BTreeSet<Message>,
-    /// How often each attempt ran.
+    /// Number of runs of each attempt.
     ran: BTreeMap<AttemptId, u8>,
     started_late: bool,
     faults: u8,
     restarts: u8,
 }
 
-/// One event. Numbers are those of calls and executors; an attempt's id is ten
-/// times its call's number plus its own.
+/// One event. A `u8` is the index of a call or of an executor; an attempt's id is ten times its
+/// call's index plus its own number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStep {
     /// The entry sends the call's next attempt.
     Send(u8),
     /// A message arrives.
     Deliver(Message),
-    /// It arrives, and a copy stays on its way.
+    /// A message arrives, and a duplicate of it stays in flight.
     Double(Message),
-    /// It never arrives.
+    /// A message is lost.
     Lose(Message),
-    /// The entry gives the attempt's connection up.
+    /// The entry abandons the attempt's connection.
     Break(u8),
-    /// The entry revokes the attempt and hears the ledger's word.
+    /// The entry revokes the attempt and receives the ledger's answer.
     Revoke(u8),
-    /// The entry revokes the attempt, and the word is lost.
+    /// The entry revokes the attempt, and the ledger's answer is lost.
     RevokeUnheard(u8),
-    /// The entry stops asking.
+    /// The entry stops revoking the attempt and reports its outcome as unknown.
     GiveUp(u8),
-    /// An attempt gets its slot.
+    /// An attempt gets its slot and starts in the target.
     Start(u8, AttemptId),
-    /// It gets its slot, and the target refuses without running.
+    /// An attempt gets its slot, and the target refuses it without running it.
     Shed(u8, AttemptId),
     /// The target answers.
     Finish(u8, AttemptId),
     /// The connection to the target breaks.
     TargetLost(u8, AttemptId),
-    /// A ledger drops what is old.
+    /// A ledger drops expired records.
     Clean(u8),
-    /// An executor restarts. What its target runs goes on.
+    /// An executor restarts, while its target continues to run.
     Restart(u8),
-    /// Time goes on.
+    /// Time advances by one tick.
     Tick,
 }
 
 impl AttemptSpec {
-    /// Calls that start at the same time.
+    /// Creates a specification of calls that start at the same time.
     #[must_use]
     pub fn new(bounds: AttemptBounds, safeguards: Safeguards) -> Self {
         Self { bounds, safeguards }
--- a/crates/spec/src/attempt/successors.rs
+++ b/crates/spec/src/attempt/successors.rs
@@ -1,4 +1,4 @@
-//! All that may happen next.
+//! The possible next steps.
 
 use stoatstep_calls::{AttemptId, Ticket};
 
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The executor of a call's attempt.
+    /// Index of the executor to which a call's attempt goes.
     fn executor_of(&self, attempt: u8) -> u8 {
         (attempt - 1) % self.bounds.executors
     }
@@ -120,7 +120,7 @@
         next
     }
 
-    /// A reply is for the call whose attempt under way has its id.
+    /// Delivers a reply to the call whose current attempt has its id.
     fn hear(&self, next: &mut AttemptState, id: AttemptId, end: End) {
         let by_id = self.safeguards.has(Safeguard::AnswerId);
         let mut numbers = 0..self.bounds.calls;
--- a/crates/spec/src/cases.rs
+++ b/crates/spec/src/cases.rs
@@ -1,4 +1,4 @@
-//! The searches that tests and the `search` example run, by name.
+//! The named searches that the tests and the `search` example run.
 
 use crate::attempt::{AttemptBounds, AttemptSpec};
 use crate::intent::{Clocks, IntentBounds, IntentSpec, Removal};
@@ -9,61 +9,66 @@
 use crate::spreading::{SpreadingBounds, SpreadingSpec};
 use crate::version_log::{Edit, VersionLogSpec};
 
-/// No bound on the steps: the faults and versions that a case has bound it.
+/// No bound on the number of steps; the search is finite since a case has bounded faults and
+/// versions.
 const UNBOUNDED: usize = usize::MAX;
 
-/// One specification with its bounds.
+/// A specification with its bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// One operator's request at two daemons, and one who races with it.
+    /// One operator's request at two daemons, and a conflicting request of another operator.
     WriteRace,
-    /// As above and one who edits something else, with fewer faults.
+    /// The requests of [`Case::WriteRace`] and one that edits another service, with fewer faults.
     WriteApart,
-    /// One operator deletes the service to which another adds a route.
+    /// One operator deletes a service while another adds a route to it.
     WriteReference,
-    /// Deltas and whole states that cross, come twice and are damaged.
+    /// Deltas and whole states that are reordered, duplicated and damaged.
     Delivery,
-    /// Two daemons that restart while the platform may be out.
+    /// Two daemons that restart while the platform may be unavailable.
     RestartOutage,
     /// Two daemons at version 1, one restart and one freeze.
     RestartFreeze,
-    /// Three daemons at version 1, one restart, within fewer steps.
+    /// Three daemons at version 1 and one restart, within a bound on the steps.
     RestartOutageThree,
-    /// Two daemons that restart; the platform answers whenever it is asked.
+    /// Two daemons that restart while the platform answers every request.
     RestartReachable,
-    /// Three of them, within fewer steps.
+    /// Three daemons at version 1 and one restart, while the platform answers every request, within
+    /// a bound on the steps.
     RestartReachableThree,
     /// One call with two attempts.
     Attempt,
-    /// Its attempts at two executors, with more faults.
+    /// One call with two attempts, each at another executor.
     AttemptElsewhere,
     /// Two calls on one connection.
     AttemptPair,
     /// Two calls at an executor with room for one record.
     AttemptFull,
-    /// A key whose home moves, with a restart.
+    /// An idempotency key whose home changes, with a restart.
     Intent,
-    /// The same with the first home's clock ahead.
+    /// An idempotency key whose home changes, with the first home's clock ahead.
     IntentFirstAhead,
-    /// The caller's clock ahead.
+    /// An idempotency key from a caller whose clock is ahead.
     IntentCallerAhead,
-    /// The caller's clock ahead by more than is allowed.
+    /// An idempotency key from a caller whose clock is ahead by more than the allowed skew.
     IntentCallerWrong,
-    /// The home moves there and back; versions come in order.
+    /// The key's home changes and changes back; versions arrive in order.
     IntentBack,
-    /// The same with skipped versions and a restart, the key made later.
+    /// The key's home changes and changes back, with skipped versions and a restart; the key is
+    /// created later.
     IntentBackSkip,
-    /// The upstream that goes is stopped first.
+    /// The key's home changes and changes back; the removed upstream is stopped before, and
+    /// versions are skipped.
     IntentStopped,
-    /// The same with a planned restart in place of skipped versions.
+    /// The key's home changes and changes back; the removed upstream is stopped before, and there
+    /// is a planned restart.
     IntentPlanned,
-    /// A customer's key is taken away; answers are late, and a daemon restarts.
+    /// A customer's key is revoked while answers are delayed and a daemon restarts.
     Keys,
-    /// The same with a daemon that sleeps.
+    /// A customer's key is revoked while answers are delayed and a daemon is suspended.
     KeysAsleep,
 }
 
-/// Every case, in the order of the page.
+/// Every case, in the order of `docs/design/model-checking.md`.
 pub const CASES: &[Case] = &[
     Case::WriteRace,
     Case::WriteApart,
@@ -90,7 +95,7 @@
     Case::KeysAsleep,
 ];
 
-/// For each safeguard, a case in which its absence shows.
+/// For each safeguard, a case that violates an invariant without it.
 pub const WITHOUT: &[(Safeguard, Case)] = &[
     (Safeguard::OperationRow, Case::WriteReference),
     (Safeguard::HeadCondition, Case::WriteRace),
@@ -128,21 +133,21 @@
     (Safeguard::SleepCounts, Case::KeysAsleep),
 ];
 
-/// What a search found, with the steps as text.
+/// Result of a search, with the steps as text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// States visited.
+    /// Number of visited states.
     pub states: usize,
-    /// Steps to the farthest of them.
+    /// Number of steps to the farthest of them.
     pub depth: usize,
-    /// Whether states beyond the bound were left out.
+    /// Whether states beyond the bound were not visited.
     pub is_cut: bool,
-    /// The invariant that the shortest counterexample violates, and its steps.
+    /// The invariant that the shortest counterexample violates, and its steps as text.
     pub violation: Option<(Invariant, Vec<String>)>,
 }
 
 impl Case {
-    /// Searches this case with these safeguards.
+    /// Runs the search of this case with these safeguards.
     #[must_use]
     pub fn search(self, safeguards: Safeguards) -> Summary {
         match self {
--- a/crates/spec/src/intent/home.rs
+++ b/crates/spec/src/intent/home.rs
@@ -1,4 +1,4 @@
-//! One executor: its memory of keys, and the attempts that it has taken in.
+//! State of one executor: its table of idempotency keys, and the attempts that it has received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -13,19 +13,19 @@
 use super::{RETENTION, SKEW, UPSTREAMS, ticks};
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// What is asked for; all tries of the key ask for the same.
+/// Fingerprint of the request, the same for all attempts with the key.
 const REQUEST: Fingerprint = Fingerprint(1);
 
-/// Where an attempt stands.
+/// Progress of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
-    /// Previous homes are to be asked, one after the other.
+    /// Previous homes have to be asked, one after the other.
     Asks(Vec<HomeQuery>),
-    /// An answer to the last question is on its way.
+    /// The answer to the last question is in flight.
     Hears(Vec<HomeQuery>, Version, HomeAnswer),
-    /// The key is taken, and the attempt waits for a slot.
+    /// The attempt holds the key and waits for a slot.
     Waits,
-    /// The target has it.
+    /// The target runs the attempt.
     Runs,
 }
 
@@ -63,7 +63,7 @@
         executor
     }
 
-    /// The next process of this upstream, after a planned stop.
+    /// The process that follows this one after a planned restart.
     pub(super) fn successor(
         &self,
         number: usize,
@@ -137,7 +137,7 @@
         }
     }
 
-    /// What this executor says to a new home.
+    /// The answer of this executor to a new home.
     pub(super) fn answer(
         &self,
         key: &IdempotencyKey,
@@ -151,7 +151,7 @@
         (self.version.into(), self.table.status_for_new_home(key))
     }
 
-    /// The answer of a previous home came in.
+    /// Handles the answer of a previous home.
     pub(super) fn hear(
         &mut self,
         key: &IdempotencyKey,
@@ -186,7 +186,7 @@
         }
     }
 
-    /// The previous home that this attempt asks for is gone for good.
+    /// Records that the previous homes which this attempt waits for were deleted.
     pub(super) fn note_gone(&mut self, id: AttemptId, now: WallTime) {
         let taken = self.taken.remove(&id);
         if let Some(Phase::Asks(questions)) = taken.map(|it| it.phase) {
@@ -197,7 +197,7 @@
         }
     }
 
-    /// The process ends for good. What its target runs goes on.
+    /// Stops the process for good, while its target continues to run.
     pub(super) fn stop(&mut self) {
         self.taken.retain(|_, taken| taken.phase == Phase::Runs);
     }
@@ -252,7 +252,7 @@
     IdempotencyTable::new(authority_from, cfg)
 }
 
-/// The time as a table sees it that lacks one of its checks.
+/// The time altered so that the key passes a check of the table that is switched off.
 fn judged(key: &IdempotencyKey, now: WallTime, safeguards: Safeguards) -> WallTime {
     let created = key.key.created().unwrap_or(now);
     if !safeguards.has(Safeguard::FutureKeyCheck) {
--- a/crates/spec/src/intent/mod.rs
+++ b/crates/spec/src/intent/mod.rs
@@ -1,12 +1,12 @@
-//! One idempotency key that its caller sends several times, through any entry,
-//! while its home moves, restarts and forgets, and while clocks differ.
+//! One idempotency key that its caller sends several times, through any entry, while its home (the
+//! executor that is responsible for the key) changes, restarts and drops records, and while clocks
+//! differ.
 //!
-//! Each executor's memory of keys is a shipped
-//! [`IdempotencyTable`](stoatstep_calls::IdempotencyTable), and who may run the key is
-//! decided by a shipped [`HomeHistory`](stoatstep_calls::HomeHistory). The order in
-//! which the daemon calls them is asynchronous code there and written here anew.
-//! Keys that state no time are fenced by a row in the platform's table, which
-//! is not part of this specification.
+//! Each executor has a production [`IdempotencyTable`](stoatstep_calls::IdempotencyTable), and a
+//! production [`HomeHistory`](stoatstep_calls::HomeHistory) decides which executor may run the key.
+//! The order in which they are called is asynchronous code in the daemon and reimplemented here.
+//! Keys without a creation time are protected by a row in the platform's table, which is not part
+//! of this specification.
 
 mod home;
 mod successors;
@@ -25,69 +25,68 @@
 
 use home::Executor;
 
-/// Most that two clocks may differ, in ticks.
+/// Largest allowed difference between two clocks, in ticks.
 const SKEW: u8 = 1;
 
-/// How long a key is remembered, in ticks.
+/// Time for which the record of a key is kept, in ticks.
 const RETENTION: u8 = 3;
 
-/// Reading of a right calendar clock when the search starts, in seconds.
+/// Reading of a calendar clock without skew in the initial state, in seconds.
 const BEGINNING: u64 = 1_000;
 
-/// Age of the executors when the search starts, in seconds.
+/// Time since the executors' start in the initial state, in seconds.
 const UPTIME: u64 = 100;
 
-/// Upstreams, one for each executor.
+/// Names of the upstreams, one for each executor.
 const UPSTREAMS: [&str; 2] = ["a", "b"];
 
-/// What becomes of the second executor when version 3 takes its upstream away.
+/// What happens to the second executor when version 3 removes its upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Removal {
-    /// It has been stopped, as operators are told to do before they delete an
-    /// upstream.
+    /// The executor has been stopped, as operators should do before they delete an upstream.
     Stopped,
-    /// It goes on, and may learn of it late.
+    /// The executor continues, and may apply version 3 late.
     Live,
 }
 
-/// How many ticks each calendar clock is ahead of the slowest.
+/// Number of ticks by which each calendar clock is ahead of one without skew.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Clocks {
-    /// That of the caller who makes the key.
+    /// The clock of the caller that creates the key.
     pub caller: u8,
-    /// That of the key's first home.
+    /// The clock of the key's first home.
     pub first: u8,
-    /// That of the other executor.
+    /// The clock of the other executor.
     pub second: u8,
 }
 
 /// Bounds of an [`IntentSpec`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IntentBounds {
-    /// How often the caller sends the key.
+    /// Number of attempts that the caller sends with the key.
     pub tries: u8,
-    /// Tick at which the caller makes the key.
+    /// Tick at which the caller creates the key.
     pub made_at: u8,
-    /// Versions: at 1 the first executor is the home, at 2 the second, and at 3
-    /// the first again.
+    /// Number of versions: at version 1 the first executor is the home, at version 2 the second,
+    /// and at version 3 the first again.
     pub versions: u8,
-    /// What version 3 does to the second executor.
+    /// What happens to the second executor at version 3.
     pub removal: Removal,
-    /// Whether executors may skip versions, as those do that read a whole state.
+    /// Whether executors may skip versions, as a daemon that reads a whole state does.
     pub skips: bool,
-    /// Restarts of executors.
+    /// Unplanned restarts of executors.
     pub restarts: u8,
-    /// Planned restarts, each with the memory handed over.
+    /// Planned restarts, at each of which the next process restores the stored snapshot.
     pub planned: u8,
     /// Runs whose answer may be lost.
     pub lost: u8,
     /// Ticks of the clocks.
     pub ticks: u8,
-    /// How the clocks differ.
+    /// Skew of the clocks.
     pub clocks: Clocks,
 }
 
-/// One key.
+/// Specification of one idempotency key.
 #[derive(Clone, Debug)]
 pub struct IntentSpec {
     bounds: IntentBounds,
@@ -97,13 +96,13 @@
     sets: Vec<BTreeSet<UpstreamName>>,
 }
 
-/// What each executor knows, what is on its way, and how often the key ran.
+/// State of the executors and of the attempts in flight, and the number of runs of the key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct IntentState {
     now: u8,
     head: u8,
     sent: u8,
-    /// Attempts on their way, with the version of the entry that sent each.
+    /// Attempts in flight, each with the version that its entry held.
     messages: BTreeMap<AttemptId, u8>,
     executors: Vec<Shared<Executor>>,
     runs: u8,
@@ -114,22 +113,22 @@
     lost: u8,
 }
 
-/// One event. Executors have numbers from 0, attempts from 1.
+/// One event. Executors are numbered from 0, attempts from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum IntentStep {
     /// An entry that holds this version sends the key.
     Send(u8),
-    /// An attempt comes in at the home that its entry sees.
+    /// An attempt arrives at the key's home by the version of its entry.
     Arrive(AttemptId),
-    /// A previous home answers for the attempt at this executor.
+    /// A previous home answers the question of this executor about the attempt.
     Ask(usize, AttemptId),
-    /// That answer comes in.
+    /// The answer of a previous home arrives.
     Hear(usize, AttemptId),
-    /// The attempt is given to the target.
+    /// The attempt is sent to the target.
     Start(usize, AttemptId),
-    /// The previous home is known to be gone.
+    /// The executor learns that the previous home was deleted.
     Gone(usize, AttemptId),
-    /// The attempt is refused before that.
+    /// The attempt is refused before it is sent to the target.
     Refuse(usize, AttemptId),
     /// The target answers.
     Finish(usize, AttemptId),
@@ -139,21 +138,20 @@
     Accept,
     /// An executor applies the next version.
     Apply(usize),
-    /// An executor skips to the newest version.
+    /// An executor skips versions and applies the newest one.
     Skip(usize),
-    /// An executor drops what is old.
+    /// An executor drops expired records.
     Clean(usize),
-    /// An executor restarts. What its target runs goes on.
+    /// An executor restarts, while its target continues to run.
     Restart(usize),
-    /// An executor that runs nothing stops, and the next process takes over its
-    /// memory.
+    /// An executor without attempts stops as planned, and the next process restores its snapshot.
     HandOver(usize),
-    /// Time goes on.
+    /// Time advances by one tick.
     Tick,
 }
 
 impl IntentSpec {
-    /// One key and its caller.
+    /// Creates a specification of one key and its caller.
     #[must_use]
     pub fn new(bounds: IntentBounds, safeguards: Safeguards) -> Self {
         let (first, both) = (set(&UPSTREAMS[..1]), set(&UPSTREAMS));
@@ -224,7 +222,7 @@
     names.iter().copied().map(SmolStr::from).collect()
 }
 
-/// Reading of a clock that is `ahead`, at tick `now`.
+/// Reading at tick `now` of a clock that is `ahead` by this number of ticks.
 fn wall(now: u8, ahead: u8) -> WallTime {
     Duration::from_secs(BEGINNING) + ticks(now + ahead)
 }
@@ -233,7 +231,7 @@
     Duration::from_secs(u64::from(count))
 }
 
-/// A key whose home is the second upstream while there are both.
+/// Returns a key whose home is the second upstream while both exist.
 fn key_that_moves(both: &BTreeSet<UpstreamName>, created: WallTime) -> IdempotencyKey {
     let keys = (0..).map(|number: u32| IdempotencyKey {
         service: "floatdesk".into(),
--- a/crates/spec/src/intent/successors.rs
+++ b/crates/spec/src/intent/successors.rs
@@ -1,4 +1,4 @@
-//! All that may happen next.
+//! The possible next steps.
 
 use stoatstep_calls::{AttemptId, WallTime};
 
--- a/crates/spec/src/invariant.rs
+++ b/crates/spec/src/invariant.rs
@@ -1,42 +1,42 @@
-//! What must hold in every state.
+//! Properties that must hold in every state.
 
 use std::fmt;
 
-/// What must hold in every state that can be reached.
+/// A property that must hold in every reachable state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invariant {
-    /// One operation becomes at most one version, however often it is sent.
+    /// An operation produces at most one version, however often it is sent.
     OperationOnce,
-    /// A version that an operator was told of is that operator's change.
+    /// A version that is reported to an operator contains that operator's change.
     AcceptedIsInLog,
-    /// An operation that was refused does not become a version, then or later.
+    /// An operation that was refused does not produce a version, then or later.
     RefusedIsNotInLog,
-    /// A change takes effect only on the revisions that its operator saw.
+    /// A change takes effect only if its resources are at the revisions that its operator read.
     ExpectedRevision,
     /// A version's row is never changed.
     LogIsFinal,
-    /// Every version in the log can be applied to the one before.
+    /// Every version in the log can be applied to the previous one.
     LogIsValid,
-    /// No instance serves by an older version than one it served by before.
+    /// No instance serves by an older version than it did before.
     NeverBack,
-    /// No route in force points at a service that the daemon does not hold.
+    /// No route in force refers to a service that the daemon does not hold.
     NoDanglingReference,
-    /// What is in force is a whole version as it was accepted.
+    /// The state in force is a whole version as it was accepted.
     WholeVersion,
-    /// A daemon that reaches the platform gets to the newest version by one
-    /// exchange, or two where the first one has to be refused.
+    /// A daemon that can read the platform reaches the newest version with one read, or with two if
+    /// the result of the first has to be refused.
     CatchesUp,
-    /// An attempt that was called "not run" has not run and never does.
+    /// An attempt that was reported as not run has not run and never will.
     NotRunIsTrue,
-    /// A call that is not idempotent runs at most once, and so does a key.
+    /// A call that is not idempotent runs at most once, and so does a call with an idempotency key.
     RunsOnce,
-    /// An answer is the one to the caller's own request.
+    /// A caller receives only the answer to its own request.
     OwnAnswer,
-    /// "Unknown" is said only where a message, a process or time was lost.
+    /// The outcome "unknown" is reported only after a fault, a restart or the passing of time.
     UnknownIsHonest,
-    /// What starts can still end before its caller's deadline.
+    /// An attempt starts only before its caller's deadline.
     StartsInTime,
-    /// A key that was taken away opens nothing after its time, at any daemon.
+    /// A revoked key is not accepted by any daemon after the allowed delay.
     KeyEnds,
 }
 
--- a/crates/spec/src/keys.rs
+++ b/crates/spec/src/keys.rs
@@ -1,8 +1,8 @@
-//! A key that is taken away while daemons are cut off, asleep or restarted.
+//! A customer's key that is revoked while daemons are disconnected, suspended or restarted.
 //!
-//! One daemon asks the host, another one asks the first. Answers arrive late or never. The
-//! key may be used at a daemon that holds the version with it, for as long as that daemon
-//! takes its configuration for recent.
+//! One daemon reads from the platform's store, another one from the first. Answers are delayed or
+//! lost. A daemon accepts the key while it holds the version with the key and its configuration was
+//! confirmed recently enough.
 
 use std::time::Duration;
 
@@ -12,51 +12,51 @@
 use crate::safeguard::{Safeguard, Safeguards};
 use crate::search::Spec;
 
-/// Daemons: the first one asks the host, the second one asks the first.
+/// Number of daemons: the first one reads from the store, the second one from the first.
 const DAEMONS: usize = 2;
 
-/// The version with the key, and the one without it.
+/// The version that contains the key, and the next one, which does not.
 const WITH_KEY: u8 = 1;
 const WITHOUT_KEY: u8 = 2;
 
-/// Ticks for which the key may be used after it was taken away.
+/// Ticks for which the key may still be accepted after it was revoked.
 const BOUND: u8 = 3;
 
-/// What a case has of everything.
+/// Bounds of a [`KeySpec`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KeyBounds {
-    /// Ticks until the end.
+    /// Ticks of the clocks.
     pub ticks: u8,
-    /// Answers under way at a time.
+    /// Answers in flight at a time.
     pub in_flight: usize,
-    /// Processes that start anew.
+    /// Restarts of daemons.
     pub restarts: u8,
-    /// Ticks for which a daemon is suspended.
+    /// Ticks during which a daemon is suspended.
     pub sleeps: u8,
 }
 
-/// The specification, with its bounds.
+/// Specification of a revoked key at two daemons.
 #[derive(Clone, Copy, Debug)]
 pub struct KeySpec {
     bounds: KeyBounds,
     safeguards: Safeguards,
 }
 
-/// One daemon.
+/// State of one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct KeyDaemon {
-    /// Version held; 0 where there is none.
+    /// Version that the daemon holds, or 0 if none.
     version: u8,
     confirmation: Confirmation,
-    /// Ticks that its clock did not count.
+    /// Ticks during which the daemon was suspended.
     slept: u8,
 }
 
-/// An answer that is under way.
+/// An answer in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyAnswer {
     to: usize,
-    /// Local time of the question.
+    /// Time of the request, by the asking daemon's clock.
     asked_at: Duration,
     version: u8,
     age: Duration,
@@ -66,7 +66,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KeyState {
     now: u8,
-    /// When the host acknowledged that the key is gone.
+    /// Tick at which the store acknowledged that the key was revoked.
     removed_at: Option<u8>,
     daemons: [KeyDaemon; DAEMONS],
     answers: Vec<KeyAnswer>,
@@ -81,26 +81,26 @@
     Tick,
     /// Time passes while this daemon is suspended.
     Sleep(usize),
-    /// The host acknowledges the version without the key.
+    /// The store acknowledges the version without the key.
     Remove,
-    /// This daemon asks, and is answered; the answer is under way.
+    /// This daemon sends a request, and the answer to it is in flight.
     Ask(usize),
-    /// The oldest answer that is under way arrives.
+    /// The oldest answer in flight arrives.
     Deliver,
-    /// It is lost.
+    /// The oldest answer in flight is lost.
     Lose,
-    /// This daemon starts anew and has the configuration from the other one.
+    /// This daemon restarts and gets the configuration from the other one.
     Restart(usize),
 }
 
 impl KeySpec {
-    /// The specification with these bounds and safeguards.
+    /// Creates a specification with these bounds and safeguards.
     #[must_use]
     pub fn new(bounds: KeyBounds, safeguards: Safeguards) -> Self {
         Self { bounds, safeguards }
     }
 
-    /// What a daemon's own clock shows.
+    /// The time by a daemon's own clock.
     fn clock(&self, state: &KeyState, daemon: usize) -> Duration {
         let slept = if self.safeguards.has(Safeguard::SleepCounts) {
             0
@@ -131,7 +131,7 @@
     fn deliver(&self, state: &mut KeyState, answer: &KeyAnswer) {
         let now = self.clock(state, answer.to);
         let daemon = &mut state.daemons[answer.to];
-        // The host's answer brings its version along; a peer's only names it.
+        // The store's answer contains the version; a peer's contains only its number.
         if answer.to == 0 {
             daemon.version = daemon.version.max(answer.version);
         }
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -1,21 +1,20 @@
-//! Small specifications of the core protocols, and the search that visits every
-//! state which they can reach.
+//! Model checking of the core protocols: small specifications, and a search that visits every state
+//! that they can reach.
 //!
-//! Each specification puts the shipped decision code into a world where messages
-//! get lost, come late or twice, processes restart and clocks differ, and states
-//! what must hold in every state ([`Invariant`]). [`search`] visits all states
-//! up to a bound. Each [`Safeguard`] can be taken away; the search then finds a
-//! short way to a violation, which the tests keep.
+//! Each specification runs the production decision code in a simulated environment where messages
+//! are lost, delayed or duplicated, processes restart and clocks differ, and checks an
+//! [`Invariant`] in every state. [`search`] visits all states up to a bound. Each [`Safeguard`] can
+//! be switched off; the search then finds a shortest counterexample, which the tests expect.
 //!
-//! * [`VersionLogSpec`]: operators who race, and transactions whose answers are
-//!   lost or that arrive late;
-//! * [`SpreadingSpec`]: versions that cross, come twice or damaged, and daemons
-//!   that restart with nothing;
-//! * [`AttemptSpec`]: calls whose messages, executors and targets get lost;
-//! * [`IntentSpec`]: a key that is sent again while its home moves;
-//! * [`KeySpec`]: a customer's key that is taken away while daemons are cut off.
+//! * [`VersionLogSpec`]: operators who write concurrently, and transactions whose answers are lost
+//!   or that arrive late;
+//! * [`SpreadingSpec`]: versions that are reordered, duplicated or damaged on their way to daemons,
+//!   and daemons that restart with no state;
+//! * [`AttemptSpec`]: calls with lost messages, executor restarts and lost targets;
+//! * [`IntentSpec`]: an idempotency key that is sent again while its home changes;
+//! * [`KeySpec`]: a customer's key that is revoked while daemons are disconnected.
 //!
-//! Bounds, figures and what is not covered are in
+//! The bounds, the results and what is not covered are described in
 //! `docs/design/model-checking.md`.
 
 mod attempt;
--- a/crates/spec/src/resources.rs
+++ b/crates/spec/src/resources.rs
@@ -1,4 +1,4 @@
-//! The few resources that the specifications write.
+//! Resources that the specifications write.
 
 use smol_str::SmolStr;
 use stoatstep_resource::{Key, Kind, Resource, Route, Service};
--- a/crates/spec/src/safeguard.rs
+++ b/crates/spec/src/safeguard.rs
@@ -1,103 +1,103 @@
-//! The safeguards, each of which a search can do without.
+//! Safeguards, each of which can be switched off in a search.
 
-/// One mechanism that an invariant rests on. The decision code always has all of
-/// them; a specification takes one away by changing what that code is told or
-/// what becomes of its word.
+/// A mechanism that an invariant depends on. The decision code always has all of them; a
+/// specification switches one off by changing the input of that code or the effect of its output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Safeguard {
-    /// The operation's row, read before a try and written with the version.
+    /// The operation's row is read before each try and written together with the version.
     OperationRow,
-    /// A transaction holds only while head and version row are as they were read.
+    /// A transaction is applied only if the head row is still as it was read.
     HeadCondition,
-    /// A change whose resources moved on is refused.
+    /// A change to a resource that is no longer at the expected revision is refused.
     RevisionCheck,
-    /// The whole resulting state is validated before it is written.
+    /// The whole resulting state is validated before it is written to the log.
     Validation,
-    /// A writer with an unanswered transaction says "unsettled".
+    /// A writer with an unanswered transaction reports that the outcome is unsettled.
     UnansweredMemory,
-    /// A replica takes only versions above its own.
+    /// A replica accepts only versions above its own.
     VersionAboveOwn,
-    /// A delta's result must have the digest that its writer computed.
+    /// The state after a delta must have the digest that the delta's writer computed.
     DigestCheck,
-    /// References are checked before the swap.
+    /// References between resources are checked before a new state comes into force.
     ReferenceCheck,
-    /// A delta ahead of its turn waits.
+    /// A delta that arrives before its predecessor waits.
     OrderCheck,
-    /// Peers and rows remember the version of a restarted instance.
+    /// Peers, and rows on the platform, remember the version by which a restarted instance served.
     RestartFloor,
-    /// A starting daemon hears the platform, or enough peers, before it serves.
+    /// A starting daemon gets an answer of the platform, or of enough peers, before it serves.
     EnoughHeard,
-    /// Peers stand in for the platform only once it did not answer.
+    /// Answers of peers count only after the platform failed to answer.
     PlatformFirst,
-    /// A revoked attempt is recorded, so that a late arrival is refused.
+    /// A revoked attempt is recorded, so that it is refused if it arrives later.
     RevokeFence,
-    /// An attempt is refused once its ticket is old.
+    /// An attempt with an expired ticket is refused.
     TicketExpiry,
-    /// A record is kept as long as a ticket that may refer to it.
+    /// A record is kept until every ticket that may refer to it has expired.
     RecordRetention,
-    /// A restarted process refuses tickets of its predecessor.
+    /// A restarted process refuses tickets that the previous process issued.
     IncarnationCheck,
     /// A queued attempt that was revoked does not start.
     StartCheck,
-    /// A second copy of an attempt does not run.
+    /// A duplicate of an attempt does not run.
     DuplicateCheck,
-    /// An answer is taken only by the attempt whose id it bears.
+    /// An answer is accepted only by the attempt with the same id.
     AnswerId,
-    /// Only what did not run is tried again.
+    /// Only an attempt that did not run is retried.
     RetryRule,
-    /// What waited past its deadline does not start.
+    /// An attempt that waited past its deadline does not start.
     DeadlineCheck,
-    /// A home takes a key only from an entry with the same set of upstreams.
+    /// A home (the executor responsible for a key) accepts the key only from an entry with the same
+    /// set of upstreams.
     SetIdCheck,
-    /// A new home asks the previous one.
+    /// A new home asks the previous one about the key.
     HomeConfirm,
-    /// A previous home answers only the one that it takes for the home.
+    /// A previous home answers only the executor that is the home by its own configuration.
     AskerCheck,
-    /// A planned restart hands over who was a home as well.
+    /// A planned restart also hands over which upstreams were homes.
     MembersHandedOver,
-    /// The set is looked at again after the previous home answered.
+    /// The set of upstreams is compared again after the previous home has answered.
     RecheckAfterAsk,
-    /// A home has no authority over keys made before its start.
+    /// A home does not run keys that were created before it started.
     AuthoritySince,
-    /// The start's authority leaves a margin for clocks that differ.
+    /// The check of a key against the home's start leaves a margin for clock skew.
     SkewMargin,
-    /// A key from the future is refused.
+    /// A key created in the future is refused.
     FutureKeyCheck,
-    /// A key older than its record is refused.
+    /// A key that is older than the retention of records is refused.
     KeyExpiry,
-    /// A key that may have run stays taken.
+    /// A key that may have run is not released.
     LostKeyKept,
-    /// A confirmation counts from its question, however late it arrives.
+    /// The age of a confirmation counts from its request, however late the answer arrives.
     AgeFromQuestion,
-    /// Only the newest configuration that is held is confirmed.
+    /// A confirmation counts only if the confirmed configuration is held.
     ConfirmsOnlyHeld,
-    /// A configuration that a peer hands over is not confirmed by that.
+    /// A configuration copied from a peer is not thereby confirmed.
     CopyConfirmsNothing,
-    /// The clock goes on while the instance is suspended.
+    /// The clock keeps running while the instance is suspended.
     SleepCounts,
 }
 
-/// Which safeguards a specification has.
+/// The set of safeguards that are switched on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Safeguards {
     off: Option<Safeguard>,
 }
 
 impl Safeguards {
-    /// All of them, as the shipped code has.
+    /// All safeguards, as in production.
     #[must_use]
     pub fn all() -> Self {
         Self::default()
     }
 
-    /// All but one.
+    /// All safeguards except this one.
     #[must_use]
     pub fn without(safeguard: Safeguard) -> Self {
         let off = Some(safeguard);
         Self { off }
     }
 
-    /// Whether this one is there.
+    /// Whether this safeguard is switched on.
     #[must_use]
     pub fn has(self, safeguard: Safeguard) -> bool {
         self.off != Some(safeguard)
--- a/crates/spec/src/search.rs
+++ b/crates/spec/src/search.rs
@@ -7,52 +7,51 @@
 
 use crate::invariant::Invariant;
 
-/// What a search needs of a specification. Each implementation drives the
-/// shipped decision code and adds the world around it: what gets lost, comes
-/// late or twice, and what restarts.
+/// A state machine that can be searched. Each implementation runs the production decision code and
+/// simulates its environment: which messages are lost, delayed or duplicated, and which processes
+/// restart.
 pub trait Spec {
-    /// Everything that later steps depend on, and the record of what happened
-    /// that the invariants speak of.
+    /// Everything that later steps depend on, and the history that the invariants refer to.
     type State: Clone + Eq + Hash;
 
-    /// One event, for people who read a counterexample.
+    /// One event, printed in a counterexample.
     type Step: Clone + fmt::Debug;
 
-    /// Where the search starts.
+    /// The initial state.
     fn start(&self) -> Self::State;
 
-    /// All that may happen next. The order decides which of several shortest
-    /// counterexamples is found, so it has to be the same on every run.
+    /// All possible next steps with the states that they lead to. The order decides which of
+    /// several shortest counterexamples is found, so it has to be the same on every run.
     fn steps(&self, state: &Self::State) -> Vec<(Self::Step, Self::State)>;
 
-    /// The first invariant that does not hold here.
+    /// The first invariant that does not hold in this state.
     fn violated(&self, state: &Self::State) -> Option<Invariant>;
 }
 
-/// Shortest way from the start to a violation.
+/// A shortest sequence of steps from the initial state to a violation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counterexample<T> {
-    /// What does not hold at its end.
+    /// The invariant that does not hold after the last step.
     pub invariant: Invariant,
-    /// What happened, in order.
+    /// The steps in order.
     pub steps: Vec<T>,
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Clone, Debug)]
 pub struct Report<T> {
-    /// Different states that were visited with all their next steps.
+    /// Number of distinct states whose next steps were explored.
     pub states: usize,
-    /// Steps from the start to the farthest of them.
+    /// Number of steps from the initial state to the farthest of them.
     pub depth: usize,
-    /// Whether some states were left out because they lie beyond the bound.
+    /// Whether some states were not visited because they lie beyond the bound.
     pub is_cut: bool,
     /// The shortest counterexample, if there is one.
     pub counterexample: Option<Counterexample<T>>,
 }
 
-/// A state on its way. Two nodes with the same state are the same place, however
-/// they were reached; breadth-first order reaches each by its shortest way first.
+/// A state together with the step that led to it. Nodes with the same state are equal whichever way
+/// they were reached; breadth-first search reaches each one by a shortest way first.
 #[derive(Clone)]
 struct Node<S: Spec> {
     state: S::State,
@@ -74,8 +73,8 @@
     }
 }
 
-/// Visits every state within `bound` steps of the start, or stops at the first
-/// that violates an invariant.
+/// Visits every state within `bound` steps of the initial one, or stops at the first that violates
+/// an invariant.
 pub fn search<S: Spec + Clone>(spec: &S, bound: usize) -> Report<S::Step> {
     let start = Node {
         state: spec.start(),
--- a/crates/spec/src/shared.rs
+++ b/crates/spec/src/shared.rs
@@ -1,18 +1,18 @@
-//! Parts of a state that most steps leave as they are.
+//! Shared parts of a state that most steps don't change.
 
 use std::hash::{BuildHasher, Hash, Hasher};
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// A value whose hash is computed once. A search hashes and compares every state
-/// that it meets, and next to all of each state is as in the state before.
+/// A shared value with a cached hash. A search hashes and compares every state that it visits, and
+/// almost all parts of a state are the same as in the state before.
 #[derive(Clone, Debug)]
 pub(crate) struct Shared<T> {
     value: Arc<T>,
     hash: u64,
 }
 
-/// The same hash on every run, so that searches are repeatable.
+/// A hasher with a fixed seed, so that searches are repeatable.
 type Fixed = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
 
 impl<T: Hash> Shared<T> {
@@ -24,7 +24,7 @@
 }
 
 impl<T: Clone + Hash> Shared<T> {
-    /// The value after a change.
+    /// Returns the changed value and the result of `change`.
     pub(crate) fn changed<R>(&self, change: impl FnOnce(&mut T) -> R) -> (Self, R) {
         let mut value = T::clone(&self.value);
         let result = change(&mut value);
--- a/crates/spec/src/spreading/daemon.rs
+++ b/crates/spec/src/spreading/daemon.rs
@@ -1,4 +1,5 @@
-//! One daemon: what it holds, may serve by, and remembers of others.
+//! State of one daemon: the version that it holds, whether it may serve, and the versions that
+//! other daemons reported to it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,23 +10,23 @@
 use super::DaemonIndex;
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// Time plays no part in what a replica takes.
+/// A fixed time, since what a replica accepts does not depend on the time.
 const NOW: Duration = Duration::ZERO;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Daemon {
     replica: Replica,
-    /// What is in force in place of the replica's state, where a safeguard that
-    /// the replica has was taken away.
+    /// The state in force in place of the replica's, where a safeguard of the replica is switched
+    /// off.
     forced: Option<Arc<State>>,
     serving: Serving,
-    /// The highest version that each daemon reported here.
+    /// The highest version that each other daemon reported to this one.
     remembered: Vec<Version>,
-    /// The highest version that this life held.
+    /// The highest version that this process held.
     newest: Version,
-    /// The version that this life serves by.
+    /// The version by which this process serves, or 0 if it does not serve.
     serves: Version,
-    /// The highest version that any life of this instance served by.
+    /// The highest version by which any process of this instance served.
     served: Version,
 }
 
@@ -90,7 +91,7 @@
         self.serving.serve_alone();
     }
 
-    /// Another daemon answered a question of this one.
+    /// Handles the answer of another daemon to this one's request.
     pub(super) fn hear_answer(
         &mut self,
         me: DaemonIndex,
@@ -103,7 +104,7 @@
         self.remember(peer, other.version());
     }
 
-    /// Another daemon asked this one, and told what it holds and remembers.
+    /// Handles a request of another daemon, which reports the versions that it holds and remembers.
     pub(super) fn hear_question(
         &mut self,
         me: DaemonIndex,
@@ -115,7 +116,7 @@
         self.remember(peer, other.version());
     }
 
-    /// What this daemon says of the version by which another one served.
+    /// The version by which another daemon served, as far as this one remembers it.
     fn floor_of(&self, other: DaemonIndex, safeguards: Safeguards) -> Version {
         if safeguards.has(Safeguard::RestartFloor) {
             self.remembered[other]
@@ -175,7 +176,7 @@
         made.digest == delta.digest
     }
 
-    /// Puts in force what the delta makes of the state, unchecked.
+    /// Applies the delta without checks and puts the result in force.
     fn force(&mut self, delta: &Delta) {
         let mut items: Vec<_> = self
             .in_force()
--- a/crates/spec/src/spreading/message.rs
+++ b/crates/spec/src/spreading/message.rs
@@ -1,4 +1,4 @@
-//! What daemons send each other, and how it may be damaged.
+//! Messages between daemons, and ways in which they can be damaged.
 
 use std::sync::Arc;
 
@@ -6,27 +6,26 @@
 
 use super::{DaemonIndex, index};
 
-/// What is on its way.
+/// Content of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Payload {
-    /// The delta that leads to this version.
+    /// The delta that produces this version.
     Delta(Version),
     /// The whole state at this version.
     Whole(Version),
 }
 
-/// Something on its way to a daemon. Who sent it makes no difference.
+/// A message in flight to a daemon. The sender makes no difference.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Message {
     /// The receiver.
     pub to: DaemonIndex,
-    /// What it brings.
+    /// The content.
     pub payload: Payload,
 }
 
-/// Ways in which a delta may be damaged: the route lost on the way under the
-/// right digest, and the service lost under one that fits the loss, as a faulty
-/// sender would make it.
+/// Damaged variants of a delta: without its route but with the original digest, as after damage on
+/// the way, and without its service but with a matching digest, as from a faulty sender.
 pub(super) fn damaged(
     payload: Payload,
     states: &[Arc<State>],
--- a/crates/spec/src/spreading/mod.rs
+++ b/crates/spec/src/spreading/mod.rs
@@ -1,11 +1,10 @@
-//! Daemons that pass accepted versions on, restart with nothing, and serve.
+//! Daemons that distribute accepted versions, restart with no state, and serve.
 //!
-//! What a daemon holds is a shipped [`Replica`](stoatstep_distribution::Replica)
-//! and whether it may serve a shipped [`Serving`](stoatstep_distribution::Serving).
-//! The world decides when versions are accepted, which message arrives when, how
-//! often and how damaged, and who restarts. A daemon that is frozen is one to
-//! which nothing happens for a while, and a cut is a message that does not come;
-//! the search tries both with everything else.
+//! A daemon's configuration is a production [`Replica`](stoatstep_distribution::Replica), and a
+//! production [`Serving`](stoatstep_distribution::Serving) decides whether the daemon may serve.
+//! The simulated environment decides when versions are accepted, when messages arrive, whether they
+//! are lost, duplicated or damaged, and which daemons restart. A frozen daemon is covered as one
+//! that takes no step for a while, and a network partition as lost messages.
 
 mod daemon;
 mod message;
@@ -25,36 +24,34 @@
 use daemon::Daemon;
 pub use message::{Message, Payload};
 
-/// Number of a daemon, from 0.
+/// Index of a daemon, from 0.
 pub type DaemonIndex = usize;
 
 /// Bounds of a [`SpreadingSpec`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SpreadingBounds {
-    /// Daemons.
+    /// Number of daemons.
     pub daemons: usize,
     /// Versions that may be accepted, at most 3.
     pub versions: Version,
-    /// Whether all daemons hold version 1 at the start, serve by it, and have
-    /// heard of each other.
+    /// Whether initially all daemons hold version 1, serve by it, and have exchanged what they
+    /// hold.
     pub is_warm: bool,
-    /// Messages on their way at a time. Where none may be, daemons pull from each
-    /// other in one step.
+    /// Messages in flight at a time. If this is 0, daemons pull from each other in one step.
     pub in_flight: usize,
-    /// Messages that may be damaged or doubled.
+    /// Messages that may be damaged or duplicated.
     pub faults: u8,
-    /// Restarts. Where there are none, nobody serves: what may be served matters
-    /// to a restarted daemon only.
+    /// Restarts of daemons. If this is 0, no daemon serves, since only a restarted daemon can break
+    /// the rules of serving.
     pub restarts: u8,
-    /// Freezes.
+    /// Freezes of daemons.
     pub freezes: u8,
-    /// Whether the platform answers whenever it is asked. Otherwise it may fail
-    /// to, and restarts are bound by the assumption at
-    /// [`SpreadingStep::Restart`].
+    /// Whether the platform answers every request. Otherwise requests may fail, and restarts are
+    /// limited by the assumption at [`SpreadingStep::Restart`].
     pub has_platform: bool,
 }
 
-/// Accepted versions on their way to a few daemons.
+/// Specification of the distribution of accepted versions to a few daemons.
 #[derive(Clone, Debug)]
 pub struct SpreadingSpec {
     bounds: SpreadingBounds,
@@ -65,7 +62,7 @@
     deltas: Vec<Arc<Delta>>,
 }
 
-/// What was accepted, what each daemon holds, and what is on its way.
+/// The newest accepted version, the state of each daemon, and the messages in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SpreadingState {
     head: Version,
@@ -81,39 +78,38 @@
 pub enum SpreadingStep {
     /// The platform accepts the next version.
     Accept,
-    /// A daemon reads the head and what it lacks.
+    /// A daemon reads the head and the versions that it lacks.
     Poll(DaemonIndex),
-    /// A daemon asks the platform and gets no answer.
+    /// A daemon sends a read to the platform and gets no answer.
     PollFailed(DaemonIndex),
-    /// The first daemon asks the second for its whole state.
+    /// The first daemon pulls the whole state from the second.
     Pull(DaemonIndex, DaemonIndex),
-    /// A daemon sends something to another one.
+    /// A daemon sends a message to another one.
     Send(Message),
-    /// It arrives.
+    /// A message arrives.
     Deliver(Message),
-    /// It arrives, and a copy stays on its way.
+    /// A message arrives, and a duplicate of it stays in flight.
     Double(Message),
-    /// It arrives damaged.
+    /// A message arrives damaged.
     Damage(Message),
-    /// It never arrives.
+    /// A message is lost.
     Lose(Message),
-    /// The first daemon asks the second what it holds, and tells what it holds
-    /// itself.
+    /// The first daemon asks the second which version it holds, and reports its own.
     Exchange(DaemonIndex, DaemonIndex),
-    /// A daemon serves callers by what it holds, if it may.
+    /// A daemon serves callers by the version that it holds, if it may.
     Serve(DaemonIndex),
-    /// A daemon wakes from a freeze.
+    /// A daemon resumes after a freeze.
     Wake(DaemonIndex),
-    /// A daemon that woke and hears nothing serves by what it has.
+    /// A daemon that resumed and gets no answers serves by the version that it holds.
     ServeAlone(DaemonIndex),
-    /// A daemon loses all that it knew. Where the platform may be out, it is
-    /// assumed that afterwards some living daemon still remembers or holds each
-    /// version that an instance served by.
+    /// A daemon restarts and loses its state. If the platform may be unavailable, it is assumed
+    /// that afterwards some running daemon still remembers or holds each version by which an
+    /// instance served.
     Restart(DaemonIndex),
 }
 
 impl SpreadingSpec {
-    /// Daemons that start with nothing, and an empty log.
+    /// Creates a specification of daemons that start with no state and an empty log.
     ///
     /// # Panics
     ///
@@ -138,7 +134,8 @@
         }
     }
 
-    /// Reads head and tail, or head and snapshot where deltas won't do.
+    /// Reads the head and the tail of the log, or the head and a snapshot if the daemon needs a
+    /// whole state.
     fn poll(&self, daemon: &mut Daemon, head: Version) {
         daemon.hear_head(head, self.digests[index(head)]);
         if daemon.asks_whole() {
@@ -165,8 +162,8 @@
         state
     }
 
-    /// From here on nothing goes wrong and the daemon reads the platform: does
-    /// it hold the newest version after two reads?
+    /// Whether the daemon holds the newest version after two further reads of the platform without
+    /// faults.
     fn catches_up(&self, daemon: &Daemon, head: Version) -> bool {
         let mut daemon = daemon.clone();
         self.poll(&mut daemon, head);
@@ -205,8 +202,8 @@
         next
     }
 
-    /// The assumption for restarts while the platform is out: whatever version
-    /// an instance served by, some living daemon remembers it or holds it.
+    /// The assumption for restarts while the platform is unavailable: every version by which an
+    /// instance served is remembered or held by some running daemon.
     fn is_remembered(&self) -> bool {
         let knows = |daemon: &Daemon, i, served| {
             daemon.remembers(i) >= served || daemon.version() >= served
@@ -251,8 +248,8 @@
     }
 }
 
-/// A service with a route; a second route; and both of them gone again, for
-/// which the order of versions matters.
+/// The changes of the versions: the first adds a service with a route, the second another service
+/// with a route, and the third deletes those of the first, so that the order of versions matters.
 fn changes() -> Vec<(Vec<Resource>, Vec<Key>)> {
     let first = vec![service("floatdesk"), route("floats", "floatdesk")];
     let second = vec![service("refundhall"), route("refunds", "refundhall")];
--- a/crates/spec/src/version_log/log.rs
+++ b/crates/spec/src/version_log/log.rs
@@ -1,4 +1,4 @@
-//! The log as it stands in the table, judged row by row.
+//! The log as it is stored in the table, and the checks of its versions.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
 use crate::invariant::Invariant;
 use crate::resources::service;
 
-/// Place of the operation's row in a writer's read.
+/// Index of the operation's row in a writer's read.
 pub(super) const OPERATION_ROW: usize = 1;
 
-/// Operation of the version that every search starts from.
+/// Id of the operation that produces the initial version.
 const BASE: &str = "base";
 
 pub(super) fn is_of_operation(condition: &Condition) -> bool {
@@ -30,7 +30,7 @@
     key.starts_with(OPERATION_PREFIX)
 }
 
-/// A table with one service at version 1, and that state.
+/// Returns a table with one service at version 1, and the state at that version.
 pub(super) fn with_one_service() -> (Table, Arc<State>) {
     let state = State::default();
     let delta = state.delta(vec![service("floatdesk")], Vec::new());
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether every version of `before` is still there and the same.
+    /// Whether every version of `before` is still in the log and unchanged.
     pub(super) fn continues(&self, before: &Self) -> bool {
         self.versions.starts_with(&before.versions)
     }
@@ -89,7 +89,7 @@
         same.count()
     }
 
-    /// The rows that add a change whatever state it leads to.
+    /// The version and the rows that add a change to the log without validation.
     pub(super) fn unchecked(&self, change: &Change) -> (Version, Vec<Write>) {
         let puts = change.puts.iter().map(|(it, _)| it.clone()).collect();
         let deletes = change.deletes.iter().map(|(it, _)| it.clone()).collect();
--- a/crates/spec/src/version_log/mod.rs
+++ b/crates/spec/src/version_log/mod.rs
@@ -1,10 +1,9 @@
-//! Operators who write to the version log while answers get lost and
-//! transactions arrive late.
+//! Operators who write to the version log while answers are lost and transactions arrive late.
 //!
-//! Each request is a shipped [`Writer`](stoatstep_versionlog::Writer) and the
-//! platform a shipped [`Table`](stoatstep_platform::Table). The world decides
-//! which request goes on next, and how a transaction ends: answered, done with
-//! its answer lost, on its way for any time, or refused.
+//! Each request is a production [`Writer`](stoatstep_versionlog::Writer), and the platform is a
+//! production [`Table`](stoatstep_platform::Table). The simulated environment decides which request
+//! proceeds next, and whether a transaction is answered, applied with its answer lost, delayed for
+//! any time, or refused.
 
 mod log;
 mod request;
@@ -23,7 +22,7 @@
 use request::Request;
 pub use request::{Edit, Told};
 
-/// Operators' requests, and the faults that may happen.
+/// Specification of operators' requests, with a bound on the faults.
 #[derive(Clone, Debug)]
 pub struct VersionLogSpec {
     edits: Vec<Edit>,
@@ -31,7 +30,7 @@
     safeguards: Safeguards,
 }
 
-/// Platform and requests. The log's rows are kept decoded beside the table.
+/// State of the platform and of the requests. `log` is the decoded form of the table's log rows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VersionLogState {
     table: Shared<Table>,
@@ -42,28 +41,28 @@
     broken: Option<Invariant>,
 }
 
-/// One event; the number is the request's.
+/// One event. The number is the index of the request, unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteStep {
-    /// A read is answered.
+    /// The platform answers a read.
     Read(usize),
-    /// The platform gives no answer and the request's time is over.
+    /// The platform does not answer before the request times out.
     GaveUp(usize),
-    /// A transaction is done or refused by its conditions, and answered.
+    /// A transaction is applied or refused by its conditions, and answered.
     Committed(usize),
-    /// A transaction is done or refused by its conditions; no answer comes.
+    /// A transaction is applied or refused by its conditions, and the answer is lost.
     AnswerLost(usize),
-    /// A transaction hangs on its way; no answer comes.
+    /// A transaction is delayed, and the writer gets no answer.
     Delayed(usize),
-    /// The platform is out, and says so.
+    /// The platform answers that it is unavailable.
     Unavailable(usize),
-    /// A transaction that hung arrives, by its place among those that hang.
+    /// A delayed transaction arrives; the number is its index among those in flight.
     Landed(usize),
 }
 
 impl VersionLogSpec {
-    /// Requests that start at the same time from one service, `floatdesk`, at
-    /// version 1, and at most `faults` lost, late or refused messages.
+    /// Creates a specification of requests that start at the same time from one service,
+    /// `floatdesk`, at version 1, with at most `faults` lost, delayed or refused messages.
     #[must_use]
     pub fn new(edits: Vec<Edit>, faults: u8, safeguards: Safeguards) -> Self {
         Self {
@@ -73,7 +72,7 @@
         }
     }
 
-    /// The transaction as the platform gets it.
+    /// The transaction without the parts that belong to a safeguard which is switched off.
     fn sent(&self, mut req: CommitRequest) -> CommitRequest {
         if !self.safeguards.has(Safeguard::HeadCondition) {
             req.conditions.retain(log::is_of_operation);
@@ -163,7 +162,7 @@
         self.log = Shared::new(log);
     }
 
-    /// What a writer without validation would do.
+    /// Commits the change as a writer without validation would.
     fn write_unchecked(&mut self, change: &Change) -> u64 {
         let (version, writes) = self.log.unchecked(change);
         let conditions = Vec::new();
@@ -191,8 +190,8 @@
         }
     }
 
-    /// Whether every request of this operation was refused. While another one is
-    /// under way elsewhere, a refusal speaks of its own request only.
+    /// Whether every request of this operation was refused. While another one is still in progress,
+    /// a refusal applies to its own request only.
     fn all_refused(&self, operation: &OperationId) -> bool {
         let mut same = self
             .requests
--- a/crates/spec/src/version_log/request.rs
+++ b/crates/spec/src/version_log/request.rs
@@ -12,10 +12,10 @@
 use crate::resources::{key, route, service};
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// Past every budget of a writer.
+/// A time after the timeout of every writer.
 const LATE: Duration = Duration::from_hours(1);
 
-/// What an operator wants. Two edits with one operation id are the same request
+/// A change requested by an operator. Two edits with the same operation id are the same request
 /// sent to two daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Edit {
@@ -25,7 +25,7 @@
         operation: &'static str,
         /// The service.
         name: &'static str,
-        /// Revision that the operator saw, if that matters.
+        /// Revision that the operator expects, if any.
         expected: Option<Revision>,
     },
     /// Deletes a service.
@@ -39,7 +39,7 @@
     AddRoute {
         /// Id of the operation.
         operation: &'static str,
-        /// The service that it points at.
+        /// The service that the route refers to.
         service: &'static str,
     },
 }
@@ -68,14 +68,14 @@
     }
 }
 
-/// What an operator was told.
+/// The outcome that was reported to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Told {
-    /// The change became this version.
+    /// The change produced this version.
     Accepted(Version),
     /// The change did not take effect and will not.
     Refused,
-    /// It may have taken effect, or may still.
+    /// The change may have taken effect or may still do so.
     Unsettled,
 }
 
@@ -86,7 +86,7 @@
     Ended,
 }
 
-/// A writer with what it waits for.
+/// A writer with its pending action.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     change: Change,
@@ -130,8 +130,8 @@
         )
     }
 
-    /// Waits are left out: only their order with other events matters, and the
-    /// search tries all orders.
+    /// Passes an input to the writer. Delays are skipped: only their order with other events
+    /// matters, and the search tries all orders.
     pub(super) fn step(&mut self, input: WriteInput, safeguards: Safeguards) {
         self.action = self.writer.step(Duration::ZERO, input);
         if let WriteAction::Wait(_) = self.action {
@@ -170,7 +170,7 @@
     }
 }
 
-/// Requests stand in fixed places, so their changes need no comparison.
+/// Requests with equal indexes in two states have the same change, so it is not compared.
 impl PartialEq for Request {
     fn eq(&self, other: &Self) -> bool {
         self.told == other.told
--- a/crates/spec/tests/all/calls.rs
+++ b/crates/spec/tests/all/calls.rs
@@ -1,11 +1,11 @@
-//! Safeguards of calls: without any one of them a promise breaks.
+//! Safeguards of calls: without any one of them an invariant is violated.
 
 use stoatstep_spec::{Invariant, Safeguard};
 
 use crate::support::breaks;
 
-// The connection breaks, the entry revokes, and the caller is told "not run". The
-// request was only slow: it arrives after that and runs.
+// The connection breaks, the entry revokes the attempt, and the caller gets the outcome "not run".
+// The request was only delayed: it arrives after that and runs.
 #[test]
 fn a_late_arrival_without_a_fence() {
     breaks(
@@ -19,8 +19,8 @@
     );
 }
 
-// As above, but the request is so late that the fence was dropped by age. Only the
-// age of its ticket tells that it must not run.
+// A revoked request arrives so late that the ledger's record of the revoke has expired. Only the
+// age of its ticket shows that it must not run.
 #[test]
 fn a_late_arrival_after_the_fence_is_dropped() {
     breaks(
@@ -34,8 +34,8 @@
     );
 }
 
-// The ledger drops the fence while the ticket of the revoked attempt is still good.
-// The request arrives in between and runs after "not run".
+// The ledger drops the record of the revoke while the ticket of the revoked attempt is still valid.
+// The request arrives before the ticket expires and runs after the outcome "not run".
 #[test]
 fn a_fence_dropped_before_its_ticket_is_old() {
     breaks(
@@ -49,8 +49,8 @@
     );
 }
 
-// The executor restarts and has lost the fence. The request that was revoked arrives
-// under a ticket of the former process and runs after "not run".
+// The executor restarts and loses the record of the revoke. The revoked request arrives with a
+// ticket of the previous process and runs after the outcome "not run".
 #[test]
 fn a_late_arrival_at_a_restarted_executor() {
     breaks(
@@ -64,8 +64,8 @@
     );
 }
 
-// The attempt waits in the queue when its entry revokes it and tells "not run". Then
-// its turn comes.
+// The attempt waits in the queue when its entry revokes it and reports the outcome "not run". Then
+// it gets a slot.
 #[test]
 fn a_queued_attempt_started_after_its_revoke() {
     breaks(
@@ -76,8 +76,8 @@
     );
 }
 
-// A second copy of a request arrives while the first one runs. Taken for a new one
-// it runs beside it: the ledger of a school shows the claim twice.
+// A duplicate of a request arrives while the first one runs. Taken for a new request it runs too,
+// and the claim is executed twice.
 #[test]
 fn a_second_copy_that_runs() {
     breaks(
@@ -91,8 +91,8 @@
     );
 }
 
-// Two callers wait at one entry. The answer to the second comes first and is given
-// to whoever waits first.
+// Two callers wait at one entry. The answer to the second one arrives first and is given to the
+// first one.
 #[test]
 fn an_answer_given_to_another_caller() {
     breaks(
@@ -106,8 +106,8 @@
     );
 }
 
-// The target's connection breaks while a claim runs. The entry tries again as if it
-// had not run, and it runs twice.
+// The connection to the target breaks while a claim runs. The entry retries as if it had not run,
+// and it runs twice.
 #[test]
 fn a_retry_of_what_may_have_run() {
     breaks(
@@ -121,8 +121,8 @@
     );
 }
 
-// An attempt waits in the queue past its deadline, as after a freeze. Its caller has
-// gone, and the target would work for nobody.
+// An attempt waits in the queue past its deadline, as after a freeze. Its caller no longer waits,
+// and the target would do useless work.
 #[test]
 fn a_start_after_the_deadline() {
     breaks(
@@ -133,8 +133,8 @@
     );
 }
 
-// A claim runs at its home. A new version moves the home, and the caller's retry goes
-// to the new one, which does not ask the old one.
+// A claim runs at its home. A new version changes the home, and the caller's retry goes to the new
+// home, which does not ask the previous one.
 #[test]
 fn a_new_home_that_asks_nobody() {
     breaks(
@@ -145,9 +145,9 @@
     );
 }
 
-// The home moved to b and back to a, which skipped the version in between and has
-// never heard of b. b lags, takes the key and asks a, which says "never"; then a
-// takes another try of the key as well.
+// The home changed to b and back to a, which skipped the version in between and doesn't know of b.
+// b lags behind, receives the key and asks a, which answers that it never ran it; then a accepts
+// another attempt with the key as well.
 #[test]
 fn a_promise_to_one_who_is_not_the_home() {
     breaks(
@@ -158,9 +158,9 @@
     );
 }
 
-// A key ran at b, whose upstream is then taken away. a is restarted as planned with
-// its memory, by which it has authority over the key, and nobody is left to ask:
-// it must still know that b was a home.
+// A key ran at b, whose upstream is then deleted. a restarts as planned and restores its snapshot,
+// which gives it authority over the key, and no other home is left to ask: a must still know that b
+// was a home.
 #[test]
 fn a_planned_restart_that_forgets_who_was_a_home() {
     breaks(
@@ -171,8 +171,8 @@
     );
 }
 
-// b asks a about the key, and is told "never". Before the answer arrives the home
-// moves back to a, which asks b and is told the same. Both run it.
+// b asks a about the key, and a answers that it never ran it. Before the answer arrives the home
+// changes back to a, which asks b and gets the same answer. Both run it.
 #[test]
 fn a_set_that_changed_while_the_old_home_was_asked() {
     breaks(
@@ -183,8 +183,8 @@
     );
 }
 
-// A claim runs at its home, which restarts. The retry finds no record of it and is
-// taken for the first try.
+// A claim runs at its home, which restarts. The retry finds no record of it and is taken for the
+// first attempt.
 #[test]
 fn a_restarted_home_without_memory() {
     breaks(
@@ -195,8 +195,8 @@
     );
 }
 
-// The caller's clock is ahead, within the bound. Its key seems to be made after the
-// restart of the home, where it ran before.
+// The caller's clock is ahead, within the allowed skew. Its key seems to have been created after
+// the restart of the home, where it ran before that.
 #[test]
 fn a_key_from_a_clock_that_is_ahead() {
     breaks(
@@ -207,8 +207,8 @@
     );
 }
 
-// The caller's clock is ahead by more than is allowed. Without the check the key
-// runs, and still seems to be made after the restart that follows.
+// The caller's clock is ahead by more than the allowed skew. Without the check the key runs, and
+// still seems to have been created after the restart that follows.
 #[test]
 fn a_key_from_the_future() {
     breaks(
@@ -219,8 +219,7 @@
     );
 }
 
-// A claim ran, and its record was dropped by age. A retry that comes after that is
-// taken for a new key.
+// A claim ran, and its record has expired. A retry that arrives after that is taken for a new key.
 #[test]
 fn a_key_older_than_its_record() {
     breaks(
@@ -231,8 +230,8 @@
     );
 }
 
-// The target's connection breaks while a claim runs. The home frees the key, and the
-// retry runs it again.
+// The connection to the target breaks while a claim runs. The home releases the key, and the retry
+// runs it again.
 #[test]
 fn a_key_freed_after_a_lost_answer() {
     breaks(
--- a/crates/spec/tests/all/configuration.rs
+++ b/crates/spec/tests/all/configuration.rs
@@ -1,12 +1,11 @@
-//! Safeguards of configuration: without any one of them a promise breaks.
+//! Safeguards of the configuration: without any one of them an invariant is violated.
 
 use stoatstep_spec::{Invariant, Safeguard};
 
 use crate::support::breaks;
 
-// The operator is told nothing, since the answer is lost after the effect. The
-// writer reads the log, can't tell its own version from another's, and writes
-// the change a second time.
+// The transaction is applied and its answer is lost. The writer reads the log, can't tell its own
+// version from another one's, and writes the change a second time.
 #[test]
 fn an_answer_lost_without_the_operation_row() {
     breaks(
@@ -17,8 +16,8 @@
     );
 }
 
-// Two operators read the same head and both write the next version. The second
-// one replaces the first one's row, after its operator was told "accepted".
+// Two operators read the same head and both write the next version. The second one replaces the
+// first one's row, which was already reported as accepted.
 #[test]
 fn two_writers_without_a_condition_on_the_head() {
     breaks(
@@ -29,8 +28,8 @@
     );
 }
 
-// Two operators create the same service, each having seen that it is absent. The
-// second one overwrites what the first was told is accepted.
+// Two operators create the same service, and each one expects it to be absent. The second one
+// overwrites the first one's service, which was already reported as accepted.
 #[test]
 fn a_race_without_revisions() {
     breaks(
@@ -41,8 +40,8 @@
     );
 }
 
-// One operator deletes a service while another adds a route to it. Each change is
-// fine by itself; both together make a version that no proxy can apply.
+// One operator deletes a service while another adds a route to it. Each change is valid by itself;
+// together they produce a version that no proxy can apply.
 #[test]
 fn a_deletion_beside_a_new_route_without_validation() {
     breaks(
@@ -53,9 +52,9 @@
     );
 }
 
-// The answer is lost after the effect, and then the platform is out until the
-// writer's time is over. Told "refused", the operator would edit again under a new
-// id, while the first edit is in the log.
+// The transaction is applied, its answer is lost, and the platform stays unavailable until the
+// writer times out. If the change were reported as refused, the operator would repeat it under a
+// new id although it is in the log.
 #[test]
 fn a_lost_answer_forgotten() {
     breaks(
@@ -66,8 +65,8 @@
     );
 }
 
-// A whole state at version 1 is slow on its way to a daemon that has meanwhile
-// read version 2 at the platform. Callers would see what 2 removed come back.
+// A whole state at version 1 arrives late at a daemon that has read version 2 from the platform in
+// the meantime. The daemon would revert to version 1.
 #[test]
 fn an_old_state_that_arrives_late() {
     breaks(
@@ -81,8 +80,8 @@
     );
 }
 
-// A delta loses one of its two resources on the way. Without the digest the
-// receiver applies the rest and calls it the version.
+// A delta loses one of its two resources on the way. Without the check of the digest the receiver
+// applies the rest as if it were the whole version.
 #[test]
 fn a_delta_that_lost_its_route() {
     breaks(
@@ -96,8 +95,8 @@
     );
 }
 
-// A faulty sender leaves the service out of a delta and computes a fitting digest.
-// The receiver would route callers to a service that it does not hold.
+// A faulty sender omits the service from a delta and computes a matching digest. The receiver would
+// route callers to a service that it does not hold.
 #[test]
 fn a_delta_that_lost_its_service() {
     breaks(
@@ -111,8 +110,8 @@
     );
 }
 
-// Version 2 arrives at a daemon that never saw version 1. Applied to nothing, it
-// holds half of what was accepted.
+// The delta of version 2 arrives at a daemon that doesn't hold version 1. Applied to the empty
+// state it produces only a part of version 2.
 #[test]
 fn a_delta_ahead_of_its_turn() {
     breaks(
@@ -126,8 +125,8 @@
     );
 }
 
-// An instance serves version 2 and restarts with the platform out. Its peer holds
-// version 1, and has heard of 2 from the former life but does not say so.
+// An instance serves version 2 and restarts while the platform is unavailable. Its peer holds
+// version 1, and received the number 2 from the previous process but does not report it.
 #[test]
 fn a_restart_that_nobody_remembers() {
     breaks(
@@ -138,8 +137,8 @@
     );
 }
 
-// An instance serves version 2, restarts, and gets version 1 from a peer. It serves
-// that before anyone could tell it what it served before.
+// An instance serves version 2, restarts, and gets version 1 from a peer. It serves version 1
+// before any answer could report which version it served before.
 #[test]
 fn a_start_without_asking_anyone() {
     breaks(
@@ -150,9 +149,9 @@
     );
 }
 
-// An instance reads version 2, serves by it and dies before it told anyone. Started
-// again it hears from its peer, at version 1, before it has asked the platform,
-// which is reachable and knows better.
+// An instance reads version 2, serves by it and crashes before it has reported that to any peer.
+// After the restart it gets an answer of its peer, at version 1, before it has asked the platform,
+// which is reachable and has version 2.
 #[test]
 fn peers_heard_before_the_platform() {
     breaks(
--- a/crates/spec/tests/all/exhaustive.rs
+++ b/crates/spec/tests/all/exhaustive.rs
@@ -1,12 +1,12 @@
-//! With all safeguards no invariant is violated.
+//! Tests that no invariant is violated with all safeguards.
 
 use stoatstep_spec::cases::{CASES, Case};
 use stoatstep_spec::{Safeguard, Safeguards};
 
-/// Cases that are too large to be visited whole.
+/// Cases that are too large for all their states to be visited.
 const CUT: &[Case] = &[Case::RestartOutageThree, Case::RestartReachableThree];
 
-/// Every fourth case, so that four tests share the work evenly.
+/// Checks every fourth case from `first` on, so that four tests share the work evenly.
 fn hold(first: usize) {
     for case in CASES.iter().skip(first).step_by(4) {
         let summary = case.search(Safeguards::all());
@@ -45,9 +45,9 @@
     assert_eq!(search(), search());
 }
 
-// An entry holds another set of upstreams than the home that it asks. The id that
-// it sends is compared, but a home that looks at its own set alone refuses the same
-// attempts: the check saves a round trip and no promise rests on it.
+// An entry holds another set of upstreams than the home to which it sends an attempt. The home
+// compares the set's id, but would refuse the same attempts by its own set alone: the check saves a
+// round trip, and no invariant depends on it.
 #[test]
 fn the_set_id_alone_prevents_nothing() {
     for case in [Case::Intent, Case::IntentBack] {
--- a/crates/spec/tests/all/keys.rs
+++ b/crates/spec/tests/all/keys.rs
@@ -1,10 +1,10 @@
-//! Safeguards of keys that are taken away.
+//! Safeguards of revoked keys: without any one of them an invariant is violated.
 
 use stoatstep_spec::{Invariant, Safeguard};
 
 use crate::support::breaks;
 
-/// An answer that was held up on its way makes an old configuration look recent.
+/// A delayed answer makes an old configuration look recent.
 #[test]
 fn a_late_answer_dated_by_its_arrival() {
     breaks(
@@ -15,7 +15,7 @@
     );
 }
 
-/// Word that a newer version was the newest is taken for word of the one held.
+/// The confirmation of a newer version is taken for a confirmation of the version held.
 #[test]
 fn a_confirmation_of_a_version_that_is_not_held() {
     breaks(
@@ -26,7 +26,7 @@
     );
 }
 
-/// A daemon that starts takes what a peer hands over for new.
+/// A daemon that starts takes the configuration from a peer for a recently confirmed one.
 #[test]
 fn a_copy_of_an_old_configuration() {
     breaks(
@@ -37,7 +37,7 @@
     );
 }
 
-/// A daemon wakes up and takes its configuration for as recent as it was.
+/// A daemon resumes after a suspension and doesn't count the time that has passed.
 #[test]
 fn a_clock_that_stands_still_with_the_instance() {
     breaks(
--- a/crates/spec/tests/all/main.rs
+++ b/crates/spec/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! What the searches find.
+//! Tests of the results of the searches.
 
 mod calls;
 mod configuration;
--- a/crates/spec/tests/all/support.rs
+++ b/crates/spec/tests/all/support.rs
@@ -1,15 +1,17 @@
-//! Searching without one safeguard.
+//! Searches with one safeguard switched off.
 
 use stoatstep_spec::cases::WITHOUT;
 use stoatstep_spec::{Invariant, Safeguard, Safeguards};
 
-/// Asserts that without this safeguard the shortest way to a violation has so
-/// many steps and ends in these.
+/// Asserts that without this safeguard the invariant is violated, and that the shortest
+/// counterexample has this number of steps and ends with the steps in `last`.
 pub(crate) fn breaks(safeguard: Safeguard, invariant: Invariant, steps: usize, last: &[&str]) {
     let mut cases = WITHOUT.iter().filter(|(it, _)| *it == safeguard);
     let (_, case) = cases.next().expect("every safeguard has a case");
     let summary = case.search(Safeguards::without(safeguard));
-    let (found, way) = summary.violation.expect("its absence shows");
+    let (found, way) = summary
+        .violation
+        .expect("an invariant is violated without the safeguard");
     assert_eq!(found, invariant, "{way:?}");
     assert_eq!(way.len(), steps, "{way:?}");
     assert!(
--- a/crates/versionlog/src/config.rs
+++ b/crates/versionlog/src/config.rs
@@ -68,8 +68,8 @@
         self
     }
 
-    /// Sets the upper bound of the first random delay after a failure; 20 ms by default. Each further
-    /// failure doubles it.
+    /// Sets the upper bound of the first random delay after a failure; 20 ms by default. Each
+    /// further failure doubles it.
     #[must_use]
     pub fn first_wait(mut self, wait: Duration) -> Self {
         self.cfg.first_wait = wait;
--- a/crates/versionlog/src/recovery.rs
+++ b/crates/versionlog/src/recovery.rs
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Handles an input at time `now` and returns the next action. The input has to be the answer to
-    /// the previous action.
+    /// Handles an input at time `now` and returns the next action. The input has to be the answer
+    /// to the previous action.
     pub fn step(&mut self, now: Duration, input: RecoveryInput) -> RecoveryAction {
         self.backoff.start(now);
         match input {
--- a/crates/versionlog/src/snapshot/mod.rs
+++ b/crates/versionlog/src/snapshot/mod.rs
@@ -115,8 +115,8 @@
         }
     }
 
-    /// Handles an input at time `now` and returns the next action. The input has to be the answer to
-    /// the previous action.
+    /// Handles an input at time `now` and returns the next action. The input has to be the answer
+    /// to the previous action.
     pub fn step(&mut self, now: Duration, input: SnapshotInput) -> SnapshotAction {
         self.backoff.start(now);
         match input {
--- a/crates/versionlog/src/snapshot/trim.rs
+++ b/crates/versionlog/src/snapshot/trim.rs
@@ -9,8 +9,8 @@
 use crate::keys::operation_key;
 use crate::rows::{Head, HeadRow, LogEntry, SnapshotRef, version_of};
 
-/// Most snapshots in the head row. With the default settings the retained tail needs five; the bound
-/// takes effect only where the settings were changed between snapshots.
+/// Most snapshots in the head row. With the default settings the retained tail needs five; the
+/// bound takes effect only where the settings were changed between snapshots.
 const MAX_SNAPSHOTS: usize = 8;
 
 /// Returns the head with `snapshot` added, and the transaction that writes it. The transaction also
--- a/crates/versionlog/src/tail.rs
+++ b/crates/versionlog/src/tail.rs
@@ -89,8 +89,8 @@
     })
 }
 
-/// Decodes the rows' deltas and checks for gaps. Without the check a missing row would look like the
-/// end of the log, and the reader would stay behind the head forever without an error.
+/// Decodes the rows' deltas and checks for gaps. Without the check a missing row would look like
+/// the end of the log, and the reader would stay behind the head forever without an error.
 fn read_deltas(from: Version, head: &Head, rows: &[Row]) -> Result<Vec<Delta>, LogError> {
     let mut deltas = Vec::with_capacity(rows.len());
     let mut next = from + 1;
--- a/crates/versionlog/src/writer/mod.rs
+++ b/crates/versionlog/src/writer/mod.rs
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Handles an input at time `now` and returns the next action. The input has to be the answer to
-    /// the previous action.
+    /// Handles an input at time `now` and returns the next action. The input has to be the answer
+    /// to the previous action.
     pub fn step(&mut self, now: Duration, input: WriteInput) -> WriteAction {
         self.backoff.start(now);
         match input {
@@ -292,9 +292,9 @@
         self.fail(WriteError::Unavailable { retry_after })
     }
 
-    /// Ends with `error`, or with [`WriteError::Unsettled`] while a transaction may still be applied.
-    /// An operator who is told "failed" would repeat the edit under a new id, and both could take
-    /// effect.
+    /// Ends with `error`, or with [`WriteError::Unsettled`] while a transaction may still be
+    /// applied. An operator who is told "failed" would repeat the edit under a new id, and both
+    /// could take effect.
     fn fail(&mut self, error: WriteError) -> WriteAction {
         let error = match &self.unanswered {
             Some(_) => WriteError::Unsettled {
--- a/crates/versionlog/src/writer/prepare.rs
+++ b/crates/versionlog/src/writer/prepare.rs
@@ -91,8 +91,8 @@
 }
 
 /// The resources that differ from those in the state. Operators often apply a whole folder of which
-/// one file changed; sending the rest again would cost every daemon about as much as a snapshot, and
-/// would change revisions that other operators expect.
+/// one file changed; sending the rest again would cost every daemon about as much as a snapshot,
+/// and would change revisions that other operators expect.
 fn changed_puts<'a>(change: &'a Change, state: &'a State) -> impl Iterator<Item = &'a Resource> {
     let puts = change.puts.iter().map(|(resource, _)| resource);
     puts.filter(|resource| {
--- a/crates/versionlog/tests/random.rs
+++ b/crates/versionlog/tests/random.rs
@@ -65,9 +65,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// With any faults and any arrival of delayed transactions, no operation is in the log twice. An
-    /// operation reported as a version is in the log at that version; one reported as failed is not
-    /// in the log, then or later.
+    /// With any faults and any arrival of delayed transactions, no operation is in the log twice.
+    /// An operation reported as a version is in the log at that version; one reported as failed is
+    /// not in the log, then or later.
     #[test]
     fn what_writers_are_told_is_true(events in prop::collection::vec(event(), 0..120)) {
         let platform = MemoryPlatform::new();
--- a/crates/versionlog/tests/recovery.rs
+++ b/crates/versionlog/tests/recovery.rs
@@ -177,8 +177,8 @@
 
 #[test]
 fn a_state_other_than_the_heads_is_not_served() {
-    // The head row and the log contradict each other. The daemon serves neither, since it can't tell
-    // which one the other daemons hold.
+    // The head row and the log contradict each other. The daemon serves neither, since it can't
+    // tell which one the other daemons hold.
     // Safeguard: `Recovery::check` compares digests.
     let (platform, _) = with_snapshots();
     let log = log(&platform, &cfg());
--- a/crates/versionlog/tests/snapshots.rs
+++ b/crates/versionlog/tests/snapshots.rs
@@ -137,10 +137,10 @@
 
 #[test]
 fn a_crash_at_any_point_leaves_nothing_that_matters() {
-    // The daemon crashes after its first, second, ... request. Each time a cold start still finds the
-    // newest state, and the next snapshot deletes what was left behind.
-    // Safeguard: the object is written before the head refers to it, and rows and objects are deleted
-    // in or after the transaction that removes the references to them.
+    // The daemon crashes after its first, second, ... request. Each time a cold start still finds
+    // the newest state, and the next snapshot deletes what was left behind.
+    // Safeguard: the object is written before the head refers to it, and rows and objects are
+    // deleted in or after the transaction that removes the references to them.
     for survived in 0..8 {
         let platform = MemoryPlatform::new();
         let state = fill(&platform, 8);
@@ -158,8 +158,8 @@
 
 #[test]
 fn answers_lost_at_any_point_change_nothing() {
-    // For every kind of request the answer is lost, the request is lost, the request is delayed past
-    // the end of the snapshot, or the platform is unavailable. The snapshot is taken once, and
+    // For every kind of request the answer is lost, the request is lost, the request is delayed
+    // past the end of the snapshot, or the platform is unavailable. The snapshot is taken once, and
     // delayed writes do no harm.
     // Safeguard: every step is idempotent, and the head is written conditionally on its revision.
     let requests = [
@@ -224,8 +224,8 @@
 
 #[test]
 fn a_snapshotter_that_was_frozen_harms_no_newer_one() {
-    // The process is frozen after writing its object, and resumes after others took newer snapshots.
-    // It must neither move the head's reference back nor delete the newer objects.
+    // The process is frozen after writing its object, and resumes after others took newer
+    // snapshots. It must neither move the head's reference back nor delete the newer objects.
     // Safeguard: the snapshotter ends if the head has a newer snapshot, and deletes only objects
     // below its own version.
     let platform = MemoryPlatform::new();
--- a/crates/versionlog/tests/writer.rs
+++ b/crates/versionlog/tests/writer.rs
@@ -220,8 +220,8 @@
 
 #[test]
 fn what_can_no_longer_land_is_not_called_unsettled() {
-    // The transaction is delayed, another writer updates the head, and this writer reads that before
-    // the platform becomes unavailable: its first transaction can no longer be applied.
+    // The transaction is delayed, another writer updates the head, and this writer reads that
+    // before the platform becomes unavailable: its first transaction can no longer be applied.
     let platform = MemoryPlatform::new();
     platform.script(Operation::Commit, Outcome::Delay);
     let mut stepper = Stepper::new(put_service("op-1", "floatdesk"), 1);
@@ -244,8 +244,8 @@
 
 #[test]
 fn a_race_on_the_same_resources_shows_each_winners_revision() {
-    // Two operators read the same revisions and both edit. The second one's error lists all resources
-    // that have changed, with their new revisions.
+    // Two operators read the same revisions and both edit. The second one's error lists all
+    // resources that have changed, with their new revisions.
     // Safeguard: expected revisions are checked again at every head.
     let platform = MemoryPlatform::new();
     let first = vec![(service("floatdesk"), None), (upstream("left", 13), None)];
@@ -400,8 +400,8 @@
 #[test]
 fn a_platform_that_lost_its_data_is_not_written_over() {
     // The platform was emptied or restored from an old copy. If a writer continued from there, new
-    // versions would have numbers below those in force, and every proxy would have to revert or stop
-    // updating.
+    // versions would have numbers below those in force, and every proxy would have to revert or
+    // stop updating.
     // Safeguard: `read_tail` refuses a head below the version held.
     let state = fill(&MemoryPlatform::new(), 5);
     let emptied = MemoryPlatform::new();
@@ -440,8 +440,8 @@
 
 #[test]
 fn a_bad_row_does_not_hide_what_became_of_an_operation() {
-    // The change was accepted, its answer was lost, and a later row was damaged. The operator's retry
-    // only needs the result of the change, so it returns the version in spite of the damage.
+    // The change was accepted, its answer was lost, and a later row was damaged. The operator's
+    // retry only needs the result of the change, so it returns the version in spite of the damage.
     // Safeguard: the operation's row is checked before the tail.
     let platform = MemoryPlatform::new();
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
@@ -490,8 +490,8 @@
 
 #[test]
 fn what_a_change_leaves_as_it_was_is_not_sent() {
-    // An operator applies a whole folder of which one service is new. Daemons receive only that one.
-    // The old one keeps its revision, so another operator who edits it gets no conflict.
+    // An operator applies a whole folder of which one service is new. Daemons receive only that
+    // one. The old one keeps its revision, so another operator who edits it gets no conflict.
     // Safeguard: `changed_puts` leaves out resources that equal the current ones.
     let platform = MemoryPlatform::new();
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
