--- a/crates/spec/src/attempt/entry.rs
+++ b/crates/spec/src/attempt/entry.rs
@@ -4,7 +4,7 @@
 
 use stoatstep_calls::{AttemptId, AttemptStatus, Ticket, UnansweredOutcome, may_retry};
 
-use super::message::{End, id};
+use super::message::{End, attempt_id};
 use crate::safeguard::{Safeguard, Safeguards};
 
 /// The outcome that was reported to the caller.
@@ -22,14 +22,14 @@
 enum Phase {
     #[default]
     Ready,
-    Waits,
-    Settles,
+    Waiting,
+    Settling,
     Ended(Told),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Call {
-    made: u8,
+    attempts_made: u8,
     phase: Phase,
     ticket: Option<Ticket>,
     /// Attempts that were reported to the entry as not run.
@@ -40,7 +40,7 @@
     pub(super) fn told(&self) -> Option<Told> {
         match self.phase {
             Phase::Ended(told) => Some(told),
-            Phase::Ready | Phase::Waits | Phase::Settles => None,
+            Phase::Ready | Phase::Waiting | Phase::Settling => None,
         }
     }
 
@@ -52,25 +52,25 @@
         self.phase == Phase::Ready
     }
 
-    pub(super) fn waits(&self) -> bool {
-        self.phase == Phase::Waits
+    pub(super) fn is_waiting(&self) -> bool {
+        self.phase == Phase::Waiting
     }
 
-    pub(super) fn settles(&self) -> bool {
-        self.phase == Phase::Settles
+    pub(super) fn is_settling(&self) -> bool {
+        self.phase == Phase::Settling
     }
 
     /// Number of attempts made, including the current one.
-    pub(super) fn made(&self) -> u8 {
-        self.made
+    pub(super) fn attempts_made(&self) -> u8 {
+        self.attempts_made
     }
 
     pub(super) fn send(&mut self) {
-        self.made += 1;
-        self.phase = Phase::Waits;
+        self.attempts_made += 1;
+        self.phase = Phase::Waiting;
     }
 
-    pub(super) fn sent_under(&mut self, ticket: Ticket) {
+    pub(super) fn set_ticket(&mut self, ticket: Ticket) {
         self.ticket = Some(ticket);
     }
 
@@ -79,24 +79,30 @@
         self.ticket.expect("an attempt was sent")
     }
 
-    pub(super) fn is_under_way(&self, number: u8, attempt: AttemptId) -> bool {
-        id(number, self.made) == attempt
+    pub(super) fn is_current(&self, number: u8, attempt: AttemptId) -> bool {
+        attempt_id(number, self.attempts_made) == attempt
     }
 
-    pub(super) fn break_off(&mut self) {
-        self.phase = Phase::Settles;
+    pub(super) fn abandon_connection(&mut self) {
+        self.phase = Phase::Settling;
     }
 
-    pub(super) fn give_up(&mut self) {
+    pub(super) fn abandon(&mut self) {
         self.phase = Phase::Ended(Told::Unknown);
     }
 
     /// Handles a reply that arrived on the attempt's connection.
-    pub(super) fn hear(&mut self, number: u8, end: End, allowed: u8, safeguards: Safeguards) {
+    pub(super) fn handle_reply(
+        &mut self,
+        number: u8,
+        end: End,
+        allowed: u8,
+        safeguards: Safeguards,
+    ) {
         match end {
             End::Answered(whose) => self.phase = Phase::Ended(Told::Answered(whose)),
             End::NotRun => {
-                self.not_run.insert(id(number, self.made));
+                self.not_run.insert(attempt_id(number, self.attempts_made));
                 self.end_attempt(UnansweredOutcome::NotRun, allowed, safeguards);
             }
             End::Unknown => self.end_attempt(UnansweredOutcome::Unknown, allowed, safeguards),
@@ -118,12 +124,12 @@
             // The entry asks again until the deadline.
             AttemptStatus::NeverSeen | AttemptStatus::Queued | AttemptStatus::Running => return,
         };
-        self.hear(number, end, allowed, safeguards);
+        self.handle_reply(number, end, allowed, safeguards);
     }
 
     fn end_attempt(&mut self, settlement: UnansweredOutcome, allowed: u8, safeguards: Safeguards) {
         let idempotent = !safeguards.has(Safeguard::RetryRule);
-        let (made, allowed) = (u32::from(self.made), u32::from(allowed));
+        let (made, allowed) = (u32::from(self.attempts_made), u32::from(allowed));
         self.phase = if may_retry(settlement, idempotent, 0, made, allowed) {
             Phase::Ready
         } else {
--- a/crates/spec/src/attempt/executor.rs
+++ b/crates/spec/src/attempt/executor.rs
@@ -8,15 +8,15 @@
 };
 
 use super::message::{End, call_of};
-use super::{LEFT, TICKET_LIFE, ticks};
+use super::{TICKET_LIFE, TIME_TO_DEADLINE, ticks};
 use crate::safeguard::{Safeguard, Safeguards};
 
 /// Difference between the first incarnations of two successive executors.
-const INCARNATIONS: Incarnation = 100;
+const INCARNATION_STRIDE: Incarnation = 100;
 
 /// What happened to a queued attempt that got a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
+pub(super) enum StartResult {
     /// The target runs it.
     Started {
         /// Whether its deadline had passed.
@@ -45,10 +45,10 @@
 
 impl Executor {
     pub(super) fn new(number: u8, records: usize) -> Self {
-        Self::of(u64::from(number) * INCARNATIONS, records)
+        Self::with_incarnation(u64::from(number) * INCARNATION_STRIDE, records)
     }
 
-    fn of(incarnation: Incarnation, records: usize) -> Self {
+    fn with_incarnation(incarnation: Incarnation, records: usize) -> Self {
         let cfg = LedgerConfig {
             ticket_life: ticks(TICKET_LIFE),
             records,
@@ -64,7 +64,7 @@
     }
 
     pub(super) fn restart(&mut self) {
-        *self = Self::of(self.incarnation + 1, self.records);
+        *self = Self::with_incarnation(self.incarnation + 1, self.records);
     }
 
     pub(super) fn ticket(&self, now: u8) -> Ticket {
@@ -87,7 +87,7 @@
         now: u8,
         safeguards: Safeguards,
     ) -> Option<End> {
-        let ticket = self.judged(ticket, now, safeguards);
+        let ticket = self.with_checks_disabled(ticket, now, safeguards);
         match self.ledger.arrive(id, ticket, ticks(now)) {
             Arrival::New => self.wait(id, now, false),
             Arrival::Seen(_) if !safeguards.has(Safeguard::DuplicateCheck) => {
@@ -105,7 +105,7 @@
     }
 
     /// The ticket altered so that it passes a check of the ledger that is switched off.
-    fn judged(&self, mut ticket: Ticket, now: u8, safeguards: Safeguards) -> Ticket {
+    fn with_checks_disabled(&self, mut ticket: Ticket, now: u8, safeguards: Safeguards) -> Ticket {
         if !safeguards.has(Safeguard::TicketExpiry) {
             ticket.stamp = ticks(now);
         }
@@ -122,7 +122,7 @@
         now: u8,
         safeguards: Safeguards,
     ) -> AttemptStatus {
-        let ticket = self.judged(ticket, now, safeguards);
+        let ticket = self.with_checks_disabled(ticket, now, safeguards);
         if safeguards.has(Safeguard::RevokeFence) {
             return self.ledger.revoke(id, ticket, ticks(now));
         }
@@ -132,22 +132,27 @@
         }
     }
 
-    pub(super) fn take_turn(&mut self, id: AttemptId, now: u8, safeguards: Safeguards) -> Turn {
+    pub(super) fn start_queued(
+        &mut self,
+        id: AttemptId,
+        now: u8,
+        safeguards: Safeguards,
+    ) -> StartResult {
         let Some(Waiting { arrived, copy }) = self.waiting.remove(&id) else {
-            return Turn::Dropped;
+            return StartResult::Dropped;
         };
-        let late = now >= arrived + LEFT;
+        let late = now >= arrived + TIME_TO_DEADLINE;
         if late && safeguards.has(Safeguard::DeadlineCheck) {
             self.ledger.refused(id);
-            return Turn::Dropped;
+            return StartResult::Dropped;
         }
         let may_start = self.ledger.start(id);
         let checks = safeguards.has(Safeguard::StartCheck);
         if !may_start && checks && !copy {
-            return Turn::Dropped;
+            return StartResult::Dropped;
         }
         self.running.insert(id);
-        Turn::Started { late }
+        StartResult::Started { late }
     }
 
     pub(super) fn shed(&mut self, id: AttemptId) {
@@ -167,7 +172,7 @@
         End::Answered(call)
     }
 
-    pub(super) fn lose(&mut self, id: AttemptId) {
+    pub(super) fn target_lost(&mut self, id: AttemptId) {
         self.running.remove(&id);
         self.ledger.lost(id);
     }
--- a/crates/spec/src/attempt/message.rs
+++ b/crates/spec/src/attempt/message.rs
@@ -3,7 +3,7 @@
 use stoatstep_calls::{AttemptId, Ticket};
 
 /// Factor between a call's index and the ids of its attempts.
-const IDS_OF_A_CALL: u128 = 10;
+const ATTEMPT_IDS_PER_CALL: u128 = 10;
 
 /// How an attempt ended, as its executor reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -55,7 +55,7 @@
     }
 
     /// The duplicate that stays in flight when the message arrives.
-    pub(super) fn doubled(self) -> Self {
+    pub(super) fn duplicate(self) -> Self {
         match self {
             Self::Attempt {
                 id,
@@ -75,10 +75,10 @@
     }
 }
 
-pub(super) fn id(call: u8, attempt: u8) -> AttemptId {
-    u128::from(call) * IDS_OF_A_CALL + u128::from(attempt)
+pub(super) fn attempt_id(call: u8, attempt: u8) -> AttemptId {
+    u128::from(call) * ATTEMPT_IDS_PER_CALL + u128::from(attempt)
 }
 
 pub(super) fn call_of(id: AttemptId) -> u8 {
-    u8::try_from(id / IDS_OF_A_CALL).unwrap_or(u8::MAX)
+    u8::try_from(id / ATTEMPT_IDS_PER_CALL).unwrap_or(u8::MAX)
 }
--- a/crates/spec/src/attempt/mod.rs
+++ b/crates/spec/src/attempt/mod.rs
@@ -31,7 +31,7 @@
 const TICKET_LIFE: u8 = 2;
 
 /// Time from an attempt's arrival at its executor to its deadline, in ticks.
-const LEFT: u8 = 1;
+const TIME_TO_DEADLINE: u8 = 1;
 
 /// Bounds of an [`AttemptSpec`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     executors: Vec<Shared<Executor>>,
     messages: BTreeSet<Message>,
     /// Number of runs of each attempt.
-    ran: BTreeMap<AttemptId, u8>,
+    run_counts: BTreeMap<AttemptId, u8>,
     started_late: bool,
     faults: u8,
     restarts: u8,
@@ -118,7 +118,7 @@
         Self { bounds, safeguards }
     }
 
-    fn is_free_of_loss(&self, state: &AttemptState) -> bool {
+    fn is_fault_free(&self, state: &AttemptState) -> bool {
         let no_faults = state.faults == self.bounds.faults;
         no_faults && state.restarts == self.bounds.restarts && state.now == 0
     }
@@ -127,14 +127,18 @@
 impl AttemptState {
     fn runs_of(&self, call: u8) -> u8 {
         let own = self
-            .ran
+            .run_counts
             .iter()
             .filter(|(id, _)| message::call_of(**id) == call);
         own.map(|(_, runs)| runs).sum()
     }
 
-    fn check_call(&self, number: u8, call: &Call, free_of_loss: bool) -> Option<Invariant> {
-        if call.not_run().iter().any(|id| self.ran.contains_key(id)) {
+    fn check_call(&self, number: u8, call: &Call, fault_free: bool) -> Option<Invariant> {
+        if call
+            .not_run()
+            .iter()
+            .any(|id| self.run_counts.contains_key(id))
+        {
             return Some(Invariant::NotRunIsTrue);
         }
         if self.runs_of(number) > 1 {
@@ -142,7 +146,7 @@
         }
         match call.told() {
             Some(Told::Answered(whose)) if whose != number => Some(Invariant::OwnAnswer),
-            Some(Told::Unknown) if free_of_loss => Some(Invariant::UnknownIsHonest),
+            Some(Told::Unknown) if fault_free => Some(Invariant::UnknownIsHonest),
             _ => None,
         }
     }
@@ -163,7 +167,7 @@
             tickets: executors.iter().map(|it| it.ticket(0)).collect(),
             executors,
             messages: BTreeSet::new(),
-            ran: BTreeMap::new(),
+            run_counts: BTreeMap::new(),
             started_late: false,
             faults: self.bounds.faults,
             restarts: self.bounds.restarts,
@@ -178,9 +182,9 @@
         if state.started_late {
             return Some(Invariant::StartsInTime);
         }
-        let free_of_loss = self.is_free_of_loss(state);
+        let fault_free = self.is_fault_free(state);
         let mut calls = (0..).zip(&state.calls);
-        calls.find_map(|(number, call)| state.check_call(number, call, free_of_loss))
+        calls.find_map(|(number, call)| state.check_call(number, call, fault_free))
     }
 }
 
--- a/crates/spec/src/attempt/successors.rs
+++ b/crates/spec/src/attempt/successors.rs
@@ -3,24 +3,24 @@
 use stoatstep_calls::{AttemptId, Ticket};
 
 use super::entry::Call;
-use super::executor::{Executor, Turn};
-use super::message::{End, Message, id};
+use super::executor::{Executor, StartResult};
+use super::message::{End, Message, attempt_id};
 use super::{AttemptSpec, AttemptState, AttemptStep, ticks};
 use crate::safeguard::Safeguard;
 
-type Next = Vec<(AttemptStep, AttemptState)>;
+type Successors = Vec<(AttemptStep, AttemptState)>;
 
 impl AttemptSpec {
-    pub(super) fn successors(&self, state: &AttemptState) -> Next {
+    pub(super) fn successors(&self, state: &AttemptState) -> Successors {
         let mut next = Vec::new();
         for number in 0..self.bounds.calls {
-            self.of_call(state, number, &mut next);
+            self.call_steps(state, number, &mut next);
         }
         for message in &state.messages {
-            self.of_message(state, *message, &mut next);
+            self.message_steps(state, *message, &mut next);
         }
         for number in 0..self.bounds.executors {
-            self.of_executor(state, number, &mut next);
+            self.executor_steps(state, number, &mut next);
         }
         if state.now < self.bounds.ticks {
             let mut later = state.clone();
@@ -30,16 +30,16 @@
         next
     }
 
-    fn of_call(&self, state: &AttemptState, number: u8, next: &mut Next) {
+    fn call_steps(&self, state: &AttemptState, number: u8, next: &mut Successors) {
         let call = &state.calls[usize::from(number)];
         if call.is_ready() {
             next.push((AttemptStep::Send(number), self.send(state, number)));
         }
-        if call.waits() && state.faults > 0 {
-            let broken = state.fault(|it| it.call(number).break_off());
+        if call.is_waiting() && state.faults > 0 {
+            let broken = state.fault(|it| it.call(number).abandon_connection());
             next.push((AttemptStep::Break(number), broken));
         }
-        if !call.settles() {
+        if !call.is_settling() {
             return;
         }
         next.push((
@@ -47,9 +47,9 @@
             self.revoke(state, number, true),
         ));
         if state.faults > 0 {
-            let unheard = self.revoke(state, number, false).fault(|_| ());
-            next.push((AttemptStep::RevokeUnheard(number), unheard));
-            let given_up = state.fault(|it| it.call(number).give_up());
+            let unanswered = self.revoke(state, number, false).fault(|_| ());
+            next.push((AttemptStep::RevokeUnheard(number), unanswered));
+            let given_up = state.fault(|it| it.call(number).abandon());
             next.push((AttemptStep::GiveUp(number), given_up));
         }
     }
@@ -62,23 +62,24 @@
     fn send(&self, state: &AttemptState, number: u8) -> AttemptState {
         let mut next = state.clone();
         next.call(number).send();
-        let made = next.call(number).made();
+        let made = next.call(number).attempts_made();
         let to = self.executor_of(made);
         let ticket = next.tickets[usize::from(to)];
-        let message = Message::attempt(id(number, made), to, ticket);
-        next.call(number).sent_under(ticket);
+        let message = Message::attempt(attempt_id(number, made), to, ticket);
+        next.call(number).set_ticket(ticket);
         next.messages.insert(message);
         next
     }
 
-    fn revoke(&self, state: &AttemptState, number: u8, heard: bool) -> AttemptState {
+    fn revoke(&self, state: &AttemptState, number: u8, is_answered: bool) -> AttemptState {
         let mut next = state.clone();
         let call = next.call(number);
-        let (made, ticket) = (call.made(), call.ticket());
+        let (made, ticket) = (call.attempts_made(), call.ticket());
         let (now, safeguards) = (state.now, self.safeguards);
-        let revoke = |it: &mut Executor| it.revoke(id(number, made), ticket, now, safeguards);
+        let revoke =
+            |it: &mut Executor| it.revoke(attempt_id(number, made), ticket, now, safeguards);
         let settled = next.executor(self.executor_of(made), revoke);
-        if heard {
+        if is_answered {
             let allowed = self.bounds.attempts;
             next.call(number)
                 .settle(number, &settled, allowed, safeguards);
@@ -86,16 +87,16 @@
         next
     }
 
-    fn of_message(&self, state: &AttemptState, message: Message, next: &mut Next) {
-        let mut gone = state.clone();
-        gone.messages.remove(&message);
-        let delivered = self.deliver(&gone, message);
+    fn message_steps(&self, state: &AttemptState, message: Message, next: &mut Successors) {
+        let mut removed = state.clone();
+        removed.messages.remove(&message);
+        let delivered = self.deliver(&removed, message);
         next.push((AttemptStep::Deliver(message), delivered.clone()));
         if state.faults > 0 {
-            let mut doubled = delivered.fault(|_| ());
-            doubled.messages.insert(message.doubled());
-            next.push((AttemptStep::Double(message), doubled));
-            next.push((AttemptStep::Lose(message), gone.fault(|_| ())));
+            let mut duplicate = delivered.fault(|_| ());
+            duplicate.messages.insert(message.duplicate());
+            next.push((AttemptStep::Double(message), duplicate));
+            next.push((AttemptStep::Lose(message), removed.fault(|_| ())));
         }
     }
 
@@ -115,29 +116,30 @@
                 let end = next.executor(to, |it| it.arrive(id, ticket, now, safeguards));
                 next.reply(id, end.filter(|_| !copy));
             }
-            Message::Reply { id, end } => self.hear(&mut next, id, end),
+            Message::Reply { id, end } => self.deliver_reply(&mut next, id, end),
         }
         next
     }
 
     /// Delivers a reply to the call whose current attempt has its id.
-    fn hear(&self, next: &mut AttemptState, id: AttemptId, end: End) {
+    fn deliver_reply(&self, next: &mut AttemptState, id: AttemptId, end: End) {
         let by_id = self.safeguards.has(Safeguard::AnswerId);
         let mut numbers = 0..self.bounds.calls;
-        let fits = |number: &u8| {
+        let accepts = |number: &u8| {
             let call = &next.calls[usize::from(*number)];
-            call.waits() && (!by_id || call.is_under_way(*number, id))
+            call.is_waiting() && (!by_id || call.is_current(*number, id))
         };
-        let Some(number) = numbers.find(fits) else {
+        let Some(number) = numbers.find(accepts) else {
             return;
         };
-        let to = usize::from(self.executor_of(next.call(number).made()));
+        let to = usize::from(self.executor_of(next.call(number).attempts_made()));
         next.tickets[to] = next.executors[to].ticket(next.now);
         let (allowed, safeguards) = (self.bounds.attempts, self.safeguards);
-        next.call(number).hear(number, end, allowed, safeguards);
+        next.call(number)
+            .handle_reply(number, end, allowed, safeguards);
     }
 
-    fn of_executor(&self, state: &AttemptState, number: u8, next: &mut Next) {
+    fn executor_steps(&self, state: &AttemptState, number: u8, next: &mut Successors) {
         let executor = &state.executors[usize::from(number)];
         for id in executor.waiting() {
             next.push((
@@ -154,15 +156,15 @@
             finished.reply(id, Some(end));
             next.push((AttemptStep::Finish(number, id), finished));
             if state.faults > 0 {
-                let mut lost = state.fault(|it| it.executor(number, |it| it.lose(id)));
+                let mut lost = state.fault(|it| it.executor(number, |it| it.target_lost(id)));
                 lost.reply(id, Some(End::Unknown));
                 next.push((AttemptStep::TargetLost(number, id), lost));
             }
         }
-        self.of_process(state, number, next);
+        self.process_steps(state, number, next);
     }
 
-    fn of_process(&self, state: &AttemptState, number: u8, next: &mut Next) {
+    fn process_steps(&self, state: &AttemptState, number: u8, next: &mut Successors) {
         let mut cleaned = state.clone();
         cleaned.executor(number, |it| it.clean(state.now, self.safeguards));
         next.push((AttemptStep::Clean(number), cleaned));
@@ -177,12 +179,12 @@
     fn start_run(&self, state: &AttemptState, number: u8, id: AttemptId) -> AttemptState {
         let mut next = state.clone();
         let (now, safeguards) = (state.now, self.safeguards);
-        match next.executor(number, |it| it.take_turn(id, now, safeguards)) {
-            Turn::Started { late } => {
-                *next.ran.entry(id).or_default() += 1;
+        match next.executor(number, |it| it.start_queued(id, now, safeguards)) {
+            StartResult::Started { late } => {
+                *next.run_counts.entry(id).or_default() += 1;
                 next.started_late |= late;
             }
-            Turn::Dropped => next.reply(id, Some(End::NotRun)),
+            StartResult::Dropped => next.reply(id, Some(End::NotRun)),
         }
         next
     }
@@ -190,10 +192,10 @@
     fn shed(&self, state: &AttemptState, number: u8, id: AttemptId) -> Option<AttemptState> {
         let mut next = state.clone();
         let (now, safeguards) = (state.now, self.safeguards);
-        let turn = next.executor(number, |it| it.take_turn(id, now, safeguards));
+        let turn = next.executor(number, |it| it.start_queued(id, now, safeguards));
         next.executor(number, |it| it.shed(id));
         next.reply(id, Some(End::NotRun));
-        (turn != Turn::Dropped).then_some(next)
+        (turn != StartResult::Dropped).then_some(next)
     }
 }
 
--- a/crates/spec/src/intent/home.rs
+++ b/crates/spec/src/intent/home.rs
@@ -20,17 +20,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) enum Phase {
     /// Previous homes have to be asked, one after the other.
-    Asks(Vec<HomeQuery>),
+    Asking(Vec<HomeQuery>),
     /// The answer to the last question is in flight.
-    Hears(Vec<HomeQuery>, Version, HomeAnswer),
+    AnswerInFlight(Vec<HomeQuery>, Version, HomeAnswer),
     /// The attempt holds the key and waits for a slot.
-    Waits,
+    Waiting,
     /// The target runs the attempt.
-    Runs,
+    Running,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Taken {
+pub(super) struct KeyAttempt {
     set: UpstreamSetId,
     pub(super) phase: Phase,
 }
@@ -40,7 +40,7 @@
     table: IdempotencyTable,
     homes: HomeHistory,
     pub(super) version: u8,
-    pub(super) taken: BTreeMap<AttemptId, Taken>,
+    pub(super) attempts: BTreeMap<AttemptId, KeyAttempt>,
 }
 
 impl Executor {
@@ -57,14 +57,14 @@
             table: table(started, safeguards),
             homes,
             version,
-            taken: BTreeMap::new(),
+            attempts: BTreeMap::new(),
         };
         executor.apply(version, set, true, started);
         executor
     }
 
     /// The process that follows this one after a planned restart.
-    pub(super) fn successor(
+    pub(super) fn restart_as_planned(
         &self,
         number: usize,
         now: WallTime,
@@ -72,8 +72,8 @@
         safeguards: Safeguards,
     ) -> Self {
         let mut next = Self::new(number, now, self.version, set, safeguards);
-        if let Some(memory) = self.table.snapshot() {
-            next.table.restore(memory);
+        if let Some(snapshot) = self.table.snapshot() {
+            next.table.restore(snapshot);
             if safeguards.has(Safeguard::MembersHandedOver) {
                 next.homes.restore(self.homes.known_members());
             }
@@ -115,8 +115,8 @@
                 self.begin(key, id, set, now, safeguards);
             }
             HomeCheck::Ask(questions) => {
-                let phase = Phase::Asks(questions);
-                self.taken.insert(id, Taken { set, phase });
+                let phase = Phase::Asking(questions);
+                self.attempts.insert(id, KeyAttempt { set, phase });
             }
             HomeCheck::Unsettled | HomeCheck::StaleConfig | HomeCheck::NotMine => {}
         }
@@ -130,10 +130,10 @@
         now: WallTime,
         safeguards: Safeguards,
     ) {
-        let now = judged(key, now, safeguards);
+        let now = with_checks_disabled(key, now, safeguards);
         if self.table.begin(key, REQUEST, id, now) == KeyDecision::Run {
-            let phase = Phase::Waits;
-            self.taken.insert(id, Taken { set, phase });
+            let phase = Phase::Waiting;
+            self.attempts.insert(id, KeyAttempt { set, phase });
         }
     }
 
@@ -152,17 +152,17 @@
     }
 
     /// Handles the answer of a previous home.
-    pub(super) fn hear(
+    pub(super) fn handle_answer(
         &mut self,
         key: &IdempotencyKey,
         id: AttemptId,
         now: WallTime,
         safeguards: Safeguards,
     ) {
-        let Some(Taken { set, phase }) = self.taken.remove(&id) else {
+        let Some(KeyAttempt { set, phase }) = self.attempts.remove(&id) else {
             return;
         };
-        let Phase::Hears(mut questions, version, answer) = phase else {
+        let Phase::AnswerInFlight(mut questions, version, answer) = phase else {
             return;
         };
         let Some(question) = questions.pop() else {
@@ -176,8 +176,8 @@
             return;
         }
         if !questions.is_empty() {
-            let phase = Phase::Asks(questions);
-            self.taken.insert(id, Taken { set, phase });
+            let phase = Phase::Asking(questions);
+            self.attempts.insert(id, KeyAttempt { set, phase });
             return;
         }
         let unchanged = self.homes.current_id(&key.service) == Some(set);
@@ -187,9 +187,9 @@
     }
 
     /// Records that the previous homes which this attempt waits for were deleted.
-    pub(super) fn note_gone(&mut self, id: AttemptId, now: WallTime) {
-        let taken = self.taken.remove(&id);
-        if let Some(Phase::Asks(questions)) = taken.map(|it| it.phase) {
+    pub(super) fn mark_homes_deleted(&mut self, id: AttemptId, now: WallTime) {
+        let attempt = self.attempts.remove(&id);
+        if let Some(Phase::Asking(questions)) = attempt.map(|it| it.phase) {
             for question in questions {
                 self.homes
                     .mark_deleted(&question.upstream, question.version, now);
@@ -199,22 +199,23 @@
 
     /// Stops the process for good, while its target continues to run.
     pub(super) fn stop(&mut self) {
-        self.taken.retain(|_, taken| taken.phase == Phase::Runs);
+        self.attempts
+            .retain(|_, attempt| attempt.phase == Phase::Running);
     }
 
     pub(super) fn set_phase(&mut self, id: AttemptId, phase: Phase) {
-        if let Some(taken) = self.taken.get_mut(&id) {
-            taken.phase = phase;
+        if let Some(attempt) = self.attempts.get_mut(&id) {
+            attempt.phase = phase;
         }
     }
 
     pub(super) fn refuse(&mut self, key: &IdempotencyKey, id: AttemptId) {
-        self.taken.remove(&id);
+        self.attempts.remove(&id);
         self.table.release(key, id);
     }
 
     pub(super) fn finish(&mut self, key: &IdempotencyKey, id: AttemptId) {
-        self.taken.remove(&id);
+        self.attempts.remove(&id);
         let answer = Answer {
             status: 201,
             headers: Vec::new(),
@@ -223,8 +224,13 @@
         self.table.done(key, id, Arc::new(answer));
     }
 
-    pub(super) fn lose(&mut self, key: &IdempotencyKey, id: AttemptId, safeguards: Safeguards) {
-        self.taken.remove(&id);
+    pub(super) fn target_lost(
+        &mut self,
+        key: &IdempotencyKey,
+        id: AttemptId,
+        safeguards: Safeguards,
+    ) {
+        self.attempts.remove(&id);
         if safeguards.has(Safeguard::LostKeyKept) {
             self.table.lost(key, id);
         } else {
@@ -253,7 +259,7 @@
 }
 
 /// The time altered so that the key passes a check of the table that is switched off.
-fn judged(key: &IdempotencyKey, now: WallTime, safeguards: Safeguards) -> WallTime {
+fn with_checks_disabled(key: &IdempotencyKey, now: WallTime, safeguards: Safeguards) -> WallTime {
     let created = key.key.created().unwrap_or(now);
     if !safeguards.has(Safeguard::FutureKeyCheck) {
         return now.max(created);
--- a/crates/spec/src/intent/mod.rs
+++ b/crates/spec/src/intent/mod.rs
@@ -32,7 +32,7 @@
 const RETENTION: u8 = 3;
 
 /// Reading of a calendar clock without skew in the initial state, in seconds.
-const BEGINNING: u64 = 1_000;
+const START_READING: u64 = 1_000;
 
 /// Time since the executors' start in the initial state, in seconds.
 const UPTIME: u64 = 100;
@@ -158,7 +158,7 @@
         Self {
             bounds,
             safeguards,
-            key: key_that_moves(&both, wall(bounds.made_at, bounds.clocks.caller)),
+            key: key_with_changing_home(&both, wall(bounds.made_at, bounds.clocks.caller)),
             sets: vec![first.clone(), both, first],
         }
     }
@@ -224,7 +224,7 @@
 
 /// Reading at tick `now` of a clock that is `ahead` by this number of ticks.
 fn wall(now: u8, ahead: u8) -> WallTime {
-    Duration::from_secs(BEGINNING) + ticks(now + ahead)
+    Duration::from_secs(START_READING) + ticks(now + ahead)
 }
 
 fn ticks(count: u8) -> Duration {
@@ -232,7 +232,7 @@
 }
 
 /// Returns a key whose home is the second upstream while both exist.
-fn key_that_moves(both: &BTreeSet<UpstreamName>, created: WallTime) -> IdempotencyKey {
+fn key_with_changing_home(both: &BTreeSet<UpstreamName>, created: WallTime) -> IdempotencyKey {
     let keys = (0..).map(|number: u32| IdempotencyKey {
         service: "floatdesk".into(),
         tenant: "elm-school".into(),
--- a/crates/spec/src/intent/successors.rs
+++ b/crates/spec/src/intent/successors.rs
@@ -2,13 +2,13 @@
 
 use stoatstep_calls::{AttemptId, WallTime};
 
-use super::home::{Executor, Phase, Taken};
+use super::home::{Executor, KeyAttempt, Phase};
 use super::{IntentSpec, IntentState, IntentStep, Removal, UPSTREAMS, wall};
 
-type Next = Vec<(IntentStep, IntentState)>;
+type Successors = Vec<(IntentStep, IntentState)>;
 
 impl IntentSpec {
-    pub(super) fn successors(&self, state: &IntentState) -> Next {
+    pub(super) fn successors(&self, state: &IntentState) -> Successors {
         let mut next = Vec::new();
         if state.now >= self.bounds.made_at && state.sent < self.bounds.tries {
             for version in 1..=state.head {
@@ -24,13 +24,13 @@
             state.executors.len()
         };
         for number in 0..alive {
-            for (id, taken) in &state.executors[number].taken {
-                self.of_attempt(state, number, *id, taken, &mut next);
+            for (id, attempt) in &state.executors[number].attempts {
+                self.attempt_steps(state, number, *id, attempt, &mut next);
             }
-            self.of_version(state, number, &mut next);
-            self.of_process(state, number, &mut next);
+            self.version_steps(state, number, &mut next);
+            self.process_steps(state, number, &mut next);
         }
-        self.of_world(state, &mut next);
+        self.environment_steps(state, &mut next);
         next
     }
 
@@ -53,13 +53,13 @@
         next
     }
 
-    fn of_attempt(
+    fn attempt_steps(
         &self,
         state: &IntentState,
         number: usize,
         id: AttemptId,
-        taken: &Taken,
-        next: &mut Next,
+        attempt: &KeyAttempt,
+        next: &mut Successors,
     ) {
         let key = &self.key;
         let with = |change: &dyn Fn(&mut Executor)| {
@@ -67,13 +67,13 @@
             changed.change(number, change);
             changed
         };
-        match &taken.phase {
-            Phase::Asks(_) if state.stopped => {
+        match &attempt.phase {
+            Phase::Asking(_) if state.stopped => {
                 let now = self.wall(state, number);
-                let gone = with(&|it| it.note_gone(id, now));
-                next.push((IntentStep::Gone(number, id), gone));
+                let deleted = with(&|it| it.mark_homes_deleted(id, now));
+                next.push((IntentStep::Gone(number, id), deleted));
             }
-            Phase::Asks(questions) => {
+            Phase::Asking(questions) => {
                 let asked = questions.last().map(|it| &it.upstream);
                 let other = UPSTREAMS
                     .iter()
@@ -81,17 +81,17 @@
                 let other = &state.executors[other.unwrap_or_default()];
                 let me = UPSTREAMS[number].into();
                 let (version, answer) = other.answer(key, &me, self.safeguards);
-                let phase = Phase::Hears(questions.clone(), version, answer);
+                let phase = Phase::AnswerInFlight(questions.clone(), version, answer);
                 let answered = with(&|it| it.set_phase(id, phase.clone()));
                 next.push((IntentStep::Ask(number, id), answered));
             }
-            Phase::Hears(..) => {
+            Phase::AnswerInFlight(..) => {
                 let now = self.wall(state, number);
-                let heard = with(&|it| it.hear(key, id, now, self.safeguards));
-                next.push((IntentStep::Hear(number, id), heard));
+                let handled = with(&|it| it.handle_answer(key, id, now, self.safeguards));
+                next.push((IntentStep::Hear(number, id), handled));
             }
-            Phase::Waits => {
-                let mut started = with(&|it| it.set_phase(id, Phase::Runs));
+            Phase::Waiting => {
+                let mut started = with(&|it| it.set_phase(id, Phase::Running));
                 started.runs += 1;
                 next.push((IntentStep::Start(number, id), started));
                 next.push((
@@ -99,13 +99,13 @@
                     with(&|it| it.refuse(key, id)),
                 ));
             }
-            Phase::Runs => {
+            Phase::Running => {
                 next.push((
                     IntentStep::Finish(number, id),
                     with(&|it| it.finish(key, id)),
                 ));
                 if state.lost > 0 {
-                    let mut lost = with(&|it| it.lose(key, id, self.safeguards));
+                    let mut lost = with(&|it| it.target_lost(key, id, self.safeguards));
                     lost.lost -= 1;
                     next.push((IntentStep::Lose(number, id), lost));
                 }
@@ -113,7 +113,7 @@
         }
     }
 
-    fn of_version(&self, state: &IntentState, number: usize, next: &mut Next) {
+    fn version_steps(&self, state: &IntentState, number: usize, next: &mut Successors) {
         let version = state.executors[number].version;
         if version == state.head {
             return;
@@ -138,19 +138,19 @@
         next
     }
 
-    fn of_process(&self, state: &IntentState, number: usize, next: &mut Next) {
+    fn process_steps(&self, state: &IntentState, number: usize, next: &mut Successors) {
         let now = self.wall(state, number);
         let mut cleaned = state.clone();
         cleaned.change(number, |it| it.clean(now));
         next.push((IntentStep::Clean(number), cleaned));
-        if state.planned > 0 && state.executors[number].taken.is_empty() {
-            let mut handed = state.clone();
-            handed.planned -= 1;
-            handed.change(number, |it| {
+        if state.planned > 0 && state.executors[number].attempts.is_empty() {
+            let mut handed_over = state.clone();
+            handed_over.planned -= 1;
+            handed_over.change(number, |it| {
                 let set = self.set_at(it.version).clone();
-                *it = it.successor(number, now, set, self.safeguards);
+                *it = it.restart_as_planned(number, now, set, self.safeguards);
             });
-            next.push((IntentStep::HandOver(number), handed));
+            next.push((IntentStep::HandOver(number), handed_over));
         }
         if state.restarts == 0 {
             return;
@@ -164,7 +164,7 @@
         next.push((IntentStep::Restart(number), restarted));
     }
 
-    fn of_world(&self, state: &IntentState, next: &mut Next) {
+    fn environment_steps(&self, state: &IntentState, next: &mut Successors) {
         if state.head < self.bounds.versions {
             let mut accepted = state.clone();
             accepted.head += 1;
--- a/crates/spec/src/keys.rs
+++ b/crates/spec/src/keys.rs
@@ -20,7 +20,7 @@
 const WITHOUT_KEY: u8 = 2;
 
 /// Ticks for which the key may still be accepted after it was revoked.
-const BOUND: u8 = 3;
+const REVOCATION_BOUND: u8 = 3;
 
 /// Bounds of a [`KeySpec`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -113,7 +113,7 @@
     fn ask(&self, state: &mut KeyState, daemon: usize) {
         let asked_at = self.clock(state, daemon);
         let (version, age) = if daemon == 0 {
-            (host_version(state), Some(Duration::ZERO))
+            (store_version(state), Some(Duration::ZERO))
         } else {
             let peer = &state.daemons[0];
             (peer.version, peer.confirmation.age(self.clock(state, 0)))
@@ -163,9 +163,9 @@
         state.answers.retain(|it| it.to != daemon);
     }
 
-    fn opens(&self, state: &KeyState, daemon: usize) -> bool {
+    fn accepts_key(&self, state: &KeyState, daemon: usize) -> bool {
         let held = &state.daemons[daemon];
-        let bound = Duration::from_secs(BOUND.into());
+        let bound = Duration::from_secs(REVOCATION_BOUND.into());
         held.version == WITH_KEY
             && held
                 .confirmation
@@ -173,7 +173,7 @@
     }
 }
 
-fn host_version(state: &KeyState) -> u8 {
+fn store_version(state: &KeyState) -> u8 {
     if state.removed_at.is_some() {
         WITHOUT_KEY
     } else {
@@ -245,8 +245,8 @@
 
     fn violated(&self, state: &KeyState) -> Option<Invariant> {
         let removed_at = state.removed_at?;
-        let is_over = state.now >= removed_at + BOUND;
-        let opens = (0..DAEMONS).any(|daemon| self.opens(state, daemon));
-        (is_over && opens).then_some(Invariant::KeyEnds)
+        let is_over = state.now >= removed_at + REVOCATION_BOUND;
+        let is_accepted = (0..DAEMONS).any(|daemon| self.accepts_key(state, daemon));
+        (is_over && is_accepted).then_some(Invariant::KeyEnds)
     }
 }
--- a/crates/spec/src/shared.rs
+++ b/crates/spec/src/shared.rs
@@ -13,11 +13,11 @@
 }
 
 /// A hasher with a fixed seed, so that searches are repeatable.
-type Fixed = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
+type RepeatableHasher = std::hash::BuildHasherDefault<std::hash::DefaultHasher>;
 
 impl<T: Hash> Shared<T> {
     pub(crate) fn new(value: T) -> Self {
-        let hash = Fixed::default().hash_one(&value);
+        let hash = RepeatableHasher::default().hash_one(&value);
         let value = Arc::new(value);
         Self { value, hash }
     }
--- a/crates/spec/src/spreading/daemon.rs
+++ b/crates/spec/src/spreading/daemon.rs
@@ -23,11 +23,11 @@
     /// The highest version that each other daemon reported to this one.
     remembered: Vec<Version>,
     /// The highest version that this process held.
-    newest: Version,
+    highest_held: Version,
     /// The version by which this process serves, or 0 if it does not serve.
-    serves: Version,
+    serving_version: Version,
     /// The highest version by which any process of this instance served.
-    served: Version,
+    highest_served: Version,
 }
 
 impl Daemon {
@@ -37,16 +37,16 @@
             forced: None,
             serving: Serving::default(),
             remembered: vec![0; daemons],
-            newest: 0,
-            serves: 0,
-            served: 0,
+            highest_held: 0,
+            serving_version: 0,
+            highest_served: 0,
         }
     }
 
     pub(super) fn restart(&mut self) {
-        let served = self.served;
+        let highest_served = self.highest_served;
         *self = Self::new(self.remembered.len());
-        self.served = served;
+        self.highest_served = highest_served;
     }
 
     pub(super) fn in_force(&self) -> &Arc<State> {
@@ -57,33 +57,33 @@
         self.in_force().version()
     }
 
-    pub(super) fn served(&self) -> Version {
-        self.served
+    pub(super) fn highest_served(&self) -> Version {
+        self.highest_served
     }
 
     pub(super) fn remembers(&self, i: DaemonIndex) -> Version {
         self.remembered[i]
     }
 
-    pub(super) fn went_back(&self) -> bool {
-        let serves_older = self.serves > 0 && self.serves < self.served;
-        serves_older || self.version() < self.newest
+    pub(super) fn has_reverted(&self) -> bool {
+        let serves_older = self.serving_version > 0 && self.serving_version < self.highest_served;
+        serves_older || self.version() < self.highest_held
     }
 
-    pub(super) fn asks_whole(&self) -> bool {
+    pub(super) fn needs_state(&self) -> bool {
         self.replica.needs_state()
     }
 
-    pub(super) fn hear_head(&mut self, version: Version, digest: Digest) {
+    pub(super) fn handle_head(&mut self, version: Version, digest: Digest) {
         self.replica.learn_head(version, digest);
         self.serving.heard_platform(version);
     }
 
-    pub(super) fn hear_no_head(&mut self) {
+    pub(super) fn handle_failed_read(&mut self) {
         self.serving.platform_failed();
     }
 
-    pub(super) fn wake(&mut self) {
+    pub(super) fn resume(&mut self) {
         self.serving.woke();
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// Handles the answer of another daemon to this one's request.
-    pub(super) fn hear_answer(
+    pub(super) fn handle_answer(
         &mut self,
         me: DaemonIndex,
         peer: DaemonIndex,
@@ -105,7 +105,7 @@
     }
 
     /// Handles a request of another daemon, which reports the versions that it holds and remembers.
-    pub(super) fn hear_question(
+    pub(super) fn handle_request(
         &mut self,
         me: DaemonIndex,
         peer: DaemonIndex,
@@ -138,12 +138,12 @@
             self.serving.platform_failed();
         }
         if version > 0 && self.serving.may_serve(version, others) {
-            self.serves = version;
-            self.served = self.served.max(version);
+            self.serving_version = version;
+            self.highest_served = self.highest_served.max(version);
         }
     }
 
-    pub(super) fn take_delta(&mut self, delta: &Arc<Delta>, safeguards: Safeguards) {
+    pub(super) fn apply_delta(&mut self, delta: &Arc<Delta>, safeguards: Safeguards) {
         let offer = self.replica.offer_delta(NOW, Arc::clone(delta));
         let checks_digest = safeguards.has(Safeguard::DigestCheck);
         let checks_references = safeguards.has(Safeguard::ReferenceCheck);
@@ -158,16 +158,16 @@
             }
             _ => {}
         }
-        self.newest = self.newest.max(self.version());
+        self.highest_held = self.highest_held.max(self.version());
     }
 
-    pub(super) fn take_state(&mut self, state: &State, safeguards: Safeguards) {
+    pub(super) fn apply_state(&mut self, state: &State, safeguards: Safeguards) {
         let is_older = state.version() < self.version();
         if is_older && !safeguards.has(Safeguard::VersionAboveOwn) {
             self.replica = Replica::default();
         }
         self.replica.offer_state(NOW, state.clone());
-        self.newest = self.newest.max(self.version());
+        self.highest_held = self.highest_held.max(self.version());
     }
 
     fn has_digest(&self, delta: &Delta) -> bool {
--- a/crates/spec/src/spreading/message.rs
+++ b/crates/spec/src/spreading/message.rs
@@ -26,7 +26,7 @@
 
 /// Damaged variants of a delta: without its route but with the original digest, as after damage on
 /// the way, and without its service but with a matching digest, as from a faulty sender.
-pub(super) fn damaged(
+pub(super) fn damaged_deltas(
     payload: Payload,
     states: &[Arc<State>],
     deltas: &[Arc<Delta>],
--- a/crates/spec/src/spreading/mod.rs
+++ b/crates/spec/src/spreading/mod.rs
@@ -137,13 +137,13 @@
     /// Reads the head and the tail of the log, or the head and a snapshot if the daemon needs a
     /// whole state.
     fn poll(&self, daemon: &mut Daemon, head: Version) {
-        daemon.hear_head(head, self.digests[index(head)]);
-        if daemon.asks_whole() {
-            daemon.take_state(&self.states[index(head)], self.safeguards);
+        daemon.handle_head(head, self.digests[index(head)]);
+        if daemon.needs_state() {
+            daemon.apply_state(&self.states[index(head)], self.safeguards);
             return;
         }
         for delta in &self.deltas[index(daemon.version())..index(head)] {
-            daemon.take_delta(delta, self.safeguards);
+            daemon.apply_delta(delta, self.safeguards);
         }
     }
 
@@ -180,7 +180,7 @@
         if !is_accepted || *held != self.states[index(held.version())] {
             return Some(Invariant::WholeVersion);
         }
-        if daemon.went_back() {
+        if daemon.has_reverted() {
             return Some(Invariant::NeverBack);
         }
         let catches_up = || self.catches_up(daemon, state.head);
@@ -197,8 +197,8 @@
     fn exchange(&self, i: DaemonIndex, j: DaemonIndex, safeguards: Safeguards) -> Self {
         let mut next = self.clone();
         let (one, other) = (&self.daemons[i], &self.daemons[j]);
-        next.change(i, |it| it.hear_answer(i, j, other, safeguards));
-        next.change(j, |it| it.hear_question(j, i, one, safeguards));
+        next.change(i, |it| it.handle_answer(i, j, other, safeguards));
+        next.change(j, |it| it.handle_request(j, i, one, safeguards));
         next
     }
 
@@ -210,7 +210,7 @@
         };
         let mut all = self.daemons.iter().enumerate();
         all.all(|(i, daemon)| {
-            let served = daemon.served();
+            let served = daemon.highest_served();
             let mut others = self.daemons.iter();
             served == 0 || others.any(|it| knows(it, i, served))
         })
--- a/crates/spec/src/spreading/successors.rs
+++ b/crates/spec/src/spreading/successors.rs
@@ -3,30 +3,30 @@
 use std::sync::Arc;
 
 use super::daemon::Daemon;
-use super::message::{Message, Payload, damaged};
+use super::message::{Message, Payload, damaged_deltas};
 use super::{SpreadingSpec, SpreadingState, SpreadingStep, index};
 
-type Next = Vec<(SpreadingStep, SpreadingState)>;
+type Successors = Vec<(SpreadingStep, SpreadingState)>;
 
 impl SpreadingSpec {
-    pub(super) fn successors(&self, state: &SpreadingState) -> Next {
+    pub(super) fn successors(&self, state: &SpreadingState) -> Successors {
         let mut next = Vec::new();
         if state.head < self.bounds.versions {
             let mut accepted = state.clone();
             accepted.head += 1;
             next.push((SpreadingStep::Accept, accepted));
         }
-        self.polls(state, &mut next);
-        self.sends(state, &mut next);
-        self.deliveries(state, &mut next);
-        self.pulls(state, &mut next);
-        self.service(state, &mut next);
-        self.freezes(state, &mut next);
-        self.restarts(state, &mut next);
+        self.poll_steps(state, &mut next);
+        self.send_steps(state, &mut next);
+        self.delivery_steps(state, &mut next);
+        self.pull_steps(state, &mut next);
+        self.serving_steps(state, &mut next);
+        self.freeze_steps(state, &mut next);
+        self.restart_steps(state, &mut next);
         next
     }
 
-    fn polls(&self, state: &SpreadingState, next: &mut Next) {
+    fn poll_steps(&self, state: &SpreadingState, next: &mut Successors) {
         for i in 0..state.daemons.len() {
             let mut polled = state.clone();
             polled.change(i, |daemon| self.poll(daemon, state.head));
@@ -35,12 +35,12 @@
                 continue;
             }
             let mut failed = state.clone();
-            failed.change(i, Daemon::hear_no_head);
+            failed.change(i, Daemon::handle_failed_read);
             next.push((SpreadingStep::PollFailed(i), failed));
         }
     }
 
-    fn sends(&self, state: &SpreadingState, next: &mut Next) {
+    fn send_steps(&self, state: &SpreadingState, next: &mut Successors) {
         if state.messages.len() == self.bounds.in_flight {
             return;
         }
@@ -57,20 +57,20 @@
         }
     }
 
-    fn pulls(&self, state: &SpreadingState, next: &mut Next) {
+    fn pull_steps(&self, state: &SpreadingState, next: &mut Successors) {
         if self.bounds.in_flight > 0 {
             return;
         }
         for (from, peer) in state.daemons.iter().enumerate() {
             for to in (0..state.daemons.len()).filter(|to| *to != from) {
                 let mut pulled = state.clone();
-                pulled.change(to, |it| it.take_state(peer.in_force(), self.safeguards));
+                pulled.change(to, |it| it.apply_state(peer.in_force(), self.safeguards));
                 next.push((SpreadingStep::Pull(to, from), pulled));
             }
         }
     }
 
-    fn service(&self, state: &SpreadingState, next: &mut Next) {
+    fn serving_steps(&self, state: &SpreadingState, next: &mut Successors) {
         if self.bounds.restarts == 0 {
             return;
         }
@@ -86,66 +86,66 @@
         }
     }
 
-    fn deliveries(&self, state: &SpreadingState, next: &mut Next) {
+    fn delivery_steps(&self, state: &SpreadingState, next: &mut Successors) {
         for message in &state.messages {
             let mut lost = state.clone();
             lost.messages.remove(message);
             let mut delivered = lost.clone();
-            delivered.change(message.to, |it| self.take(it, message));
-            let mut doubled = delivered.clone();
+            delivered.change(message.to, |it| self.apply_message(it, message));
+            let mut duplicated = delivered.clone();
             next.push((SpreadingStep::Lose(*message), lost));
             next.push((SpreadingStep::Deliver(*message), delivered));
             if state.faults == 0 {
                 continue;
             }
-            doubled.messages.insert(*message);
-            doubled.faults -= 1;
-            next.push((SpreadingStep::Double(*message), doubled));
-            self.damage(state, *message, next);
+            duplicated.messages.insert(*message);
+            duplicated.faults -= 1;
+            next.push((SpreadingStep::Double(*message), duplicated));
+            self.damage_steps(state, *message, next);
         }
     }
 
-    fn damage(&self, state: &SpreadingState, message: Message, next: &mut Next) {
-        for delta in damaged(message.payload, &self.states, &self.deltas) {
+    fn damage_steps(&self, state: &SpreadingState, message: Message, next: &mut Successors) {
+        for delta in damaged_deltas(message.payload, &self.states, &self.deltas) {
             let mut damaged = state.clone();
             damaged.messages.remove(&message);
             damaged.faults -= 1;
             let delta = Arc::new(delta);
-            damaged.change(message.to, |it| it.take_delta(&delta, self.safeguards));
+            damaged.change(message.to, |it| it.apply_delta(&delta, self.safeguards));
             next.push((SpreadingStep::Damage(message), damaged));
         }
     }
 
-    fn take(&self, daemon: &mut Daemon, message: &Message) {
+    fn apply_message(&self, daemon: &mut Daemon, message: &Message) {
         match message.payload {
             Payload::Delta(version) => {
                 let delta = &self.deltas[index(version - 1)];
-                daemon.take_delta(delta, self.safeguards);
+                daemon.apply_delta(delta, self.safeguards);
             }
             Payload::Whole(version) => {
-                daemon.take_state(&self.states[index(version)], self.safeguards);
+                daemon.apply_state(&self.states[index(version)], self.safeguards);
             }
         }
     }
 
-    fn freezes(&self, state: &SpreadingState, next: &mut Next) {
+    fn freeze_steps(&self, state: &SpreadingState, next: &mut Successors) {
         if self.bounds.freezes == 0 {
             return;
         }
         for i in 0..state.daemons.len() {
-            let mut alone = state.clone();
-            alone.change(i, Daemon::serve_alone);
-            next.push((SpreadingStep::ServeAlone(i), alone));
+            let mut served = state.clone();
+            served.change(i, Daemon::serve_alone);
+            next.push((SpreadingStep::ServeAlone(i), served));
             if state.freezes > 0 {
-                let mut woke = state.clone();
-                woke.change(i, Daemon::wake);
-                woke.freezes -= 1;
-                next.push((SpreadingStep::Wake(i), woke));
+                let mut resumed = state.clone();
+                resumed.change(i, Daemon::resume);
+                resumed.freezes -= 1;
+                next.push((SpreadingStep::Wake(i), resumed));
             }
         }
     }
 
-    fn restarts(&self, state: &SpreadingState, next: &mut Next) {
+    fn restart_steps(&self, state: &SpreadingState, next: &mut Successors) {
         if state.restarts == 0 {
             return;
         }
@@ -160,7 +160,7 @@
     }
 }
 
-fn send(state: &SpreadingState, message: Message, next: &mut Next) {
+fn send(state: &SpreadingState, message: Message, next: &mut Successors) {
     let mut sent = state.clone();
     if sent.messages.insert(message) {
         next.push((SpreadingStep::Send(message), sent));
--- a/crates/spec/src/version_log/log.rs
+++ b/crates/spec/src/version_log/log.rs
@@ -18,7 +18,7 @@
 /// Id of the operation that produces the initial version.
 const BASE: &str = "base";
 
-pub(super) fn is_of_operation(condition: &Condition) -> bool {
+pub(super) fn is_operation_condition(condition: &Condition) -> bool {
     let key = match condition {
         Condition::Absent(key) | Condition::Exists(key) | Condition::AtRevision(key, _) => key,
     };
@@ -75,7 +75,7 @@
     }
 
     /// Whether every version of `before` is still in the log and unchanged.
-    pub(super) fn continues(&self, before: &Self) -> bool {
+    pub(super) fn extends(&self, before: &Self) -> bool {
         self.versions.starts_with(&before.versions)
     }
 
@@ -108,7 +108,7 @@
             if self.count(operation) > 1 {
                 return Some(Invariant::OperationOnce);
             }
-            if !sees_expected(edits, operation, &state) {
+            if !matches_expected(edits, operation, &state) {
                 return Some(Invariant::ExpectedRevision);
             }
             let Ok(next) = state.apply(delta) else {
@@ -120,16 +120,16 @@
     }
 }
 
-fn sees_expected(edits: &[Edit], operation: &OperationId, state: &State) -> bool {
+fn matches_expected(edits: &[Edit], operation: &OperationId, state: &State) -> bool {
     let changes = edits.iter().map(Edit::change);
     let mut own = changes.filter(|it| it.operation == *operation);
     own.all(|change| {
         let mut puts = change.puts.iter();
-        puts.all(|(resource, expected)| is_at(state, &resource.key(), *expected))
+        puts.all(|(resource, expected)| is_at_revision(state, &resource.key(), *expected))
     })
 }
 
-fn is_at(state: &State, key: &Key, expected: Option<Revision>) -> bool {
+fn is_at_revision(state: &State, key: &Key, expected: Option<Revision>) -> bool {
     let found = state.get(key).map_or(0, |held| held.revision);
     expected.is_none_or(|expected| expected == found)
 }
--- a/crates/spec/src/version_log/mod.rs
+++ b/crates/spec/src/version_log/mod.rs
@@ -38,7 +38,7 @@
     in_flight: Vec<CommitRequest>,
     requests: Vec<Shared<Request>>,
     faults: u8,
-    broken: Option<Invariant>,
+    log_violation: Option<Invariant>,
 }
 
 /// One event. The number is the index of the request, unless stated otherwise.
@@ -73,18 +73,23 @@
     }
 
     /// The transaction without the parts that belong to a safeguard which is switched off.
-    fn sent(&self, mut req: CommitRequest) -> CommitRequest {
+    fn as_sent(&self, mut req: CommitRequest) -> CommitRequest {
         if !self.safeguards.has(Safeguard::HeadCondition) {
-            req.conditions.retain(log::is_of_operation);
+            req.conditions.retain(log::is_operation_condition);
         }
         if !self.safeguards.has(Safeguard::OperationRow) {
-            req.conditions.retain(|it| !log::is_of_operation(it));
+            req.conditions.retain(|it| !log::is_operation_condition(it));
             req.writes.retain(|it| !log::writes_operation(it));
         }
         req
     }
 
-    fn answer(&self, state: &VersionLogState, i: usize, input: WriteInput) -> VersionLogState {
+    fn step_request(
+        &self,
+        state: &VersionLogState,
+        i: usize,
+        input: WriteInput,
+    ) -> VersionLogState {
         let mut next = state.clone();
         let step = |request: &mut Request| request.step(input, self.safeguards);
         next.change(i, step);
@@ -95,8 +100,13 @@
         next
     }
 
-    fn fault(&self, state: &VersionLogState, i: usize, input: WriteInput) -> VersionLogState {
-        let mut next = self.answer(state, i, input);
+    fn step_with_fault(
+        &self,
+        state: &VersionLogState,
+        i: usize,
+        input: WriteInput,
+    ) -> VersionLogState {
+        let mut next = self.step_request(state, i, input);
         next.faults -= 1;
         next
     }
@@ -109,10 +119,10 @@
         if !self.safeguards.has(Safeguard::OperationRow) {
             answer.rows[log::OPERATION_ROW] = None;
         }
-        let read = self.answer(state, i, WriteInput::Read(Ok(answer)));
+        let read = self.step_request(state, i, WriteInput::Read(Ok(answer)));
         let mut next = vec![(WriteStep::Read(i), read)];
         let mut given_up = state.clone();
-        given_up.change(i, |it| it.give_up(self.safeguards));
+        given_up.change(i, |it| it.time_out(self.safeguards));
         next.push((WriteStep::GaveUp(i), given_up));
         next
     }
@@ -121,21 +131,27 @@
         let WriteAction::Commit(req) = &state.requests[i].action else {
             return Vec::new();
         };
-        let req = self.sent(req.clone());
+        let req = self.as_sent(req.clone());
         let mut done = state.clone();
         let answer = done.commit(req.clone());
-        let committed = self.answer(&done, i, WriteInput::Commit(Ok(answer)));
+        let committed = self.step_request(&done, i, WriteInput::Commit(Ok(answer)));
         let mut next = vec![(WriteStep::Committed(i), committed)];
         if state.faults == 0 {
             return next;
         }
-        let lost = || WriteInput::Commit(Err(lost()));
-        next.push((WriteStep::AnswerLost(i), self.fault(&done, i, lost())));
-        let mut delayed = self.fault(state, i, lost());
+        let lost_input = || WriteInput::Commit(Err(answer_lost()));
+        next.push((
+            WriteStep::AnswerLost(i),
+            self.step_with_fault(&done, i, lost_input()),
+        ));
+        let mut delayed = self.step_with_fault(state, i, lost_input());
         delayed.in_flight.push(req);
         next.push((WriteStep::Delayed(i), delayed));
         let out = WriteInput::Commit(Err(unavailable()));
-        next.push((WriteStep::Unavailable(i), self.fault(state, i, out)));
+        next.push((
+            WriteStep::Unavailable(i),
+            self.step_with_fault(state, i, out),
+        ));
         next
     }
 }
@@ -156,8 +172,8 @@
 
     fn read_log(&mut self) {
         let log = Log::read(&self.table);
-        if !log.continues(&self.log) {
-            self.broken.get_or_insert(Invariant::LogIsFinal);
+        if !log.extends(&self.log) {
+            self.log_violation.get_or_insert(Invariant::LogIsFinal);
         }
         self.log = Shared::new(log);
     }
@@ -217,7 +233,7 @@
             in_flight: Vec::new(),
             requests: self.edits.iter().map(request).collect(),
             faults: self.faults,
-            broken: None,
+            log_violation: None,
         }
     }
 
@@ -239,13 +255,13 @@
     fn violated(&self, state: &VersionLogState) -> Option<Invariant> {
         let by_log = || state.log.violated(&self.edits);
         state
-            .broken
+            .log_violation
             .or_else(by_log)
             .or_else(|| state.violated_by_told())
     }
 }
 
-fn lost() -> PlatformError {
+fn answer_lost() -> PlatformError {
     let reason = "answer lost".into();
     PlatformError::Unknown { reason }
 }
--- a/crates/spec/src/version_log/request.rs
+++ b/crates/spec/src/version_log/request.rs
@@ -13,7 +13,7 @@
 use crate::safeguard::{Safeguard, Safeguards};
 
 /// A time after the timeout of every writer.
-const LATE: Duration = Duration::from_hours(1);
+const AFTER_TIMEOUT: Duration = Duration::from_hours(1);
 
 /// A change requested by an operator. Two edits with the same operation id are the same request
 /// sent to two daemons.
@@ -81,8 +81,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Reads,
-    Commits,
+    Reading,
+    Committing,
     Ended,
 }
 
@@ -137,19 +137,21 @@
         if let WriteAction::Wait(_) = self.action {
             self.action = self.writer.step(Duration::ZERO, WriteInput::Woke);
         }
-        self.note_end(safeguards);
+        self.record_outcome(safeguards);
     }
 
-    pub(super) fn give_up(&mut self, safeguards: Safeguards) {
+    pub(super) fn time_out(&mut self, safeguards: Safeguards) {
         let error = PlatformError::Unavailable {
             reason: "down".into(),
             retry_after: None,
         };
-        self.action = self.writer.step(LATE, WriteInput::Read(Err(error)));
-        self.note_end(safeguards);
+        self.action = self
+            .writer
+            .step(AFTER_TIMEOUT, WriteInput::Read(Err(error)));
+        self.record_outcome(safeguards);
     }
 
-    fn note_end(&mut self, safeguards: Safeguards) {
+    fn record_outcome(&mut self, safeguards: Safeguards) {
         let WriteAction::Finish(result) = &self.action else {
             return;
         };
@@ -163,8 +165,8 @@
 
     fn phase(&self) -> Phase {
         match self.action {
-            WriteAction::Read(_) => Phase::Reads,
-            WriteAction::Commit(_) => Phase::Commits,
+            WriteAction::Read(_) => Phase::Reading,
+            WriteAction::Commit(_) => Phase::Committing,
             WriteAction::Recover | WriteAction::Wait(_) | WriteAction::Finish(_) => Phase::Ended,
         }
     }
--- a/crates/spec/tests/all/support.rs
+++ b/crates/spec/tests/all/support.rs
@@ -9,13 +9,13 @@
     let mut cases = WITHOUT.iter().filter(|(it, _)| *it == safeguard);
     let (_, case) = cases.next().expect("every safeguard has a case");
     let summary = case.search(Safeguards::without(safeguard));
-    let (found, way) = summary
+    let (found, counterexample) = summary
         .violation
         .expect("an invariant is violated without the safeguard");
-    assert_eq!(found, invariant, "{way:?}");
-    assert_eq!(way.len(), steps, "{way:?}");
+    assert_eq!(found, invariant, "{counterexample:?}");
+    assert_eq!(counterexample.len(), steps, "{counterexample:?}");
     assert!(
-        way.ends_with(&last.iter().map(ToString::to_string).collect::<Vec<_>>()),
-        "{way:?}"
+        counterexample.ends_with(&last.iter().map(ToString::to_string).collect::<Vec<_>>()),
+        "{counterexample:?}"
     );
 }
