--- a/crates/versionlog/src/backoff.rs
+++ b/crates/versionlog/src/backoff.rs
@@ -17,8 +17,8 @@
 pub(crate) struct Backoff {
     rng: Xoshiro256PlusPlus,
     bound: Duration,
-    longest: Duration,
-    budget: Duration,
+    max: Duration,
+    timeout: Duration,
     deadline: Option<Duration>,
 }
 
@@ -27,15 +27,15 @@
         Self {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
             bound: cfg.first_wait,
-            longest: cfg.longest_wait,
-            budget: cfg.budget,
+            max: cfg.longest_wait,
+            timeout: cfg.budget,
             deadline: None,
         }
     }
 
     /// Starts the timeout if it has not been started.
     pub(crate) fn start(&mut self, now: Duration) {
-        self.deadline.get_or_insert(now + self.budget);
+        self.deadline.get_or_insert(now + self.timeout);
     }
 
     /// The delay before the next retry, or `None` if it would end after the timeout. The retry time
@@ -44,14 +44,14 @@
     pub(crate) fn next(&mut self, now: Duration, hint: Option<Duration>) -> Option<Duration> {
         self.start(now);
         let wait = hint.unwrap_or_default() + self.jitter();
-        self.bound = self.longest.min(self.bound * 2);
+        self.bound = self.max.min(self.bound * 2);
         let deadline = self.deadline.unwrap_or_default();
         (now + wait <= deadline).then_some(wait)
     }
 
     /// The delay before a retry after `error`, or `None` if the timeout or the kind of the error
     /// rules a retry out.
-    pub(crate) fn after(&mut self, now: Duration, error: &PlatformError) -> Option<Duration> {
+    pub(crate) fn after_error(&mut self, now: Duration, error: &PlatformError) -> Option<Duration> {
         match error {
             PlatformError::Refused { .. } | PlatformError::NotFound => None,
             PlatformError::Unavailable { .. }
@@ -62,8 +62,8 @@
     }
 
     /// The retry time to report to the caller once the timeout has passed.
-    pub(crate) fn hint(&mut self) -> Duration {
-        self.longest + self.jitter()
+    pub(crate) fn retry_after(&mut self) -> Duration {
+        self.max + self.jitter()
     }
 
     fn jitter(&mut self) -> Duration {
--- a/crates/versionlog/src/recovery.rs
+++ b/crates/versionlog/src/recovery.rs
@@ -122,7 +122,7 @@
     skipped: Vec<SkippedSnapshot>,
     state: Option<State>,
     /// Whether the log reaches back to the empty configuration.
-    log_is_whole: bool,
+    log_is_complete: bool,
 }
 
 impl Recovery {
@@ -135,7 +135,7 @@
             candidates: Vec::new(),
             skipped: Vec::new(),
             state: None,
-            log_is_whole: false,
+            log_is_complete: false,
         }
     }
 
@@ -168,7 +168,7 @@
         if let Some(snapshot) = self.candidates.first() {
             return RecoveryAction::GetObject(snapshot_name(snapshot.version));
         }
-        if self.log_is_whole {
+        if self.log_is_complete {
             self.state = Some(State::default());
             return self.next();
         }
@@ -180,11 +180,11 @@
     fn after_read(&mut self, answer: &ReadAnswer) -> Result<RecoveryAction, LogError> {
         let Some(state) = self.state.take() else {
             let head = read_head(answer)?.head;
-            return self.choose(head);
+            return self.choose_snapshot(head);
         };
         match read_tail(state.version(), answer)? {
             // The log was trimmed in the meantime, so there is a newer snapshot.
-            Tail::Trimmed { head } => self.choose(head),
+            Tail::Trimmed { head } => self.choose_snapshot(head),
             Tail::Deltas { head, deltas } => {
                 let state = apply_all(&state, &deltas)?.unwrap_or(state);
                 if state.version() < head.version {
@@ -197,8 +197,8 @@
     }
 
     /// Takes the snapshots of a head as candidates, except those that were already skipped.
-    fn choose(&mut self, head: Head) -> Result<RecoveryAction, LogError> {
-        self.log_is_whole = head.leads_on_from(0);
+    fn choose_snapshot(&mut self, head: Head) -> Result<RecoveryAction, LogError> {
+        self.log_is_complete = head.leads_on_from(0);
         if head.version == 0 {
             return self.check(State::default(), head);
         }
@@ -206,7 +206,7 @@
         let leads_on = |it: &SnapshotRef| head.leads_on_from(it.version);
         let usable = head.snapshots.iter().copied();
         self.candidates = usable.filter(|it| leads_on(it) && !skipped(it)).collect();
-        if self.candidates.is_empty() && !self.log_is_whole {
+        if self.candidates.is_empty() && !self.log_is_complete {
             let skipped = std::mem::take(&mut self.skipped);
             return Ok(finish(Err(RecoveryError::NoSnapshot { skipped })));
         }
@@ -216,14 +216,14 @@
     /// Accepts a snapshot only if its version and digest are those in the head row. Its own digest
     /// reveals damage; the head's reveals an object that doesn't belong to this log.
     fn after_object(&mut self, bytes: &[u8]) -> RecoveryAction {
-        let Some(wanted) = self.candidates.first().copied() else {
+        let Some(expected) = self.candidates.first().copied() else {
             return self.next();
         };
         match decode_snapshot(bytes) {
-            Ok(state) if state.version() != wanted.version => {
+            Ok(state) if state.version() != expected.version => {
                 self.skip("holds another version".into());
             }
-            Ok(state) if state.digest() != wanted.digest => {
+            Ok(state) if state.digest() != expected.digest => {
                 self.skip("has another digest than the head row says".into());
             }
             Ok(state) => self.state = Some(state),
@@ -257,10 +257,10 @@
             let reason = reason.clone();
             return finish(Err(RecoveryError::Refused { reason }));
         }
-        match self.backoff.after(now, error) {
+        match self.backoff.after_error(now, error) {
             Some(wait) => RecoveryAction::Wait(wait),
             None => finish(Err(RecoveryError::Unavailable {
-                retry_after: self.backoff.hint(),
+                retry_after: self.backoff.retry_after(),
             })),
         }
     }
--- a/crates/versionlog/src/snapshot/mod.rs
+++ b/crates/versionlog/src/snapshot/mod.rs
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Put,
-    Refer,
+    UpdateHead,
     List,
     Delete,
 }
@@ -90,7 +90,7 @@
     state: Arc<State>,
     stage: Stage,
     head: Option<Head>,
-    garbage: Vec<SmolStr>,
+    unreferenced: Vec<SmolStr>,
     deleted: usize,
 }
 
@@ -110,7 +110,7 @@
             state,
             stage: Stage::Put,
             head: None,
-            garbage: Vec::new(),
+            unreferenced: Vec::new(),
             deleted: 0,
         }
     }
@@ -121,16 +121,16 @@
         self.backoff.start(now);
         match input {
             SnapshotInput::Start | SnapshotInput::Woke => self.next(),
-            SnapshotInput::Put(Ok(())) => self.go_to(Stage::Refer),
+            SnapshotInput::Put(Ok(())) => self.enter(Stage::UpdateHead),
             SnapshotInput::Read(Ok(answer)) => self
                 .after_read(&answer)
                 .unwrap_or_else(|e| finish(Err(SnapshotError::Log(e)))),
-            SnapshotInput::Commit(Ok(CommitAnswer::Committed { .. })) => self.go_to(Stage::List),
+            SnapshotInput::Commit(Ok(CommitAnswer::Committed { .. })) => self.enter(Stage::List),
             SnapshotInput::Commit(Ok(CommitAnswer::Conflict { .. })) => self.wait(now),
             SnapshotInput::Listed(Ok(names)) => self.after_list(names),
             SnapshotInput::Deleted(Ok(())) => {
                 self.deleted += 1;
-                self.garbage.pop();
+                self.unreferenced.pop();
                 self.next()
             }
             SnapshotInput::Put(Err(e))
@@ -141,7 +141,7 @@
         }
     }
 
-    fn go_to(&mut self, stage: Stage) -> SnapshotAction {
+    fn enter(&mut self, stage: Stage) -> SnapshotAction {
         self.stage = stage;
         self.next()
     }
@@ -154,7 +154,7 @@
                 let name = snapshot_name(self.state.version());
                 SnapshotAction::PutObject(name, encode_snapshot(&self.state))
             }
-            Stage::Refer => {
+            Stage::UpdateHead => {
                 let oldest_rows = log_range(0, self.cfg.rows_at_once);
                 SnapshotAction::Read(ReadRequest {
                     ranges: vec![oldest_rows],
@@ -162,7 +162,7 @@
                 })
             }
             Stage::List => SnapshotAction::ListObjects(SmolStr::new_static(SNAPSHOT_PREFIX)),
-            Stage::Delete => match self.garbage.last() {
+            Stage::Delete => match self.unreferenced.last() {
                 Some(name) => SnapshotAction::DeleteObject(name.clone()),
                 None => self.done(),
             },
@@ -183,7 +183,7 @@
         // answer was lost.
         if row.head.snapshot_version() >= version {
             self.head = Some(row.head);
-            return Ok(self.go_to(Stage::List));
+            return Ok(self.enter(Stage::List));
         }
         let snapshot = SnapshotRef {
             version,
@@ -198,17 +198,18 @@
     /// just been written by another process that has not updated the head yet; deleting it would
     /// leave the head with a reference to a missing object.
     fn after_list(&mut self, names: Vec<SmolStr>) -> SnapshotAction {
-        let kept: Vec<SnapshotRef> = match &self.head {
+        let referenced: Vec<SnapshotRef> = match &self.head {
             Some(head) => head.snapshots.clone(),
-            None => return self.go_to(Stage::Refer),
+            None => return self.enter(Stage::UpdateHead),
         };
         let below = self.state.version();
-        let is_garbage = |name: &SmolStr| {
-            snapshot_version(name)
-                .is_some_and(|it| it < below && kept.iter().all(|kept| kept.version != it))
+        let is_unreferenced = |name: &SmolStr| {
+            snapshot_version(name).is_some_and(|it| {
+                it < below && referenced.iter().all(|snapshot| snapshot.version != it)
+            })
         };
-        self.garbage = names.into_iter().filter(is_garbage).collect();
-        self.go_to(Stage::Delete)
+        self.unreferenced = names.into_iter().filter(is_unreferenced).collect();
+        self.enter(Stage::Delete)
     }
 
     fn done(&mut self) -> SnapshotAction {
@@ -217,14 +218,14 @@
                 head,
                 deleted: self.deleted,
             })),
-            None => self.go_to(Stage::Refer),
+            None => self.enter(Stage::UpdateHead),
         }
     }
 
     fn wait(&mut self, now: Duration) -> SnapshotAction {
         match self.backoff.next(now, None) {
             Some(wait) => SnapshotAction::Wait(wait),
-            None => self.out_of_time(),
+            None => self.timed_out(),
         }
     }
 
@@ -233,15 +234,15 @@
             let reason = reason.clone();
             return finish(Err(SnapshotError::Refused { reason }));
         }
-        match self.backoff.after(now, error) {
+        match self.backoff.after_error(now, error) {
             Some(wait) => SnapshotAction::Wait(wait),
-            None => self.out_of_time(),
+            None => self.timed_out(),
         }
     }
 
-    fn out_of_time(&mut self) -> SnapshotAction {
+    fn timed_out(&mut self) -> SnapshotAction {
         finish(Err(SnapshotError::Unavailable {
-            retry_after: self.backoff.hint(),
+            retry_after: self.backoff.retry_after(),
         }))
     }
 }
--- a/crates/versionlog/src/snapshot/trim.rs
+++ b/crates/versionlog/src/snapshot/trim.rs
@@ -30,12 +30,12 @@
         if version >= keep_from {
             break;
         }
-        deletes.extend(delete(row)?);
+        deletes.extend(delete_rows(row)?);
         log_start = log_start.max(version + 1);
     }
     let head = Head {
         log_start,
-        snapshots: snapshots(&row.head, snapshot, log_start),
+        snapshots: retained_snapshots(&row.head, snapshot, log_start),
         ..row.head.clone()
     };
     let mut writes = vec![head.put()];
@@ -49,16 +49,16 @@
 
 /// Deletes a version's row together with that of its operation. An operation row that outlived its
 /// version would never be deleted, and the table would grow without bound.
-fn delete(row: &Row) -> Result<[Write; 2], LogError> {
+fn delete_rows(row: &Row) -> Result<[Write; 2], LogError> {
     let entry = LogEntry::try_from(row)?;
     let key = |key: SmolStr| Write::Delete { key };
     Ok([key(row.key.clone()), key(operation_key(&entry.operation))])
 }
 
 /// The new snapshot and those older ones from which the log is still complete.
-fn snapshots(head: &Head, newest: SnapshotRef, log_start: Version) -> Vec<SnapshotRef> {
-    let leads_on = |it: &&SnapshotRef| log_start <= it.version + 1;
-    let older = head.snapshots.iter().filter(leads_on).copied();
+fn retained_snapshots(head: &Head, newest: SnapshotRef, log_start: Version) -> Vec<SnapshotRef> {
+    let is_retained = |it: &&SnapshotRef| log_start <= it.version + 1;
+    let older = head.snapshots.iter().filter(is_retained).copied();
     std::iter::once(newest)
         .chain(older)
         .take(MAX_SNAPSHOTS)
--- a/crates/versionlog/src/writer/mod.rs
+++ b/crates/versionlog/src/writer/mod.rs
@@ -132,13 +132,13 @@
     /// would become two versions. The check comes before any other that can fail, since the change
     /// that took effect may make this one look invalid.
     fn after_read(&mut self, answer: &ReadAnswer) -> WriteAction {
-        match self.follow(answer) {
+        match self.evaluate_read(answer) {
             Ok(action) => action,
             Err(e) => self.fail(WriteError::Log(e)),
         }
     }
 
-    fn follow(&mut self, answer: &ReadAnswer) -> Result<WriteAction, LogError> {
+    fn evaluate_read(&mut self, answer: &ReadAnswer) -> Result<WriteAction, LogError> {
         let head = read_head(answer)?;
         let operation_row = answer.rows.get(OPERATION_ROW).ok_or(LogError::Shape)?;
         let tail = read_tail(self.state.version(), answer);
@@ -274,21 +274,21 @@
             let reason = reason.clone();
             return self.fail(WriteError::Refused { reason });
         }
-        match self.backoff.after(now, error) {
+        match self.backoff.after_error(now, error) {
             Some(wait) => WriteAction::Wait(wait),
-            None => self.out_of_time(),
+            None => self.timed_out(),
         }
     }
 
     fn wait(&mut self, now: Duration, hint: Option<Duration>) -> WriteAction {
         match self.backoff.next(now, hint) {
             Some(wait) => WriteAction::Wait(wait),
-            None => self.out_of_time(),
+            None => self.timed_out(),
         }
     }
 
-    fn out_of_time(&mut self) -> WriteAction {
-        let retry_after = self.backoff.hint();
+    fn timed_out(&mut self) -> WriteAction {
+        let retry_after = self.backoff.retry_after();
         self.fail(WriteError::Unavailable { retry_after })
     }
 
@@ -298,7 +298,7 @@
     fn fail(&mut self, error: WriteError) -> WriteAction {
         let error = match &self.unanswered {
             Some(_) => WriteError::Unsettled {
-                retry_after: self.backoff.hint(),
+                retry_after: self.backoff.retry_after(),
             },
             None => error,
         };
--- a/crates/versionlog/src/writer/prepare.rs
+++ b/crates/versionlog/src/writer/prepare.rs
@@ -12,19 +12,19 @@
 
 /// Returns the delta of `change` relative to `state`, and the resulting state.
 pub(super) fn prepare(change: &Change, state: &State) -> Result<(Delta, State), WriteError> {
-    let races = races(change, state);
-    if !races.is_empty() {
-        return Err(WriteError::Conflict(races));
+    let conflicts = conflicts(change, state);
+    if !conflicts.is_empty() {
+        return Err(WriteError::Conflict(conflicts));
     }
-    let next = changed(change, state)?;
+    let next = apply_change(change, state)?;
     let findings = validate(&next);
     if !findings.is_empty() {
         return Err(WriteError::Invalid(findings));
     }
     let delta = Delta {
         version: next.version(),
-        puts: resources(change, state),
-        deletes: keys(change, state),
+        puts: delta_puts(change, state),
+        deletes: delta_deletes(change, state),
         digest: next.digest(),
     };
     Ok((delta, next))
@@ -43,18 +43,18 @@
 /// Lists every resource that is not at the expected revision. Comparing revisions instead of the
 /// head lets operators change different resources at the same time, and still reports a conflict on
 /// the same resource.
-fn races(change: &Change, state: &State) -> Vec<Race> {
+fn conflicts(change: &Change, state: &State) -> Vec<Race> {
     let puts = change
         .puts
         .iter()
         .map(|(resource, expected)| (resource.key(), *expected));
     let deletes = change.deletes.iter().cloned();
     puts.chain(deletes)
-        .filter_map(|(key, expected)| race(state, key, expected?))
+        .filter_map(|(key, expected)| conflict(state, key, expected?))
         .collect()
 }
 
-fn race(state: &State, key: Key, expected: Revision) -> Option<Race> {
+fn conflict(state: &State, key: Key, expected: Revision) -> Option<Race> {
     let found = state.get(&key).map_or(0, |held| held.revision);
     (found != expected).then_some(Race {
         key,
@@ -64,7 +64,7 @@
 }
 
 /// The resulting state, not yet validated.
-fn changed(change: &Change, state: &State) -> Result<State, WriteError> {
+fn apply_change(change: &Change, state: &State) -> Result<State, WriteError> {
     let version = state.version() + 1;
     let mut items: BTreeMap<Key, Held> = state
         .iter()
@@ -86,7 +86,7 @@
     })
 }
 
-fn resources(change: &Change, state: &State) -> Vec<Resource> {
+fn delta_puts(change: &Change, state: &State) -> Vec<Resource> {
     changed_puts(change, state).cloned().collect()
 }
 
@@ -101,7 +101,7 @@
     })
 }
 
-fn keys(change: &Change, state: &State) -> Vec<Key> {
+fn delta_deletes(change: &Change, state: &State) -> Vec<Key> {
     let deletes = change.deletes.iter().map(|(key, _)| key);
     let held = deletes.filter(|key| state.get(key).is_some());
     held.cloned().collect()
--- a/crates/versionlog/tests/sizes.rs
+++ b/crates/versionlog/tests/sizes.rs
@@ -24,7 +24,7 @@
     })
 }
 
-fn whole_site() -> Vec<Resource> {
+fn site_resources() -> Vec<Resource> {
     let services = (0..SERVICES).map(|it| service(&format!("service-{it:02}")));
     let routes = (0..SERVICES).map(|it| {
         let service = format!("service-{it:02}");
@@ -48,7 +48,7 @@
         let change = change(&operation, puts);
         run(log.write(change, "operator@site".into(), Arc::clone(state))).unwrap()
     };
-    let mut state = write("load".to_owned(), whole_site(), &Arc::default()).state;
+    let mut state = write("load".to_owned(), site_resources(), &Arc::default()).state;
     let before = platform.usage();
     let started = Instant::now();
     let changes = 500;
--- a/crates/versionlog/tests/writer.rs
+++ b/crates/versionlog/tests/writer.rs
@@ -48,7 +48,7 @@
     // The transaction is applied and its answer is lost. The writer reads the operation's row and
     // finds its own change, so the operator sees one accepted version. Without that read it would
     // commit the change a second time.
-    // Safeguard: `Writer::follow` checks the operation's row first.
+    // Safeguard: `Writer::evaluate_read` checks the operation's row first.
     let platform = MemoryPlatform::new();
     platform.script(Operation::Commit, Outcome::LoseAnswer);
     let accepted = write(&platform, put_service("op-1", "floatdesk")).unwrap();
@@ -306,11 +306,11 @@
         change(&format!("op-{number}"), vec![(resource, Some(0))])
     };
     let mut steppers: Vec<Stepper> = (0..10).map(|it| Stepper::new(edit(it), it)).collect();
-    let mut moved = true;
-    while moved {
-        moved = false;
+    let mut progressed = true;
+    while progressed {
+        progressed = false;
         for stepper in &mut steppers {
-            moved |= stepper.step(&platform);
+            progressed |= stepper.step(&platform);
         }
     }
     for mut stepper in steppers {
