--- a/crates/daemon/src/control/platform.rs
+++ b/crates/daemon/src/control/platform.rs
@@ -15,7 +15,8 @@
 };
 use stoatstep_resource::Version;
 use stoatstep_versionlog::{
-    Edge, Head, LogConfig, PollError, RecoveryError, Tail, VersionLog, head_request, read_head,
+    Environment, Head, LogConfig, PollError, RecoveryError, Tail, VersionLog, head_request,
+    read_head,
 };
 
 use crate::config::Config;
@@ -32,7 +33,7 @@
 /// The version log's way to this daemon's client, clock and randomness.
 pub(crate) struct NodeEdge(Rc<Node>);
 
-impl Edge for NodeEdge {
+impl Environment for NodeEdge {
     type Platform = HttpPlatform;
 
     fn platform(&self) -> &HttpPlatform {
--- a/crates/scenario/src/world/mod.rs
+++ b/crates/scenario/src/world/mod.rs
@@ -15,7 +15,7 @@
 use smol_str::{SmolStr, format_smolstr};
 use stoatstep_calls::KeyText;
 use stoatstep_membership::Time;
-use stoatstep_versionlog::Edge;
+use stoatstep_versionlog::Environment;
 
 use crate::daemon::{Call, Node};
 use crate::script::{Fleet, Safeguard};
@@ -177,7 +177,7 @@
     pub(crate) client: StoreClient,
 }
 
-impl Edge for LogEdge {
+impl Environment for LogEdge {
     type Platform = StoreClient;
 
     fn platform(&self) -> &StoreClient {
--- a/crates/standin-platform/tests/version_log.rs
+++ b/crates/standin-platform/tests/version_log.rs
@@ -10,7 +10,7 @@
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{Resource, Service, State};
 use stoatstep_standin_platform::{Options, serve};
-use stoatstep_versionlog::{Edge, LogConfig, Tail, VersionLog};
+use stoatstep_versionlog::{Environment, LogConfig, Tail, VersionLog};
 
 struct Process {
     platform: HttpPlatform,
@@ -18,7 +18,7 @@
     seed: u64,
 }
 
-impl Edge for Process {
+impl Environment for Process {
     type Platform = HttpPlatform;
 
     fn platform(&self) -> &HttpPlatform {
--- a/crates/versionlog/src/driver.rs
+++ b/crates/versionlog/src/driver.rs
@@ -18,7 +18,7 @@
 use crate::writer::{Accepted, WriteAction, WriteError, WriteInput, Writer};
 
 /// The services that the version log needs from the process that it runs in.
-pub trait Edge {
+pub trait Environment {
     /// Type of the platform's client.
     type Platform: Platform;
 
@@ -38,7 +38,7 @@
 /// Asynchronous operations on the version log, for use in a process.
 #[derive(Debug)]
 pub struct VersionLog<E> {
-    edge: E,
+    environment: E,
     cfg: LogConfig,
 }
 
@@ -74,17 +74,17 @@
     }
 }
 
-impl<E: Edge> VersionLog<E> {
+impl<E: Environment> VersionLog<E> {
     /// Creates a log with these settings.
     #[must_use]
-    pub fn new(edge: E, cfg: LogConfig) -> Self {
-        Self { edge, cfg }
+    pub fn new(environment: E, cfg: LogConfig) -> Self {
+        Self { environment, cfg }
     }
 
     /// The environment that was passed to [`VersionLog::new`].
     #[must_use]
-    pub fn edge(&self) -> &E {
-        &self.edge
+    pub fn environment(&self) -> &E {
+        &self.environment
     }
 
     /// The settings of the log.
@@ -100,7 +100,7 @@
     ///
     /// The platform did not answer, or the head row is malformed.
     pub async fn head(&self) -> Result<Head, PollError> {
-        let answer = self.edge.platform().read(head_request()).await?;
+        let answer = self.environment.platform().read(head_request()).await?;
         Ok(read_head(&answer)?.head)
     }
 
@@ -112,7 +112,7 @@
     /// The platform did not answer, or the log is inconsistent or malformed.
     pub async fn tail(&self, from: Version) -> Result<Tail, PollError> {
         let req = tail_request(from, self.cfg.rows_at_once);
-        let answer = self.edge.platform().read(req).await?;
+        let answer = self.environment.platform().read(req).await?;
         Ok(read_tail(from, &answer)?)
     }
 
@@ -122,17 +122,17 @@
     ///
     /// [`RecoveryError`] lists the reasons.
     pub async fn recover(&self) -> Result<Recovered, RecoveryError> {
-        let platform = self.edge.platform();
-        let mut recovery = Recovery::new(&self.cfg, self.edge.seed());
+        let platform = self.environment.platform();
+        let mut recovery = Recovery::new(&self.cfg, self.environment.seed());
         let mut input = RecoveryInput::Start;
         loop {
-            input = match recovery.step(self.edge.now(), input) {
+            input = match recovery.step(self.environment.now(), input) {
                 RecoveryAction::Read(req) => RecoveryInput::Read(platform.read(req).await),
                 RecoveryAction::GetObject(name) => {
                     RecoveryInput::Object(platform.get_object(&name).await)
                 }
                 RecoveryAction::Wait(time) => {
-                    self.edge.sleep(time).await;
+                    self.environment.sleep(time).await;
                     RecoveryInput::Woke
                 }
                 RecoveryAction::Finish(result) => return result,
@@ -151,11 +151,11 @@
         author: SmolStr,
         state: Arc<State>,
     ) -> Result<Accepted, WriteError> {
-        let platform = self.edge.platform();
-        let mut writer = Writer::new(change, author, state, &self.cfg, self.edge.seed());
+        let platform = self.environment.platform();
+        let mut writer = Writer::new(change, author, state, &self.cfg, self.environment.seed());
         let mut input = WriteInput::Start;
         loop {
-            input = match writer.step(self.edge.now(), input) {
+            input = match writer.step(self.environment.now(), input) {
                 WriteAction::Read(req) => WriteInput::Read(platform.read(req).await),
                 WriteAction::Commit(req) => WriteInput::Commit(platform.commit(req).await),
                 WriteAction::Recover => {
@@ -163,7 +163,7 @@
                     WriteInput::Recovered(recovered.map(|it| it.state))
                 }
                 WriteAction::Wait(time) => {
-                    self.edge.sleep(time).await;
+                    self.environment.sleep(time).await;
                     WriteInput::Woke
                 }
                 WriteAction::Finish(result) => return result,
@@ -183,11 +183,11 @@
     ///
     /// [`SnapshotError`] lists the reasons.
     pub async fn snapshot(&self, state: Arc<State>) -> Result<Snapshot, SnapshotError> {
-        let platform = self.edge.platform();
-        let mut snapshotter = Snapshotter::new(state, &self.cfg, self.edge.seed());
+        let platform = self.environment.platform();
+        let mut snapshotter = Snapshotter::new(state, &self.cfg, self.environment.seed());
         let mut input = SnapshotInput::Start;
         loop {
-            input = match snapshotter.step(self.edge.now(), input) {
+            input = match snapshotter.step(self.environment.now(), input) {
                 SnapshotAction::PutObject(name, bytes) => {
                     SnapshotInput::Put(platform.put_object(&name, bytes).await)
                 }
@@ -200,7 +200,7 @@
                     SnapshotInput::Deleted(platform.delete_object(&name).await)
                 }
                 SnapshotAction::Wait(time) => {
-                    self.edge.sleep(time).await;
+                    self.environment.sleep(time).await;
                     SnapshotInput::Woke
                 }
                 SnapshotAction::Finish(result) => return result,
--- a/crates/versionlog/src/lib.rs
+++ b/crates/versionlog/src/lib.rs
@@ -23,7 +23,7 @@
 mod writer;
 
 pub use config::{LogConfig, LogConfigBuilder};
-pub use driver::{Edge, PollError, VersionLog};
+pub use driver::{Environment, PollError, VersionLog};
 pub use error::{LogError, RowError};
 pub use keys::{HEAD, LOG_PREFIX, OPERATION_PREFIX, SNAPSHOT_PREFIX};
 pub use keys::{log_key, operation_key, snapshot_name, snapshot_version};
--- a/crates/versionlog/tests/recovery.rs
+++ b/crates/versionlog/tests/recovery.rs
@@ -126,7 +126,7 @@
     let (platform, _) = with_snapshots();
     platform.script(Operation::GetObject, Outcome::Unavailable);
     let log = log(&platform, &cfg());
-    log.edge()
+    log.environment()
         .while_asleep
         .borrow_mut()
         .push_back(Box::new(|platform| {
--- a/crates/versionlog/tests/support/mod.rs
+++ b/crates/versionlog/tests/support/mod.rs
@@ -14,7 +14,7 @@
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{Key, Kind, Resource, Revision, Route, Service, State, Upstream, Version};
 use stoatstep_versionlog::{
-    Accepted, Edge, LOG_PREFIX, LogConfig, LogEntry, VersionLog, WriteAction, WriteError,
+    Accepted, Environment, LOG_PREFIX, LogConfig, LogEntry, VersionLog, WriteAction, WriteError,
     WriteInput, Writer,
 };
 
@@ -30,7 +30,7 @@
     seed: Cell<u64>,
 }
 
-impl Edge for Process {
+impl Environment for Process {
     type Platform = MemoryPlatform;
 
     fn platform(&self) -> &MemoryPlatform {
--- a/crates/versionlog/tests/writer.rs
+++ b/crates/versionlog/tests/writer.rs
@@ -332,7 +332,7 @@
         Arc::default(),
     ));
     assert_eq!(accepted.unwrap().version, 1);
-    let slept = log.edge().slept.borrow();
+    let slept = log.environment().slept.borrow();
     assert_eq!(slept.len(), 2);
     assert!(slept.iter().all(|it| *it >= hint), "slept {slept:?}");
 }
