--- a/crates/daemon/src/control/write.rs
+++ b/crates/daemon/src/control/write.rs
@@ -5,14 +5,14 @@
 
 use stoatstep_resource::State;
 use stoatstep_resource::wire::Change;
-use stoatstep_versionlog::{Accepted, WriteError};
+use stoatstep_versionlog::{AcceptedChange, WriteError};
 
 use super::platform::version_log;
 use super::{poll, push};
 use crate::node::Node;
 
 /// Has the platform accept a change, and sends it to the whole fleet.
-pub(crate) async fn submit(node: &Rc<Node>, change: Change) -> Result<Accepted, WriteError> {
+pub(crate) async fn submit(node: &Rc<Node>, change: Change) -> Result<AcceptedChange, WriteError> {
     let author = node.cfg.instance.clone();
     let state = Arc::clone(node.control.replica.borrow().state());
     let accepted = version_log(node).write(change, author, state).await?;
@@ -25,7 +25,7 @@
 
 /// Puts in force what the writer came to know. Versions of others on the way are
 /// sent by those who had them accepted.
-fn take_in(node: &Rc<Node>, accepted: &Accepted) {
+fn take_in(node: &Rc<Node>, accepted: &AcceptedChange) {
     poll::learn(node, &accepted.head);
     if accepted.deltas.is_empty() {
         let state = State::clone(&accepted.state);
--- a/crates/scenario/src/daemon/spread.rs
+++ b/crates/scenario/src/daemon/spread.rs
@@ -7,7 +7,7 @@
 use stoatstep_membership::{MemberKey, Membership, Time};
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{Delta, State, Version};
-use stoatstep_versionlog::{Accepted, Tail, WriteError};
+use stoatstep_versionlog::{AcceptedChange, Tail, WriteError};
 
 use super::control::{learn, offer};
 use super::{Node, index_of};
@@ -20,7 +20,7 @@
 const MAX_DELTAS: usize = 64;
 
 /// Has the platform accept a change, and sends it to the whole fleet.
-pub(crate) async fn submit(node: &Rc<Node>, change: Change) -> Result<Accepted, WriteError> {
+pub(crate) async fn submit(node: &Rc<Node>, change: Change) -> Result<AcceptedChange, WriteError> {
     let state = Arc::clone(node.control.borrow().replica.state());
     let author = node.instance.clone();
     let accepted = node.version_log().write(change, author, state).await?;
--- a/crates/scenario/src/run/operator.rs
+++ b/crates/scenario/src/run/operator.rs
@@ -7,7 +7,7 @@
 use stoatstep_membership::Time;
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{Key, Kind, Resource, Revision, Route, Service, Upstream};
-use stoatstep_versionlog::{Accepted, LogConfig, VersionLog, WriteError};
+use stoatstep_versionlog::{AcceptedChange, LogConfig, VersionLog, WriteError};
 
 use crate::daemon::{Node, submit, upstream_name};
 use crate::script::{ChangeEnd, Edit, Fleet, Safeguard};
@@ -194,7 +194,7 @@
     world: &Rc<World>,
     change: &Change,
     through: Index,
-) -> Option<Result<Accepted, WriteError>> {
+) -> Option<Result<AcceptedChange, WriteError>> {
     let node = world.node(through)?;
     let (tx, rx) = oneshot();
     let change = change.clone();
--- a/crates/versionlog/src/driver.rs
+++ b/crates/versionlog/src/driver.rs
@@ -13,9 +13,9 @@
 use crate::error::LogError;
 use crate::recovery::{Recovered, Recovery, RecoveryAction, RecoveryError, RecoveryInput};
 use crate::rows::Head;
-use crate::snapshot::{Snapshot, SnapshotAction, SnapshotError, SnapshotInput, Snapshotter};
+use crate::snapshot::{SnapshotAction, SnapshotError, SnapshotInput, SnapshotOutcome, Snapshotter};
 use crate::tail::{Tail, head_request, read_head, read_tail, tail_request};
-use crate::writer::{Accepted, WriteAction, WriteError, WriteInput, Writer};
+use crate::writer::{AcceptedChange, WriteAction, WriteError, WriteInput, Writer};
 
 /// The services that the version log needs from the process that it runs in.
 pub trait Environment {
@@ -150,7 +150,7 @@
         change: Change,
         author: SmolStr,
         state: Arc<State>,
-    ) -> Result<Accepted, WriteError> {
+    ) -> Result<AcceptedChange, WriteError> {
         let platform = self.environment.platform();
         let mut writer = Writer::new(change, author, state, &self.cfg, self.environment.seed());
         let mut input = WriteInput::Start;
@@ -182,7 +182,7 @@
     /// # Errors
     ///
     /// [`SnapshotError`] lists the reasons.
-    pub async fn snapshot(&self, state: Arc<State>) -> Result<Snapshot, SnapshotError> {
+    pub async fn snapshot(&self, state: Arc<State>) -> Result<SnapshotOutcome, SnapshotError> {
         let platform = self.environment.platform();
         let mut snapshotter = Snapshotter::new(state, &self.cfg, self.environment.seed());
         let mut input = SnapshotInput::Start;
--- a/crates/versionlog/src/lib.rs
+++ b/crates/versionlog/src/lib.rs
@@ -32,8 +32,10 @@
 };
 pub use rows::{Head, HeadRow, LogEntry, OperationEntry, SnapshotRef};
 pub use snapshot::{
-    Snapshot, SnapshotAction, SnapshotError, SnapshotInput, Snapshotter, decode_snapshot,
+    SnapshotAction, SnapshotError, SnapshotInput, SnapshotOutcome, Snapshotter, decode_snapshot,
     encode_snapshot,
 };
 pub use tail::{Tail, head_request, read_head, read_tail, tail_request};
-pub use writer::{Accepted, Progress, Race, WriteAction, WriteError, WriteInput, Writer};
+pub use writer::{
+    AcceptedChange, RevisionConflict, WriteAction, WriteError, WriteInput, WriteProgress, Writer,
+};
--- a/crates/versionlog/src/snapshot/mod.rs
+++ b/crates/versionlog/src/snapshot/mod.rs
@@ -56,12 +56,12 @@
     /// Wait for this time.
     Wait(Duration),
     /// The snapshot has ended with this result.
-    Finish(Result<Snapshot, SnapshotError>),
+    Finish(Result<SnapshotOutcome, SnapshotError>),
 }
 
 /// Result of a successful snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Snapshot {
+pub struct SnapshotOutcome {
     /// The head after the snapshot.
     pub head: Head,
     /// Number of unreferenced objects that were deleted.
@@ -214,7 +214,7 @@
 
     fn done(&mut self) -> SnapshotAction {
         match self.head.take() {
-            Some(head) => finish(Ok(Snapshot {
+            Some(head) => finish(Ok(SnapshotOutcome {
                 head,
                 deleted: self.deleted,
             })),
@@ -247,6 +247,6 @@
     }
 }
 
-fn finish(result: Result<Snapshot, SnapshotError>) -> SnapshotAction {
+fn finish(result: Result<SnapshotOutcome, SnapshotError>) -> SnapshotAction {
     SnapshotAction::Finish(result)
 }
--- a/crates/versionlog/src/writer/error.rs
+++ b/crates/versionlog/src/writer/error.rs
@@ -11,7 +11,7 @@
 
 /// A resource that is not at the revision that the operator expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Race {
+pub struct RevisionConflict {
     /// The resource.
     pub key: Key,
     /// The expected revision, or 0 if the resource was expected to be absent.
@@ -20,7 +20,7 @@
     pub found: Revision,
 }
 
-impl Race {
+impl RevisionConflict {
     /// Describes the conflict as a finding.
     #[must_use]
     pub fn finding(&self) -> Finding {
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteError {
     /// Another change to the same resources was committed first.
-    Conflict(Vec<Race>),
+    Conflict(Vec<RevisionConflict>),
     /// The state that would result is not valid.
     Invalid(Vec<Finding>),
     /// The operation id was already used for another change.
@@ -75,7 +75,7 @@
     #[must_use]
     pub fn findings(&self) -> Vec<Finding> {
         match self {
-            Self::Conflict(races) => races.iter().map(Race::finding).collect(),
+            Self::Conflict(conflicts) => conflicts.iter().map(RevisionConflict::finding).collect(),
             Self::Invalid(findings) => findings.clone(),
             other => vec![Finding::new(Place::default(), other.to_string())],
         }
@@ -101,7 +101,9 @@
 impl fmt::Display for WriteError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Conflict(races) => write!(f, "{} resources were changed since", races.len()),
+            Self::Conflict(conflicts) => {
+                write!(f, "{} resources were changed since", conflicts.len())
+            }
             Self::Invalid(findings) => {
                 write!(f, "the result would have {} findings", findings.len())
             }
--- a/crates/versionlog/src/writer/message.rs
+++ b/crates/versionlog/src/writer/message.rs
@@ -37,12 +37,12 @@
     /// Wait for this time.
     Wait(Duration),
     /// The write has ended with this result.
-    Finish(Result<Accepted, WriteError>),
+    Finish(Result<AcceptedChange, WriteError>),
 }
 
 /// A change that was committed to the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Accepted {
+pub struct AcceptedChange {
     /// The version that the change produced.
     pub version: Version,
     /// Whether an earlier request with the same operation id had already committed the change.
--- a/crates/versionlog/src/writer/mod.rs
+++ b/crates/versionlog/src/writer/mod.rs
@@ -19,8 +19,8 @@
 use crate::rows::{Head, HeadRow, LogEntry, OperationEntry};
 use crate::tail::{Tail, apply_all, read_head, read_tail, tail_request};
 
-pub use error::{Race, WriteError};
-pub use message::{Accepted, WriteAction, WriteInput};
+pub use error::{RevisionConflict, WriteError};
+pub use message::{AcceptedChange, WriteAction, WriteInput};
 
 /// Index of the operation's row in a read; the head's row comes first.
 const OPERATION_ROW: usize = 1;
@@ -38,7 +38,7 @@
 /// writers of the same change with equal progress behave the same, which lets a model checker
 /// recognize states that it has already visited.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Progress {
+pub struct WriteProgress {
     /// Digest of the state that the next transaction is based on; it covers the version.
     pub held: Digest,
     /// The condition on the head of the transaction that is being sent.
@@ -113,8 +113,8 @@
 
     /// Everything that this writer's further decisions depend on.
     #[must_use]
-    pub fn progress(&self) -> Progress {
-        Progress {
+    pub fn progress(&self) -> WriteProgress {
+        WriteProgress {
             held: self.state.digest(),
             sent: self.prepared.as_ref().map(|it| it.unchanged.clone()),
             unanswered: self.unanswered.clone(),
@@ -179,7 +179,7 @@
         if let Some(Tail::Deltas { deltas, .. }) = tail {
             let _ = self.catch_up(deltas);
         }
-        WriteAction::Finish(Ok(Accepted {
+        WriteAction::Finish(Ok(AcceptedChange {
             version: entry.version,
             replayed: self.unanswered.is_none(),
             state: Arc::clone(&self.state),
@@ -260,7 +260,7 @@
     fn accepted(&mut self, prepared: Prepared) -> WriteAction {
         let version = prepared.delta.version;
         self.deltas.push(prepared.delta);
-        WriteAction::Finish(Ok(Accepted {
+        WriteAction::Finish(Ok(AcceptedChange {
             version,
             replayed: false,
             state: prepared.state,
--- a/crates/versionlog/src/writer/prepare.rs
+++ b/crates/versionlog/src/writer/prepare.rs
@@ -8,7 +8,7 @@
     Delta, Digest, Finding, Held, Key, Place, Resource, Revision, State, validate,
 };
 
-use super::error::{Race, WriteError};
+use super::error::{RevisionConflict, WriteError};
 
 /// Returns the delta of `change` relative to `state`, and the resulting state.
 pub(super) fn prepare(change: &Change, state: &State) -> Result<(Delta, State), WriteError> {
@@ -43,7 +43,7 @@
 /// Lists every resource that is not at the expected revision. Comparing revisions instead of the
 /// head lets operators change different resources at the same time, and still reports a conflict on
 /// the same resource.
-fn conflicts(change: &Change, state: &State) -> Vec<Race> {
+fn conflicts(change: &Change, state: &State) -> Vec<RevisionConflict> {
     let puts = change
         .puts
         .iter()
@@ -54,9 +54,9 @@
         .collect()
 }
 
-fn conflict(state: &State, key: Key, expected: Revision) -> Option<Race> {
+fn conflict(state: &State, key: Key, expected: Revision) -> Option<RevisionConflict> {
     let found = state.get(&key).map_or(0, |held| held.revision);
-    (found != expected).then_some(Race {
+    (found != expected).then_some(RevisionConflict {
         key,
         expected,
         found,
--- a/crates/versionlog/tests/random.rs
+++ b/crates/versionlog/tests/random.rs
@@ -7,7 +7,7 @@
 use proptest::prelude::*;
 use stoatstep_platform::{MemoryPlatform, Operation, Outcome, Row};
 use stoatstep_versionlog::{
-    Accepted, Head, LogEntry, OperationEntry, WriteAction, WriteError, decode_snapshot,
+    AcceptedChange, Head, LogEntry, OperationEntry, WriteAction, WriteError, decode_snapshot,
 };
 use support::{Stepper, change, operations, service};
 
@@ -51,7 +51,7 @@
     ]
 }
 
-fn told(stepper: &Stepper) -> Option<Result<Accepted, WriteError>> {
+fn told(stepper: &Stepper) -> Option<Result<AcceptedChange, WriteError>> {
     match &stepper.action {
         WriteAction::Finish(result) => Some(result.clone()),
         _ => None,
--- a/crates/versionlog/tests/snapshots.rs
+++ b/crates/versionlog/tests/snapshots.rs
@@ -8,8 +8,9 @@
 use stoatstep_platform::{MemoryPlatform, Operation, Outcome, Platform};
 use stoatstep_resource::State;
 use stoatstep_versionlog::{
-    Head, LogConfig, OPERATION_PREFIX, Snapshot, SnapshotAction, SnapshotError, SnapshotInput,
-    Snapshotter, Tail, decode_snapshot, encode_snapshot, snapshot_name, snapshot_version,
+    Head, LogConfig, OPERATION_PREFIX, SnapshotAction, SnapshotError, SnapshotInput,
+    SnapshotOutcome, Snapshotter, Tail, decode_snapshot, encode_snapshot, snapshot_name,
+    snapshot_version,
 };
 use support::{fill, log, log_entries, put_service, run, write};
 
@@ -60,7 +61,7 @@
         true
     }
 
-    fn finish(&mut self, platform: &MemoryPlatform) -> Result<Snapshot, SnapshotError> {
+    fn finish(&mut self, platform: &MemoryPlatform) -> Result<SnapshotOutcome, SnapshotError> {
         while self.step(platform) {}
         match self.action.clone() {
             SnapshotAction::Finish(result) => result,
@@ -79,7 +80,10 @@
     copy
 }
 
-fn snapshot(platform: &MemoryPlatform, state: &Arc<State>) -> Result<Snapshot, SnapshotError> {
+fn snapshot(
+    platform: &MemoryPlatform,
+    state: &Arc<State>,
+) -> Result<SnapshotOutcome, SnapshotError> {
     run(log(platform, &short_tail()).snapshot(Arc::clone(state)))
 }
 
--- a/crates/versionlog/tests/support/mod.rs
+++ b/crates/versionlog/tests/support/mod.rs
@@ -14,8 +14,8 @@
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{Key, Kind, Resource, Revision, Route, Service, State, Upstream, Version};
 use stoatstep_versionlog::{
-    Accepted, Environment, LOG_PREFIX, LogConfig, LogEntry, VersionLog, WriteAction, WriteError,
-    WriteInput, Writer,
+    AcceptedChange, Environment, LOG_PREFIX, LogConfig, LogEntry, VersionLog, WriteAction,
+    WriteError, WriteInput, Writer,
 };
 
 type WhileAsleep = Box<dyn FnOnce(&MemoryPlatform)>;
@@ -124,7 +124,10 @@
 }
 
 /// Writes a change from a new process.
-pub(crate) fn write(platform: &MemoryPlatform, change: Change) -> Result<Accepted, WriteError> {
+pub(crate) fn write(
+    platform: &MemoryPlatform,
+    change: Change,
+) -> Result<AcceptedChange, WriteError> {
     let log = log(platform, &LogConfig::default());
     run(log.write(change, "tester".into(), Arc::default()))
 }
@@ -201,7 +204,10 @@
         matches!(self.action, WriteAction::Commit(_))
     }
 
-    pub(crate) fn finish(&mut self, platform: &MemoryPlatform) -> Result<Accepted, WriteError> {
+    pub(crate) fn finish(
+        &mut self,
+        platform: &MemoryPlatform,
+    ) -> Result<AcceptedChange, WriteError> {
         while self.step(platform) {}
         match self.action.clone() {
             WriteAction::Finish(result) => result,
--- a/crates/versionlog/tests/writer.rs
+++ b/crates/versionlog/tests/writer.rs
@@ -8,7 +8,7 @@
 use stoatstep_platform::{CommitRequest, MemoryPlatform, Operation, Outcome, Platform, Write};
 use stoatstep_resource::State;
 use stoatstep_versionlog::{
-    HEAD, Head, LogConfig, LogError, Race, Tail, WriteAction, WriteError, WriteInput,
+    HEAD, Head, LogConfig, LogError, RevisionConflict, Tail, WriteAction, WriteError, WriteInput,
 };
 use support::{
     Stepper, change, fill, log, log_entries, operations, put_service, route, run, service,
@@ -264,14 +264,14 @@
     slow.step(&platform);
     assert!(slow.commits_next());
     write(&platform, edit("op-fast", 9)).unwrap();
-    let race = |name, expected| Race {
+    let conflict = |name, expected| RevisionConflict {
         key: upstream(name, 9).key(),
         expected,
         found: 3,
     };
     let error = slow.finish(&platform).unwrap_err();
-    let races = vec![race("left", 1), race("right", 2)];
-    assert_eq!(error, WriteError::Conflict(races));
+    let conflicts = vec![conflict("left", 1), conflict("right", 2)];
+    assert_eq!(error, WriteError::Conflict(conflicts));
     let findings = error.findings();
     let text = "upstream/left: is at revision 3, expected at revision 1";
     assert_eq!(findings[0].to_string(), text);
