--- a/crates/spec/src/version_log/request.rs
+++ b/crates/spec/src/version_log/request.rs
@@ -135,7 +135,7 @@
     pub(super) fn step(&mut self, input: WriteInput, safeguards: Safeguards) {
         self.action = self.writer.step(Duration::ZERO, input);
         if let WriteAction::Wait(_) = self.action {
-            self.action = self.writer.step(Duration::ZERO, WriteInput::Woke);
+            self.action = self.writer.step(Duration::ZERO, WriteInput::WaitElapsed);
         }
         self.record_outcome(safeguards);
     }
--- a/crates/versionlog/src/driver.rs
+++ b/crates/versionlog/src/driver.rs
@@ -133,7 +133,7 @@
                 }
                 RecoveryAction::Wait(time) => {
                     self.environment.sleep(time).await;
-                    RecoveryInput::Woke
+                    RecoveryInput::WaitElapsed
                 }
                 RecoveryAction::Finish(result) => return result,
             };
@@ -164,7 +164,7 @@
                 }
                 WriteAction::Wait(time) => {
                     self.environment.sleep(time).await;
-                    WriteInput::Woke
+                    WriteInput::WaitElapsed
                 }
                 WriteAction::Finish(result) => return result,
             };
@@ -201,7 +201,7 @@
                 }
                 SnapshotAction::Wait(time) => {
                     self.environment.sleep(time).await;
-                    SnapshotInput::Woke
+                    SnapshotInput::WaitElapsed
                 }
                 SnapshotAction::Finish(result) => return result,
             };
--- a/crates/versionlog/src/error.rs
+++ b/crates/versionlog/src/error.rs
@@ -54,7 +54,7 @@
         version: Version,
     },
     /// The answer has fewer rows or ranges than were requested.
-    Shape,
+    IncompleteAnswer,
 }
 
 impl From<RowError> for LogError {
@@ -75,7 +75,9 @@
             Self::HeadDigest { version } => {
                 write!(f, "version {version} has another digest than the head row")
             }
-            Self::Shape => f.write_str("the platform's answer has not the rows asked for"),
+            Self::IncompleteAnswer => {
+                f.write_str("the platform's answer has not the rows asked for")
+            }
         }
     }
 }
--- a/crates/versionlog/src/recovery.rs
+++ b/crates/versionlog/src/recovery.rs
@@ -26,7 +26,7 @@
     /// The answer to [`RecoveryAction::GetObject`].
     Object(Result<Vec<u8>, PlatformError>),
     /// The delay of [`RecoveryAction::Wait`] has elapsed.
-    Woke,
+    WaitElapsed,
 }
 
 /// What the caller of the [`Recovery`] has to do next.
@@ -144,7 +144,7 @@
     pub fn step(&mut self, now: Duration, input: RecoveryInput) -> RecoveryAction {
         self.backoff.start(now);
         match input {
-            RecoveryInput::Start | RecoveryInput::Woke => self.next(),
+            RecoveryInput::Start | RecoveryInput::WaitElapsed => self.next(),
             RecoveryInput::Read(Ok(answer)) => self
                 .after_read(&answer)
                 .unwrap_or_else(|e| finish(Err(RecoveryError::Log(e)))),
@@ -198,14 +198,16 @@
 
     /// Takes the snapshots of a head as candidates, except those that were already skipped.
     fn choose_snapshot(&mut self, head: Head) -> Result<RecoveryAction, LogError> {
-        self.log_is_complete = head.leads_on_from(0);
+        self.log_is_complete = head.log_continues_from(0);
         if head.version == 0 {
             return self.check(State::default(), head);
         }
         let skipped = |it: &SnapshotRef| self.skipped.iter().any(|s| s.version == it.version);
-        let leads_on = |it: &SnapshotRef| head.leads_on_from(it.version);
+        let is_continued = |it: &SnapshotRef| head.log_continues_from(it.version);
         let usable = head.snapshots.iter().copied();
-        self.candidates = usable.filter(|it| leads_on(it) && !skipped(it)).collect();
+        self.candidates = usable
+            .filter(|it| is_continued(it) && !skipped(it))
+            .collect();
         if self.candidates.is_empty() && !self.log_is_complete {
             let skipped = std::mem::take(&mut self.skipped);
             return Ok(finish(Err(RecoveryError::NoSnapshot { skipped })));
--- a/crates/versionlog/src/rows.rs
+++ b/crates/versionlog/src/rows.rs
@@ -56,7 +56,7 @@
 
     /// Whether the log holds every version after `from`.
     #[must_use]
-    pub fn leads_on_from(&self, from: Version) -> bool {
+    pub fn log_continues_from(&self, from: Version) -> bool {
         self.log_start <= from + 1
     }
 }
--- a/crates/versionlog/src/snapshot/mod.rs
+++ b/crates/versionlog/src/snapshot/mod.rs
@@ -37,7 +37,7 @@
     /// The answer to [`SnapshotAction::DeleteObject`].
     Deleted(Result<(), PlatformError>),
     /// The delay of [`SnapshotAction::Wait`] has elapsed.
-    Woke,
+    WaitElapsed,
 }
 
 /// What the caller of the [`Snapshotter`] has to do next.
@@ -120,7 +120,7 @@
     pub fn step(&mut self, now: Duration, input: SnapshotInput) -> SnapshotAction {
         self.backoff.start(now);
         match input {
-            SnapshotInput::Start | SnapshotInput::Woke => self.next(),
+            SnapshotInput::Start | SnapshotInput::WaitElapsed => self.next(),
             SnapshotInput::Put(Ok(())) => self.enter(Stage::UpdateHead),
             SnapshotInput::Read(Ok(answer)) => self
                 .after_read(&answer)
@@ -171,7 +171,7 @@
 
     fn after_read(&mut self, answer: &ReadAnswer) -> Result<SnapshotAction, LogError> {
         let row = read_head(answer)?;
-        let oldest_rows = answer.ranges.first().ok_or(LogError::Shape)?;
+        let oldest_rows = answer.ranges.first().ok_or(LogError::IncompleteAnswer)?;
         let version = self.state.version();
         if row.head.version < version {
             return Err(LogError::Regressed {
--- a/crates/versionlog/src/tail.rs
+++ b/crates/versionlog/src/tail.rs
@@ -41,7 +41,7 @@
 ///
 /// The row is malformed.
 pub fn read_head(answer: &ReadAnswer) -> Result<HeadRow, LogError> {
-    let row = answer.rows.first().ok_or(LogError::Shape)?;
+    let row = answer.rows.first().ok_or(LogError::IncompleteAnswer)?;
     head_row(row.as_ref())
 }
 
@@ -62,14 +62,14 @@
 /// A row is malformed or missing, or the head is older than `from`.
 pub fn read_tail(from: Version, answer: &ReadAnswer) -> Result<Tail, LogError> {
     let head = read_head(answer)?.head;
-    let rows = answer.ranges.first().ok_or(LogError::Shape)?;
+    let rows = answer.ranges.first().ok_or(LogError::IncompleteAnswer)?;
     if head.version < from {
         return Err(LogError::Regressed {
             held: from,
             head: head.version,
         });
     }
-    if !head.leads_on_from(from) {
+    if !head.log_continues_from(from) {
         return Ok(Tail::Trimmed { head });
     }
     let deltas = read_deltas(from, &head, rows)?;
--- a/crates/versionlog/src/writer/message.rs
+++ b/crates/versionlog/src/writer/message.rs
@@ -22,7 +22,7 @@
     /// The result of [`WriteAction::Recover`].
     Recovered(Result<Arc<State>, RecoveryError>),
     /// The delay of [`WriteAction::Wait`] has elapsed.
-    Woke,
+    WaitElapsed,
 }
 
 /// What the caller of the [`Writer`](crate::Writer) has to do next.
--- a/crates/versionlog/src/writer/mod.rs
+++ b/crates/versionlog/src/writer/mod.rs
@@ -98,7 +98,7 @@
     pub fn step(&mut self, now: Duration, input: WriteInput) -> WriteAction {
         self.backoff.start(now);
         match input {
-            WriteInput::Start | WriteInput::Woke => self.read(),
+            WriteInput::Start | WriteInput::WaitElapsed => self.read(),
             WriteInput::Read(Ok(answer)) => self.after_read(&answer),
             WriteInput::Read(Err(e)) => self.after_error(now, &e),
             WriteInput::Commit(answer) => self.after_commit(now, answer),
@@ -140,7 +140,10 @@
 
     fn evaluate_read(&mut self, answer: &ReadAnswer) -> Result<WriteAction, LogError> {
         let head = read_head(answer)?;
-        let operation_row = answer.rows.get(OPERATION_ROW).ok_or(LogError::Shape)?;
+        let operation_row = answer
+            .rows
+            .get(OPERATION_ROW)
+            .ok_or(LogError::IncompleteAnswer)?;
         let tail = read_tail(self.state.version(), answer);
         if let Some(row) = operation_row {
             let entry = OperationEntry::try_from(row)?;
--- a/crates/versionlog/tests/snapshots.rs
+++ b/crates/versionlog/tests/snapshots.rs
@@ -53,7 +53,7 @@
             }
             SnapshotAction::Wait(time) => {
                 self.now += time;
-                SnapshotInput::Woke
+                SnapshotInput::WaitElapsed
             }
             SnapshotAction::Finish(_) => return false,
         };
@@ -107,7 +107,7 @@
         let bytes = platform.with_objects(|objects| objects.get(&name).unwrap().to_vec());
         let state = decode_snapshot(&bytes).unwrap();
         assert_eq!(state.digest(), snapshot.digest);
-        assert!(head.leads_on_from(snapshot.version));
+        assert!(head.log_continues_from(snapshot.version));
     }
 }
 
--- a/crates/versionlog/tests/support/mod.rs
+++ b/crates/versionlog/tests/support/mod.rs
@@ -192,7 +192,7 @@
             }
             WriteAction::Wait(time) => {
                 self.now += time;
-                WriteInput::Woke
+                WriteInput::WaitElapsed
             }
             WriteAction::Finish(_) => return false,
         };
