--- a/crates/versionlog/src/backoff.rs
+++ b/crates/versionlog/src/backoff.rs
@@ -26,9 +26,9 @@
     pub(crate) fn new(cfg: &LogConfig, seed: u64) -> Self {
         Self {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            bound: cfg.first_wait,
-            max: cfg.longest_wait,
-            timeout: cfg.budget,
+            bound: cfg.initial_backoff,
+            max: cfg.max_backoff,
+            timeout: cfg.timeout,
             deadline: None,
         }
     }
--- a/crates/versionlog/src/config.rs
+++ b/crates/versionlog/src/config.rs
@@ -6,20 +6,20 @@
 
 const SNAPSHOT_EVERY: Version = 64;
 const RETAINED_TAIL: Version = 256;
-const FIRST_WAIT: Duration = Duration::from_millis(20);
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
-const BUDGET: Duration = Duration::from_secs(5);
-const ROWS_AT_ONCE: usize = 256;
+const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+const TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_ROWS_PER_READ: usize = 256;
 
 /// Settings of the log's storage, and of retries and timeouts. Built by [`LogConfig::builder`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogConfig {
     pub(crate) snapshot_every: Version,
     pub(crate) retained_tail: Version,
-    pub(crate) first_wait: Duration,
-    pub(crate) longest_wait: Duration,
-    pub(crate) budget: Duration,
-    pub(crate) rows_at_once: usize,
+    pub(crate) initial_backoff: Duration,
+    pub(crate) max_backoff: Duration,
+    pub(crate) timeout: Duration,
+    pub(crate) max_rows_per_read: usize,
 }
 
 impl Default for LogConfig {
@@ -27,10 +27,10 @@
         Self {
             snapshot_every: SNAPSHOT_EVERY,
             retained_tail: RETAINED_TAIL,
-            first_wait: FIRST_WAIT,
-            longest_wait: LONGEST_WAIT,
-            budget: BUDGET,
-            rows_at_once: ROWS_AT_ONCE,
+            initial_backoff: INITIAL_BACKOFF,
+            max_backoff: MAX_BACKOFF,
+            timeout: TIMEOUT,
+            max_rows_per_read: MAX_ROWS_PER_READ,
         }
     }
 }
@@ -71,31 +71,31 @@
     /// Sets the upper bound of the first random delay after a failure; 20 ms by default. Each
     /// further failure doubles it.
     #[must_use]
-    pub fn first_wait(mut self, wait: Duration) -> Self {
-        self.cfg.first_wait = wait;
+    pub fn initial_backoff(mut self, delay: Duration) -> Self {
+        self.cfg.initial_backoff = delay;
         self
     }
 
     /// Sets the upper bound at which the delays stop growing; 500 ms by default.
     #[must_use]
-    pub fn longest_wait(mut self, wait: Duration) -> Self {
-        self.cfg.longest_wait = wait;
+    pub fn max_backoff(mut self, delay: Duration) -> Self {
+        self.cfg.max_backoff = delay;
         self
     }
 
     /// Sets the time after which a write, a snapshot or a recovery stops retrying and returns an
     /// error; 5 s by default.
     #[must_use]
-    pub fn budget(mut self, budget: Duration) -> Self {
-        self.cfg.budget = budget;
+    pub fn timeout(mut self, timeout: Duration) -> Self {
+        self.cfg.timeout = timeout;
         self
     }
 
     /// Sets the largest number of log rows in one read; 256 by default. It bounds the size of an
     /// answer; a longer tail takes several reads.
     #[must_use]
-    pub fn rows_at_once(mut self, rows: usize) -> Self {
-        self.cfg.rows_at_once = rows.max(1);
+    pub fn max_rows_per_read(mut self, rows: usize) -> Self {
+        self.cfg.max_rows_per_read = rows.max(1);
         self
     }
 
--- a/crates/versionlog/src/driver.rs
+++ b/crates/versionlog/src/driver.rs
@@ -111,7 +111,7 @@
     ///
     /// The platform did not answer, or the log is inconsistent or malformed.
     pub async fn tail(&self, from: Version) -> Result<Tail, PollError> {
-        let req = tail_request(from, self.cfg.rows_at_once);
+        let req = tail_request(from, self.cfg.max_rows_per_read);
         let answer = self.environment.platform().read(req).await?;
         Ok(read_tail(from, &answer)?)
     }
--- a/crates/versionlog/src/recovery.rs
+++ b/crates/versionlog/src/recovery.rs
@@ -162,7 +162,7 @@
     /// Chooses the next request from what has been fetched so far.
     fn next(&mut self) -> RecoveryAction {
         if let Some(state) = &self.state {
-            let req = tail_request(state.version(), self.cfg.rows_at_once);
+            let req = tail_request(state.version(), self.cfg.max_rows_per_read);
             return RecoveryAction::Read(req);
         }
         if let Some(snapshot) = self.candidates.first() {
--- a/crates/versionlog/src/snapshot/mod.rs
+++ b/crates/versionlog/src/snapshot/mod.rs
@@ -155,7 +155,7 @@
                 SnapshotAction::PutObject(name, encode_snapshot(&self.state))
             }
             Stage::UpdateHead => {
-                let oldest_rows = log_range(0, self.cfg.rows_at_once);
+                let oldest_rows = log_range(0, self.cfg.max_rows_per_read);
                 SnapshotAction::Read(ReadRequest {
                     ranges: vec![oldest_rows],
                     ..head_request()
--- a/crates/versionlog/src/writer/mod.rs
+++ b/crates/versionlog/src/writer/mod.rs
@@ -122,7 +122,7 @@
     }
 
     fn read(&self) -> WriteAction {
-        let mut req = tail_request(self.state.version(), self.cfg.rows_at_once);
+        let mut req = tail_request(self.state.version(), self.cfg.max_rows_per_read);
         req.gets.push(operation_key(&self.change.operation));
         WriteAction::Read(req)
     }
--- a/crates/versionlog/tests/writer.rs
+++ b/crates/versionlog/tests/writer.rs
@@ -416,7 +416,7 @@
 fn a_tail_longer_than_one_read_is_read_in_parts() {
     let platform = MemoryPlatform::new();
     fill(&platform, 10);
-    let cfg = LogConfig::builder().rows_at_once(3).build();
+    let cfg = LogConfig::builder().max_rows_per_read(3).build();
     let log = log(&platform, &cfg);
     let accepted = run(log.write(
         put_service("op", "late"),
