--- a/crates/spec/src/keys.rs
+++ b/crates/spec/src/api_keys.rs
@@ -22,9 +22,9 @@
 /// Ticks for which the key may still be accepted after it was revoked.
 const REVOCATION_BOUND: u8 = 3;
 
-/// Bounds of a [`KeySpec`].
+/// Bounds of a [`ApiKeySpec`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct KeyBounds {
+pub struct ApiKeyBounds {
     /// Ticks of the clocks.
     pub ticks: u8,
     /// Answers in flight at a time.
@@ -37,14 +37,14 @@
 
 /// Specification of a revoked key at two daemons.
 #[derive(Clone, Copy, Debug)]
-pub struct KeySpec {
-    bounds: KeyBounds,
+pub struct ApiKeySpec {
+    bounds: ApiKeyBounds,
     safeguards: Safeguards,
 }
 
 /// State of one daemon.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct KeyDaemon {
+pub struct ApiKeyDaemon {
     /// Version that the daemon holds, or 0 if none.
     version: u8,
     confirmation: Confirmation,
@@ -54,7 +54,7 @@
 
 /// An answer in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeyAnswer {
+pub struct ApiKeyAnswer {
     to: usize,
     /// Time of the request, by the asking daemon's clock.
     asked_at: Duration,
@@ -64,19 +64,19 @@
 
 /// Everything that later steps depend on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeyState {
+pub struct ApiKeyState {
     now: u8,
     /// Tick at which the store acknowledged that the key was revoked.
     removed_at: Option<u8>,
-    daemons: [KeyDaemon; DAEMONS],
-    answers: Vec<KeyAnswer>,
+    daemons: [ApiKeyDaemon; DAEMONS],
+    answers: Vec<ApiKeyAnswer>,
     restarts: u8,
     sleeps: u8,
 }
 
 /// One event.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeyStep {
+pub enum ApiKeyStep {
     /// Time passes.
     Tick,
     /// Time passes while this daemon is suspended.
@@ -93,15 +93,15 @@
     Restart(usize),
 }
 
-impl KeySpec {
+impl ApiKeySpec {
     /// Creates a specification with these bounds and safeguards.
     #[must_use]
-    pub fn new(bounds: KeyBounds, safeguards: Safeguards) -> Self {
+    pub fn new(bounds: ApiKeyBounds, safeguards: Safeguards) -> Self {
         Self { bounds, safeguards }
     }
 
     /// The time by a daemon's own clock.
-    fn clock(&self, state: &KeyState, daemon: usize) -> Duration {
+    fn clock(&self, state: &ApiKeyState, daemon: usize) -> Duration {
         let slept = if self.safeguards.has(Safeguard::SleepCounts) {
             0
         } else {
@@ -110,7 +110,7 @@
         Duration::from_secs((state.now - slept).into())
     }
 
-    fn ask(&self, state: &mut KeyState, daemon: usize) {
+    fn ask(&self, state: &mut ApiKeyState, daemon: usize) {
         let asked_at = self.clock(state, daemon);
         let (version, age) = if daemon == 0 {
             (store_version(state), Some(Duration::ZERO))
@@ -119,7 +119,7 @@
             (peer.version, peer.confirmation.age(self.clock(state, 0)))
         };
         if let Some(age) = age {
-            state.answers.push(KeyAnswer {
+            state.answers.push(ApiKeyAnswer {
                 to: daemon,
                 asked_at,
                 version,
@@ -128,7 +128,7 @@
         }
     }
 
-    fn deliver(&self, state: &mut KeyState, answer: &KeyAnswer) {
+    fn deliver(&self, state: &mut ApiKeyState, answer: &ApiKeyAnswer) {
         let now = self.clock(state, answer.to);
         let daemon = &mut state.daemons[answer.to];
         // The store's answer contains the version; a peer's contains only its number.
@@ -147,7 +147,7 @@
         daemon.confirmation.confirm_by_peer(from, answer.age);
     }
 
-    fn restart(&self, state: &mut KeyState, daemon: usize) {
+    fn restart(&self, state: &mut ApiKeyState, daemon: usize) {
         let now = self.clock(state, daemon);
         let other = state.daemons[1 - daemon].version;
         let slept = state.daemons[daemon].slept;
@@ -155,7 +155,7 @@
         if !self.safeguards.has(Safeguard::CopyConfirmsNothing) {
             confirmation.confirm(now);
         }
-        state.daemons[daemon] = KeyDaemon {
+        state.daemons[daemon] = ApiKeyDaemon {
             version: other,
             confirmation,
             slept,
@@ -163,7 +163,7 @@
         state.answers.retain(|it| it.to != daemon);
     }
 
-    fn accepts_key(&self, state: &KeyState, daemon: usize) -> bool {
+    fn accepts_key(&self, state: &ApiKeyState, daemon: usize) -> bool {
         let held = &state.daemons[daemon];
         let bound = Duration::from_secs(REVOCATION_BOUND.into());
         held.version == WITH_KEY
@@ -173,7 +173,7 @@
     }
 }
 
-fn store_version(state: &KeyState) -> u8 {
+fn store_version(state: &ApiKeyState) -> u8 {
     if state.removed_at.is_some() {
         WITHOUT_KEY
     } else {
@@ -181,17 +181,17 @@
     }
 }
 
-impl Spec for KeySpec {
-    type State = KeyState;
-    type Step = KeyStep;
+impl Spec for ApiKeySpec {
+    type State = ApiKeyState;
+    type Step = ApiKeyStep;
 
-    fn start(&self) -> KeyState {
-        KeyState {
+    fn start(&self) -> ApiKeyState {
+        ApiKeyState {
             now: 0,
             removed_at: None,
-            daemons: std::array::from_fn(|_| KeyDaemon {
+            daemons: std::array::from_fn(|_| ApiKeyDaemon {
                 version: WITH_KEY,
-                ..KeyDaemon::default()
+                ..ApiKeyDaemon::default()
             }),
             answers: Vec::new(),
             restarts: 0,
@@ -199,42 +199,42 @@
         }
     }
 
-    fn steps(&self, state: &KeyState) -> Vec<(KeyStep, KeyState)> {
+    fn steps(&self, state: &ApiKeyState) -> Vec<(ApiKeyStep, ApiKeyState)> {
         let mut steps = Vec::new();
-        let mut add = |step, change: &dyn Fn(&mut KeyState)| {
+        let mut add = |step, change: &dyn Fn(&mut ApiKeyState)| {
             let mut next = state.clone();
             change(&mut next);
             steps.push((step, next));
         };
         let has_time = state.now < self.bounds.ticks;
         if has_time {
-            add(KeyStep::Tick, &|it| it.now += 1);
+            add(ApiKeyStep::Tick, &|it| it.now += 1);
         }
         if state.removed_at.is_none() {
-            add(KeyStep::Remove, &|it| it.removed_at = Some(it.now));
+            add(ApiKeyStep::Remove, &|it| it.removed_at = Some(it.now));
         }
         if let Some(answer) = state.answers.first() {
-            add(KeyStep::Deliver, &|it| {
+            add(ApiKeyStep::Deliver, &|it| {
                 it.answers.remove(0);
                 self.deliver(it, answer);
             });
-            add(KeyStep::Lose, &|it| {
+            add(ApiKeyStep::Lose, &|it| {
                 it.answers.remove(0);
             });
         }
         for daemon in 0..DAEMONS {
             if state.answers.len() < self.bounds.in_flight {
-                add(KeyStep::Ask(daemon), &|it| self.ask(it, daemon));
+                add(ApiKeyStep::Ask(daemon), &|it| self.ask(it, daemon));
             }
             if has_time && state.sleeps < self.bounds.sleeps {
-                add(KeyStep::Sleep(daemon), &|it| {
+                add(ApiKeyStep::Sleep(daemon), &|it| {
                     it.now += 1;
                     it.sleeps += 1;
                     it.daemons[daemon].slept += 1;
                 });
             }
             if state.restarts < self.bounds.restarts {
-                add(KeyStep::Restart(daemon), &|it| {
+                add(ApiKeyStep::Restart(daemon), &|it| {
                     it.restarts += 1;
                     self.restart(it, daemon);
                 });
@@ -243,7 +243,7 @@
         steps
     }
 
-    fn violated(&self, state: &KeyState) -> Option<Invariant> {
+    fn violated(&self, state: &ApiKeyState) -> Option<Invariant> {
         let removed_at = state.removed_at?;
         let is_over = state.now >= removed_at + REVOCATION_BOUND;
         let is_accepted = (0..DAEMONS).any(|daemon| self.accepts_key(state, daemon));
--- a/crates/spec/src/cases.rs
+++ b/crates/spec/src/cases.rs
@@ -1,12 +1,12 @@
 //! The named searches that the tests and the `search` example run.
 
+use crate::api_keys::{ApiKeyBounds, ApiKeySpec};
 use crate::attempt::{AttemptBounds, AttemptSpec};
-use crate::intent::{Clocks, IntentBounds, IntentSpec, Removal};
+use crate::distribution::{DistributionBounds, DistributionSpec};
+use crate::idempotency::{Clocks, IdempotencyBounds, IdempotencySpec, Removal};
 use crate::invariant::Invariant;
-use crate::keys::{KeyBounds, KeySpec};
 use crate::safeguard::{Safeguard, Safeguards};
 use crate::search::{Spec, search};
-use crate::spreading::{SpreadingBounds, SpreadingSpec};
 use crate::version_log::{Edit, VersionLogSpec};
 
 /// No bound on the number of steps; the search is finite since a case has bounded faults and
@@ -161,14 +161,19 @@
             | Self::RestartOutageThree
             | Self::RestartReachable
             | Self::RestartReachableThree => {
-                let (bounds, depth) = self.spreading();
-                run(&SpreadingSpec::new(bounds, safeguards), depth)
+                let (bounds, depth) = self.distribution();
+                run(&DistributionSpec::new(bounds, safeguards), depth)
             }
             Self::Attempt | Self::AttemptElsewhere | Self::AttemptPair | Self::AttemptFull => {
                 run(&AttemptSpec::new(self.attempts(), safeguards), UNBOUNDED)
             }
-            Self::Keys | Self::KeysAsleep => run(&KeySpec::new(self.keys(), safeguards), UNBOUNDED),
-            _ => run(&IntentSpec::new(self.intent(), safeguards), UNBOUNDED),
+            Self::Keys | Self::KeysAsleep => {
+                run(&ApiKeySpec::new(self.api_keys(), safeguards), UNBOUNDED)
+            }
+            _ => run(
+                &IdempotencySpec::new(self.idempotency(), safeguards),
+                UNBOUNDED,
+            ),
         }
     }
 
@@ -200,8 +205,8 @@
         }
     }
 
-    fn spreading(self) -> (SpreadingBounds, usize) {
-        let restart = SpreadingBounds {
+    fn distribution(self) -> (DistributionBounds, usize) {
+        let restart = DistributionBounds {
             daemons: 2,
             versions: 2,
             is_warm: false,
@@ -213,7 +218,7 @@
         };
         match self {
             Self::Delivery => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     versions: 3,
                     in_flight: 2,
                     faults: 2,
@@ -224,7 +229,7 @@
                 (bounds, UNBOUNDED)
             }
             Self::RestartFreeze => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     is_warm: true,
                     restarts: 1,
                     freezes: 1,
@@ -233,7 +238,7 @@
                 (bounds, UNBOUNDED)
             }
             Self::RestartOutageThree => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     daemons: 3,
                     is_warm: true,
                     restarts: 1,
@@ -242,14 +247,14 @@
                 (bounds, 8)
             }
             Self::RestartReachable => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     has_platform: true,
                     ..restart
                 };
                 (bounds, UNBOUNDED)
             }
             Self::RestartReachableThree => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     daemons: 3,
                     is_warm: true,
                     restarts: 1,
@@ -293,15 +298,15 @@
         }
     }
 
-    fn keys(self) -> KeyBounds {
-        let awake = KeyBounds {
+    fn api_keys(self) -> ApiKeyBounds {
+        let awake = ApiKeyBounds {
             ticks: 6,
             in_flight: 2,
             restarts: 1,
             sleeps: 0,
         };
         match self {
-            Self::KeysAsleep => KeyBounds {
+            Self::KeysAsleep => ApiKeyBounds {
                 restarts: 0,
                 sleeps: 2,
                 ..awake
@@ -310,8 +315,8 @@
         }
     }
 
-    fn intent(self) -> IntentBounds {
-        let moved = IntentBounds {
+    fn idempotency(self) -> IdempotencyBounds {
+        let moved = IdempotencyBounds {
             tries: 2,
             made_at: 0,
             versions: 2,
@@ -323,7 +328,7 @@
             ticks: 4,
             clocks: clocks(0, 0),
         };
-        let back = IntentBounds {
+        let back = IdempotencyBounds {
             versions: 3,
             lost: 0,
             ticks: 1,
@@ -331,36 +336,36 @@
             ..moved
         };
         match self {
-            Self::IntentFirstAhead => IntentBounds {
+            Self::IntentFirstAhead => IdempotencyBounds {
                 lost: 0,
                 clocks: clocks(0, 1),
                 ..moved
             },
-            Self::IntentCallerAhead => IntentBounds {
+            Self::IntentCallerAhead => IdempotencyBounds {
                 versions: 1,
                 clocks: clocks(1, 0),
                 ..moved
             },
-            Self::IntentCallerWrong => IntentBounds {
+            Self::IntentCallerWrong => IdempotencyBounds {
                 versions: 1,
                 clocks: clocks(3, 0),
                 ..moved
             },
             Self::IntentBack => back,
-            Self::IntentBackSkip => IntentBounds {
+            Self::IntentBackSkip => IdempotencyBounds {
                 made_at: 2,
                 ticks: 2,
                 skips: true,
                 restarts: 1,
                 ..back
             },
-            Self::IntentStopped => IntentBounds {
+            Self::IntentStopped => IdempotencyBounds {
                 ticks: 3,
                 skips: true,
                 removal: Removal::Stopped,
                 ..back
             },
-            Self::IntentPlanned => IntentBounds {
+            Self::IntentPlanned => IdempotencyBounds {
                 ticks: 3,
                 planned: 1,
                 removal: Removal::Stopped,
--- a/crates/spec/src/spreading/mod.rs
+++ b/crates/spec/src/distribution/mod.rs
@@ -27,9 +27,9 @@
 /// Index of a daemon, from 0.
 pub type DaemonIndex = usize;
 
-/// Bounds of a [`SpreadingSpec`].
+/// Bounds of a [`DistributionSpec`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct SpreadingBounds {
+pub struct DistributionBounds {
     /// Number of daemons.
     pub daemons: usize,
     /// Versions that may be accepted, at most 3.
@@ -47,14 +47,14 @@
     /// Freezes of daemons.
     pub freezes: u8,
     /// Whether the platform answers every request. Otherwise requests may fail, and restarts are
-    /// limited by the assumption at [`SpreadingStep::Restart`].
+    /// limited by the assumption at [`DistributionStep::Restart`].
     pub has_platform: bool,
 }
 
 /// Specification of the distribution of accepted versions to a few daemons.
 #[derive(Clone, Debug)]
-pub struct SpreadingSpec {
-    bounds: SpreadingBounds,
+pub struct DistributionSpec {
+    bounds: DistributionBounds,
     safeguards: Safeguards,
     /// The state at each version, from 0.
     states: Vec<Arc<State>>,
@@ -64,7 +64,7 @@
 
 /// The newest accepted version, the state of each daemon, and the messages in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct SpreadingState {
+pub struct DistributionState {
     head: Version,
     daemons: Vec<Shared<Daemon>>,
     messages: BTreeSet<Message>,
@@ -75,7 +75,7 @@
 
 /// One event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SpreadingStep {
+pub enum DistributionStep {
     /// The platform accepts the next version.
     Accept,
     /// A daemon reads the head and the versions that it lacks.
@@ -108,14 +108,14 @@
     Restart(DaemonIndex),
 }
 
-impl SpreadingSpec {
+impl DistributionSpec {
     /// Creates a specification of daemons that start with no state and an empty log.
     ///
     /// # Panics
     ///
     /// Never: the versions follow each other.
     #[must_use]
-    pub fn new(bounds: SpreadingBounds, safeguards: Safeguards) -> Self {
+    pub fn new(bounds: DistributionBounds, safeguards: Safeguards) -> Self {
         let mut states = vec![Arc::new(State::default())];
         let mut deltas = Vec::new();
         for (puts, deletes) in changes() {
@@ -147,7 +147,7 @@
         }
     }
 
-    fn warm(&self, mut state: SpreadingState) -> SpreadingState {
+    fn warm(&self, mut state: DistributionState) -> DistributionState {
         state.head = 1;
         let daemons = state.daemons.len();
         for i in 0..daemons {
@@ -171,7 +171,7 @@
         daemon.version() == head
     }
 
-    fn check(&self, state: &SpreadingState, daemon: &Daemon) -> Option<Invariant> {
+    fn check(&self, state: &DistributionState, daemon: &Daemon) -> Option<Invariant> {
         let held = daemon.in_force();
         if held.check_references().is_err() {
             return Some(Invariant::NoDanglingReference);
@@ -189,7 +189,7 @@
     }
 }
 
-impl SpreadingState {
+impl DistributionState {
     fn change(&mut self, i: DaemonIndex, change: impl FnOnce(&mut Daemon)) {
         self.daemons[i] = self.daemons[i].changed(change).0;
     }
@@ -217,13 +217,13 @@
     }
 }
 
-impl Spec for SpreadingSpec {
-    type State = SpreadingState;
-    type Step = SpreadingStep;
+impl Spec for DistributionSpec {
+    type State = DistributionState;
+    type Step = DistributionStep;
 
-    fn start(&self) -> SpreadingState {
+    fn start(&self) -> DistributionState {
         let daemon = Shared::new(Daemon::new(self.bounds.daemons));
-        let cold = SpreadingState {
+        let cold = DistributionState {
             head: 0,
             daemons: vec![daemon; self.bounds.daemons],
             messages: BTreeSet::new(),
@@ -238,11 +238,11 @@
         }
     }
 
-    fn steps(&self, state: &SpreadingState) -> Vec<(SpreadingStep, SpreadingState)> {
+    fn steps(&self, state: &DistributionState) -> Vec<(DistributionStep, DistributionState)> {
         self.successors(state)
     }
 
-    fn violated(&self, state: &SpreadingState) -> Option<Invariant> {
+    fn violated(&self, state: &DistributionState) -> Option<Invariant> {
         let mut daemons = state.daemons.iter();
         daemons.find_map(|daemon| self.check(state, daemon))
     }
--- a/crates/spec/src/intent/mod.rs
+++ b/crates/spec/src/idempotency/mod.rs
@@ -60,9 +60,9 @@
     pub second: u8,
 }
 
-/// Bounds of an [`IntentSpec`].
+/// Bounds of an [`IdempotencySpec`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct IntentBounds {
+pub struct IdempotencyBounds {
     /// Number of attempts that the caller sends with the key.
     pub tries: u8,
     /// Tick at which the caller creates the key.
@@ -88,8 +88,8 @@
 
 /// Specification of one idempotency key.
 #[derive(Clone, Debug)]
-pub struct IntentSpec {
-    bounds: IntentBounds,
+pub struct IdempotencySpec {
+    bounds: IdempotencyBounds,
     safeguards: Safeguards,
     key: IdempotencyKey,
     /// The set of upstreams at each version, from 1.
@@ -98,7 +98,7 @@
 
 /// State of the executors and of the attempts in flight, and the number of runs of the key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct IntentState {
+pub struct IdempotencyState {
     now: u8,
     head: u8,
     sent: u8,
@@ -115,7 +115,7 @@
 
 /// One event. Executors are numbered from 0, attempts from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum IntentStep {
+pub enum IdempotencyStep {
     /// An entry that holds this version sends the key.
     Send(u8),
     /// An attempt arrives at the key's home by the version of its entry.
@@ -150,10 +150,10 @@
     Tick,
 }
 
-impl IntentSpec {
+impl IdempotencySpec {
     /// Creates a specification of one key and its caller.
     #[must_use]
-    pub fn new(bounds: IntentBounds, safeguards: Safeguards) -> Self {
+    pub fn new(bounds: IdempotencyBounds, safeguards: Safeguards) -> Self {
         let (first, both) = (set(&UPSTREAMS[..1]), set(&UPSTREAMS));
         Self {
             bounds,
@@ -184,18 +184,18 @@
     }
 }
 
-impl Spec for IntentSpec {
-    type State = IntentState;
-    type Step = IntentStep;
+impl Spec for IdempotencySpec {
+    type State = IdempotencyState;
+    type Step = IdempotencyStep;
 
-    fn start(&self) -> IntentState {
+    fn start(&self) -> IdempotencyState {
         let executor = |number| {
             let started =
                 wall(0, self.clock_of(number)).saturating_sub(Duration::from_secs(UPTIME));
             let set = self.set_at(1).clone();
             Shared::new(Executor::new(number, started, 1, set, self.safeguards))
         };
-        IntentState {
+        IdempotencyState {
             now: 0,
             head: 1,
             sent: 0,
@@ -209,11 +209,11 @@
         }
     }
 
-    fn steps(&self, state: &IntentState) -> Vec<(IntentStep, IntentState)> {
+    fn steps(&self, state: &IdempotencyState) -> Vec<(IdempotencyStep, IdempotencyState)> {
         self.successors(state)
     }
 
-    fn violated(&self, state: &IntentState) -> Option<Invariant> {
+    fn violated(&self, state: &IdempotencyState) -> Option<Invariant> {
         (state.runs > 1).then_some(Invariant::RunsOnce)
     }
 }
--- a/crates/spec/src/intent/successors.rs
+++ b/crates/spec/src/idempotency/successors.rs
@@ -3,20 +3,23 @@
 use stoatstep_calls::{AttemptId, WallTime};
 
 use super::home::{Executor, KeyAttempt, Phase};
-use super::{IntentSpec, IntentState, IntentStep, Removal, UPSTREAMS, wall};
+use super::{IdempotencySpec, IdempotencyState, IdempotencyStep, Removal, UPSTREAMS, wall};
 
-type Successors = Vec<(IntentStep, IntentState)>;
+type Successors = Vec<(IdempotencyStep, IdempotencyState)>;
 
-impl IntentSpec {
-    pub(super) fn successors(&self, state: &IntentState) -> Successors {
+impl IdempotencySpec {
+    pub(super) fn successors(&self, state: &IdempotencyState) -> Successors {
         let mut next = Vec::new();
         if state.now >= self.bounds.made_at && state.sent < self.bounds.tries {
             for version in 1..=state.head {
-                next.push((IntentStep::Send(version), sent(state, version)));
+                next.push((IdempotencyStep::Send(version), sent(state, version)));
             }
         }
         for (id, version) in &state.messages {
-            next.push((IntentStep::Arrive(*id), self.arrived(state, *id, *version)));
+            next.push((
+                IdempotencyStep::Arrive(*id),
+                self.arrived(state, *id, *version),
+            ));
         }
         let alive = if state.stopped {
             1
@@ -34,11 +37,11 @@
         next
     }
 
-    fn wall(&self, state: &IntentState, executor: usize) -> WallTime {
+    fn wall(&self, state: &IdempotencyState, executor: usize) -> WallTime {
         wall(state.now, self.clock_of(executor))
     }
 
-    fn arrived(&self, state: &IntentState, id: AttemptId, version: u8) -> IntentState {
+    fn arrived(&self, state: &IdempotencyState, id: AttemptId, version: u8) -> IdempotencyState {
         let mut next = state.clone();
         next.messages.remove(&id);
         let home = self.home_at(version);
@@ -55,7 +58,7 @@
 
     fn attempt_steps(
         &self,
-        state: &IntentState,
+        state: &IdempotencyState,
         number: usize,
         id: AttemptId,
         attempt: &KeyAttempt,
@@ -71,7 +74,7 @@
             Phase::Asking(_) if state.stopped => {
                 let now = self.wall(state, number);
                 let deleted = with(&|it| it.mark_homes_deleted(id, now));
-                next.push((IntentStep::Gone(number, id), deleted));
+                next.push((IdempotencyStep::Gone(number, id), deleted));
             }
             Phase::Asking(questions) => {
                 let asked = questions.last().map(|it| &it.upstream);
@@ -83,54 +86,54 @@
                 let (version, answer) = other.answer(key, &me, self.safeguards);
                 let phase = Phase::AnswerInFlight(questions.clone(), version, answer);
                 let answered = with(&|it| it.set_phase(id, phase.clone()));
-                next.push((IntentStep::Ask(number, id), answered));
+                next.push((IdempotencyStep::Ask(number, id), answered));
             }
             Phase::AnswerInFlight(..) => {
                 let now = self.wall(state, number);
                 let handled = with(&|it| it.handle_answer(key, id, now, self.safeguards));
-                next.push((IntentStep::Hear(number, id), handled));
+                next.push((IdempotencyStep::Hear(number, id), handled));
             }
             Phase::Waiting => {
                 let mut started = with(&|it| it.set_phase(id, Phase::Running));
                 started.runs += 1;
-                next.push((IntentStep::Start(number, id), started));
+                next.push((IdempotencyStep::Start(number, id), started));
                 next.push((
-                    IntentStep::Refuse(number, id),
+                    IdempotencyStep::Refuse(number, id),
                     with(&|it| it.refuse(key, id)),
                 ));
             }
             Phase::Running => {
                 next.push((
-                    IntentStep::Finish(number, id),
+                    IdempotencyStep::Finish(number, id),
                     with(&|it| it.finish(key, id)),
                 ));
                 if state.lost > 0 {
                     let mut lost = with(&|it| it.target_lost(key, id, self.safeguards));
                     lost.lost -= 1;
-                    next.push((IntentStep::Lose(number, id), lost));
+                    next.push((IdempotencyStep::Lose(number, id), lost));
                 }
             }
         }
     }
 
-    fn version_steps(&self, state: &IntentState, number: usize, next: &mut Successors) {
+    fn version_steps(&self, state: &IdempotencyState, number: usize, next: &mut Successors) {
         let version = state.executors[number].version;
         if version == state.head {
             return;
         }
         next.push((
-            IntentStep::Apply(number),
+            IdempotencyStep::Apply(number),
             self.applied(state, number, version + 1),
         ));
         if version + 1 < state.head && self.bounds.skips {
             next.push((
-                IntentStep::Skip(number),
+                IdempotencyStep::Skip(number),
                 self.applied(state, number, state.head),
             ));
         }
     }
 
-    fn applied(&self, state: &IntentState, number: usize, version: u8) -> IntentState {
+    fn applied(&self, state: &IdempotencyState, number: usize, version: u8) -> IdempotencyState {
         let mut next = state.clone();
         let follows = version == state.executors[number].version + 1;
         let (set, now) = (self.set_at(version).clone(), self.wall(state, number));
@@ -138,11 +141,11 @@
         next
     }
 
-    fn process_steps(&self, state: &IntentState, number: usize, next: &mut Successors) {
+    fn process_steps(&self, state: &IdempotencyState, number: usize, next: &mut Successors) {
         let now = self.wall(state, number);
         let mut cleaned = state.clone();
         cleaned.change(number, |it| it.clean(now));
-        next.push((IntentStep::Clean(number), cleaned));
+        next.push((IdempotencyStep::Clean(number), cleaned));
         if state.planned > 0 && state.executors[number].attempts.is_empty() {
             let mut handed_over = state.clone();
             handed_over.planned -= 1;
@@ -150,7 +153,7 @@
                 let set = self.set_at(it.version).clone();
                 *it = it.restart_as_planned(number, now, set, self.safeguards);
             });
-            next.push((IntentStep::HandOver(number), handed_over));
+            next.push((IdempotencyStep::HandOver(number), handed_over));
         }
         if state.restarts == 0 {
             return;
@@ -161,10 +164,10 @@
             let set = self.set_at(it.version).clone();
             *it = Executor::new(number, now, it.version, set, self.safeguards);
         });
-        next.push((IntentStep::Restart(number), restarted));
+        next.push((IdempotencyStep::Restart(number), restarted));
     }
 
-    fn environment_steps(&self, state: &IntentState, next: &mut Successors) {
+    fn environment_steps(&self, state: &IdempotencyState, next: &mut Successors) {
         if state.head < self.bounds.versions {
             let mut accepted = state.clone();
             accepted.head += 1;
@@ -172,23 +175,23 @@
                 accepted.change(1, Executor::stop);
                 accepted.stopped = true;
             }
-            next.push((IntentStep::Accept, accepted));
+            next.push((IdempotencyStep::Accept, accepted));
         }
         if state.now < self.bounds.ticks {
             let mut later = state.clone();
             later.now += 1;
-            next.push((IntentStep::Tick, later));
+            next.push((IdempotencyStep::Tick, later));
         }
     }
 }
 
-impl IntentState {
+impl IdempotencyState {
     fn change(&mut self, number: usize, change: impl FnOnce(&mut Executor)) {
         self.executors[number] = self.executors[number].changed(change).0;
     }
 }
 
-fn sent(state: &IntentState, version: u8) -> IntentState {
+fn sent(state: &IdempotencyState, version: u8) -> IdempotencyState {
     let mut next = state.clone();
     next.sent += 1;
     next.messages.insert(next.sent.into(), version);
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -8,37 +8,40 @@
 //!
 //! * [`VersionLogSpec`]: operators who write concurrently, and transactions whose answers are lost
 //!   or that arrive late;
-//! * [`SpreadingSpec`]: versions that are reordered, duplicated or damaged on their way to daemons,
+//! * [`DistributionSpec`]: versions that are reordered, duplicated or damaged on their way to daemons,
 //!   and daemons that restart with no state;
 //! * [`AttemptSpec`]: calls with lost messages, executor restarts and lost targets;
-//! * [`IntentSpec`]: an idempotency key that is sent again while its home changes;
-//! * [`KeySpec`]: a customer's key that is revoked while daemons are disconnected.
+//! * [`IdempotencySpec`]: an idempotency key that is sent again while its home changes;
+//! * [`ApiKeySpec`]: a customer's key that is revoked while daemons are disconnected.
 //!
 //! The bounds, the results and what is not covered are described in
 //! `docs/design/model-checking.md`.
 
+mod api_keys;
 mod attempt;
 pub mod cases;
-mod intent;
+mod distribution;
+mod idempotency;
 mod invariant;
-mod keys;
 mod resources;
 mod safeguard;
 mod search;
 mod shared;
-mod spreading;
 mod version_log;
 
+pub use api_keys::{ApiKeyAnswer, ApiKeyBounds, ApiKeyDaemon, ApiKeySpec, ApiKeyState, ApiKeyStep};
 pub use attempt::{
     AttemptBounds, AttemptSpec, AttemptState, AttemptStep, CallMessage, CallTold, End,
 };
 pub use cases::Summary;
-pub use intent::{Clocks, IntentBounds, IntentSpec, IntentState, IntentStep, Removal};
+pub use distribution::{
+    DaemonIndex, DistributionBounds, DistributionSpec, DistributionState, DistributionStep,
+    Message, Payload,
+};
+pub use idempotency::{
+    Clocks, IdempotencyBounds, IdempotencySpec, IdempotencyState, IdempotencyStep, Removal,
+};
 pub use invariant::Invariant;
-pub use keys::{KeyAnswer, KeyBounds, KeyDaemon, KeySpec, KeyState, KeyStep};
 pub use safeguard::{Safeguard, Safeguards};
 pub use search::{Counterexample, Report, Spec, search};
-pub use spreading::{
-    DaemonIndex, Message, Payload, SpreadingBounds, SpreadingSpec, SpreadingState, SpreadingStep,
-};
 pub use version_log::{Edit, Log, Told, VersionLogSpec, VersionLogState, WriteStep};
