--- a/crates/spec/src/attempt/entry.rs
+++ b/crates/spec/src/attempt/entry.rs
@@ -4,12 +4,12 @@
 
 use stoatstep_calls::{AttemptId, AttemptStatus, Ticket, UnansweredOutcome, may_retry};
 
-use super::message::{End, attempt_id};
+use super::message::{AttemptOutcome, attempt_id};
 use crate::safeguard::{Safeguard, Safeguards};
 
 /// The outcome that was reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Told {
+pub enum CallOutcome {
     /// The answer to the call with this index.
     Answered(u8),
     /// The call did not run and is safe to send again.
@@ -24,7 +24,7 @@
     Ready,
     Waiting,
     Settling,
-    Ended(Told),
+    Ended(CallOutcome),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -37,9 +37,9 @@
 }
 
 impl Call {
-    pub(super) fn told(&self) -> Option<Told> {
+    pub(super) fn outcome(&self) -> Option<CallOutcome> {
         match self.phase {
-            Phase::Ended(told) => Some(told),
+            Phase::Ended(outcome) => Some(outcome),
             Phase::Ready | Phase::Waiting | Phase::Settling => None,
         }
     }
@@ -88,24 +88,28 @@
     }
 
     pub(super) fn abandon(&mut self) {
-        self.phase = Phase::Ended(Told::Unknown);
+        self.phase = Phase::Ended(CallOutcome::Unknown);
     }
 
     /// Handles a reply that arrived on the attempt's connection.
     pub(super) fn handle_reply(
         &mut self,
         number: u8,
-        end: End,
+        end: AttemptOutcome,
         allowed: u8,
         safeguards: Safeguards,
     ) {
         match end {
-            End::Answered(whose) => self.phase = Phase::Ended(Told::Answered(whose)),
-            End::NotRun => {
+            AttemptOutcome::Answered(whose) => {
+                self.phase = Phase::Ended(CallOutcome::Answered(whose));
+            }
+            AttemptOutcome::NotRun => {
                 self.not_run.insert(attempt_id(number, self.attempts_made));
                 self.end_attempt(UnansweredOutcome::NotRun, allowed, safeguards);
             }
-            End::Unknown => self.end_attempt(UnansweredOutcome::Unknown, allowed, safeguards),
+            AttemptOutcome::Unknown => {
+                self.end_attempt(UnansweredOutcome::Unknown, allowed, safeguards);
+            }
         }
     }
 
@@ -118,9 +122,9 @@
         safeguards: Safeguards,
     ) {
         let end = match settled {
-            AttemptStatus::NotRun => End::NotRun,
-            AttemptStatus::Done(answer) => End::Answered(answer.body[0]),
-            AttemptStatus::DoneWithoutAnswer | AttemptStatus::Unknown => End::Unknown,
+            AttemptStatus::NotRun => AttemptOutcome::NotRun,
+            AttemptStatus::Done(answer) => AttemptOutcome::Answered(answer.body[0]),
+            AttemptStatus::DoneWithoutAnswer | AttemptStatus::Unknown => AttemptOutcome::Unknown,
             // The entry asks again until the deadline.
             AttemptStatus::NeverSeen | AttemptStatus::Queued | AttemptStatus::Running => return,
         };
@@ -134,8 +138,8 @@
             Phase::Ready
         } else {
             Phase::Ended(match settlement {
-                UnansweredOutcome::NotRun => Told::NotRun,
-                UnansweredOutcome::Unknown => Told::Unknown,
+                UnansweredOutcome::NotRun => CallOutcome::NotRun,
+                UnansweredOutcome::Unknown => CallOutcome::Unknown,
             })
         };
     }
--- a/crates/spec/src/attempt/executor.rs
+++ b/crates/spec/src/attempt/executor.rs
@@ -7,7 +7,7 @@
     Answer, Arrival, AttemptId, AttemptStatus, Incarnation, Ledger, LedgerConfig, Ticket,
 };
 
-use super::message::{End, call_of};
+use super::message::{AttemptOutcome, call_of};
 use super::{TICKET_LIFE, TIME_TO_DEADLINE, ticks};
 use crate::safeguard::{Safeguard, Safeguards};
 
@@ -86,20 +86,22 @@
         ticket: Ticket,
         now: u8,
         safeguards: Safeguards,
-    ) -> Option<End> {
+    ) -> Option<AttemptOutcome> {
         let ticket = self.with_checks_disabled(ticket, now, safeguards);
         match self.ledger.arrive(id, ticket, ticks(now)) {
             Arrival::New => self.wait(id, now, false),
             Arrival::Seen(_) if !safeguards.has(Safeguard::DuplicateCheck) => {
                 self.wait(id, now, true)
             }
-            Arrival::Refused(_) => Some(End::NotRun),
-            Arrival::Seen(AttemptStatus::Done(answer)) => Some(End::Answered(answer.body[0])),
-            Arrival::Seen(_) => Some(End::Unknown),
+            Arrival::Refused(_) => Some(AttemptOutcome::NotRun),
+            Arrival::Seen(AttemptStatus::Done(answer)) => {
+                Some(AttemptOutcome::Answered(answer.body[0]))
+            }
+            Arrival::Seen(_) => Some(AttemptOutcome::Unknown),
         }
     }
 
-    fn wait(&mut self, id: AttemptId, arrived: u8, copy: bool) -> Option<End> {
+    fn wait(&mut self, id: AttemptId, arrived: u8, copy: bool) -> Option<AttemptOutcome> {
         self.waiting.insert(id, Waiting { arrived, copy });
         None
     }
@@ -160,7 +162,7 @@
         self.ledger.refused(id);
     }
 
-    pub(super) fn finish(&mut self, id: AttemptId) -> End {
+    pub(super) fn finish(&mut self, id: AttemptId) -> AttemptOutcome {
         self.running.remove(&id);
         let call = call_of(id);
         let answer = Answer {
@@ -169,7 +171,7 @@
             body: vec![call],
         };
         self.ledger.done(id, Arc::new(answer));
-        End::Answered(call)
+        AttemptOutcome::Answered(call)
     }
 
     pub(super) fn target_lost(&mut self, id: AttemptId) {
--- a/crates/spec/src/attempt/message.rs
+++ b/crates/spec/src/attempt/message.rs
@@ -7,7 +7,7 @@
 
 /// How an attempt ended, as its executor reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum End {
+pub enum AttemptOutcome {
     /// The target answered, with the answer to the call with this index.
     Answered(u8),
     /// The attempt did not run and will not.
@@ -38,7 +38,7 @@
         /// Id of the attempt.
         id: AttemptId,
         /// How the attempt ended.
-        end: End,
+        end: AttemptOutcome,
     },
 }
 
--- a/crates/spec/src/attempt/mod.rs
+++ b/crates/spec/src/attempt/mod.rs
@@ -21,11 +21,11 @@
 use crate::search::Spec;
 use crate::shared::Shared;
 
-pub use entry::Told as CallTold;
-use entry::{Call, Told};
+use entry::Call;
+pub use entry::CallOutcome;
 use executor::Executor;
 use message::Message;
-pub use message::{End, Message as CallMessage};
+pub use message::{AttemptOutcome, Message as CallMessage};
 
 /// Validity of a ticket, in ticks.
 const TICKET_LIFE: u8 = 2;
@@ -144,9 +144,9 @@
         if self.runs_of(number) > 1 {
             return Some(Invariant::RunsOnce);
         }
-        match call.told() {
-            Some(Told::Answered(whose)) if whose != number => Some(Invariant::OwnAnswer),
-            Some(Told::Unknown) if fault_free => Some(Invariant::UnknownIsHonest),
+        match call.outcome() {
+            Some(CallOutcome::Answered(whose)) if whose != number => Some(Invariant::OwnAnswer),
+            Some(CallOutcome::Unknown) if fault_free => Some(Invariant::UnknownIsHonest),
             _ => None,
         }
     }
--- a/crates/spec/src/attempt/successors.rs
+++ b/crates/spec/src/attempt/successors.rs
@@ -4,7 +4,7 @@
 
 use super::entry::Call;
 use super::executor::{Executor, StartResult};
-use super::message::{End, Message, attempt_id};
+use super::message::{AttemptOutcome, Message, attempt_id};
 use super::{AttemptSpec, AttemptState, AttemptStep, ticks};
 use crate::safeguard::Safeguard;
 
@@ -122,7 +122,7 @@
     }
 
     /// Delivers a reply to the call whose current attempt has its id.
-    fn deliver_reply(&self, next: &mut AttemptState, id: AttemptId, end: End) {
+    fn deliver_reply(&self, next: &mut AttemptState, id: AttemptId, end: AttemptOutcome) {
         let by_id = self.safeguards.has(Safeguard::AnswerId);
         let mut numbers = 0..self.bounds.calls;
         let accepts = |number: &u8| {
@@ -157,7 +157,7 @@
             next.push((AttemptStep::Finish(number, id), finished));
             if state.faults > 0 {
                 let mut lost = state.fault(|it| it.executor(number, |it| it.target_lost(id)));
-                lost.reply(id, Some(End::Unknown));
+                lost.reply(id, Some(AttemptOutcome::Unknown));
                 next.push((AttemptStep::TargetLost(number, id), lost));
             }
         }
@@ -184,7 +184,7 @@
                 *next.run_counts.entry(id).or_default() += 1;
                 next.started_late |= late;
             }
-            StartResult::Dropped => next.reply(id, Some(End::NotRun)),
+            StartResult::Dropped => next.reply(id, Some(AttemptOutcome::NotRun)),
         }
         next
     }
@@ -194,7 +194,7 @@
         let (now, safeguards) = (state.now, self.safeguards);
         let turn = next.executor(number, |it| it.start_queued(id, now, safeguards));
         next.executor(number, |it| it.shed(id));
-        next.reply(id, Some(End::NotRun));
+        next.reply(id, Some(AttemptOutcome::NotRun));
         (turn != StartResult::Dropped).then_some(next)
     }
 }
@@ -218,7 +218,7 @@
         next
     }
 
-    fn reply(&mut self, id: AttemptId, end: Option<End>) {
+    fn reply(&mut self, id: AttemptId, end: Option<AttemptOutcome>) {
         let message = end.map(|end| Message::Reply { id, end });
         self.messages.extend(message);
     }
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -31,7 +31,7 @@
 
 pub use api_keys::{ApiKeyAnswer, ApiKeyBounds, ApiKeyDaemon, ApiKeySpec, ApiKeyState, ApiKeyStep};
 pub use attempt::{
-    AttemptBounds, AttemptSpec, AttemptState, AttemptStep, CallMessage, CallTold, End,
+    AttemptBounds, AttemptOutcome, AttemptSpec, AttemptState, AttemptStep, CallMessage, CallOutcome,
 };
 pub use cases::Summary;
 pub use distribution::{
@@ -44,4 +44,4 @@
 pub use invariant::Invariant;
 pub use safeguard::{Safeguard, Safeguards};
 pub use search::{Counterexample, Report, Spec, search};
-pub use version_log::{Edit, Log, Told, VersionLogSpec, VersionLogState, WriteStep};
+pub use version_log::{Edit, Log, VersionLogSpec, VersionLogState, WriteOutcome, WriteStep};
--- a/crates/spec/src/version_log/mod.rs
+++ b/crates/spec/src/version_log/mod.rs
@@ -20,7 +20,7 @@
 
 pub use log::Log;
 use request::Request;
-pub use request::{Edit, Told};
+pub use request::{Edit, WriteOutcome};
 
 /// Specification of operators' requests, with a bound on the faults.
 #[derive(Clone, Debug)]
@@ -95,7 +95,7 @@
         next.change(i, step);
         if !self.safeguards.has(Safeguard::Validation) && next.requests[i].is_invalid() {
             let version = next.write_unchecked(state.requests[i].change());
-            next.change(i, |it| it.told = Some(Told::Accepted(version)));
+            next.change(i, |it| it.outcome = Some(WriteOutcome::Accepted(version)));
         }
         next
     }
@@ -186,23 +186,23 @@
         version
     }
 
-    fn violated_by_told(&self) -> Option<Invariant> {
+    fn violated_by_outcomes(&self) -> Option<Invariant> {
         let mut requests = self.requests.iter();
-        requests.find_map(|request| self.check_told(request))
+        requests.find_map(|request| self.check_outcome(request))
     }
 
-    fn check_told(&self, request: &Request) -> Option<Invariant> {
+    fn check_outcome(&self, request: &Request) -> Option<Invariant> {
         let operation = request.operation();
-        match request.told? {
-            Told::Accepted(version) => {
+        match request.outcome? {
+            WriteOutcome::Accepted(version) => {
                 let found = self.log.operation(version) == Some(operation);
                 (!found).then_some(Invariant::AcceptedIsInLog)
             }
-            Told::Refused => {
+            WriteOutcome::Refused => {
                 let refused = self.all_refused(operation) && self.log.count(operation) > 0;
                 refused.then_some(Invariant::RefusedIsNotInLog)
             }
-            Told::Unsettled => None,
+            WriteOutcome::Unsettled => None,
         }
     }
 
@@ -213,7 +213,7 @@
             .requests
             .iter()
             .filter(|it| it.operation() == operation);
-        same.all(|it| it.told == Some(Told::Refused))
+        same.all(|it| it.outcome == Some(WriteOutcome::Refused))
     }
 }
 
@@ -257,7 +257,7 @@
         state
             .log_violation
             .or_else(by_log)
-            .or_else(|| state.violated_by_told())
+            .or_else(|| state.violated_by_outcomes())
     }
 }
 
--- a/crates/spec/src/version_log/request.rs
+++ b/crates/spec/src/version_log/request.rs
@@ -70,7 +70,7 @@
 
 /// The outcome that was reported to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Told {
+pub enum WriteOutcome {
     /// The change produced this version.
     Accepted(Version),
     /// The change did not take effect and will not.
@@ -92,7 +92,7 @@
     change: Change,
     writer: Writer,
     pub(super) action: WriteAction,
-    pub(super) told: Option<Told>,
+    pub(super) outcome: Option<WriteOutcome>,
 }
 
 impl Request {
@@ -111,7 +111,7 @@
             change,
             writer,
             action,
-            told: None,
+            outcome: None,
         }
     }
 
@@ -156,10 +156,10 @@
             return;
         };
         let remembers = safeguards.has(Safeguard::UnansweredMemory);
-        self.told = Some(match result {
-            Ok(accepted) => Told::Accepted(accepted.version),
-            Err(WriteError::Unsettled { .. }) if remembers => Told::Unsettled,
-            Err(_) => Told::Refused,
+        self.outcome = Some(match result {
+            Ok(accepted) => WriteOutcome::Accepted(accepted.version),
+            Err(WriteError::Unsettled { .. }) if remembers => WriteOutcome::Unsettled,
+            Err(_) => WriteOutcome::Refused,
         });
     }
 
@@ -175,9 +175,9 @@
 /// Requests with equal indexes in two states have the same change, so it is not compared.
 impl PartialEq for Request {
     fn eq(&self, other: &Self) -> bool {
-        self.told == other.told
+        self.outcome == other.outcome
             && self.phase() == other.phase()
-            && (self.told.is_some() || self.writer.progress() == other.writer.progress())
+            && (self.outcome.is_some() || self.writer.progress() == other.writer.progress())
     }
 }
 
@@ -185,9 +185,9 @@
 
 impl Hash for Request {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.told.hash(hasher);
+        self.outcome.hash(hasher);
         self.phase().hash(hasher);
-        if self.told.is_none() {
+        if self.outcome.is_none() {
             self.writer.progress().hash(hasher);
         }
     }
