--- a/crates/spec/examples/search.rs
+++ b/crates/spec/examples/search.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use stoatstep_spec::cases::{CASES, Case, WITHOUT};
+use stoatstep_spec::cases::{CASES, Case, SAFEGUARD_CASES};
 use stoatstep_spec::{Safeguards, Summary};
 
 fn main() {
@@ -18,7 +18,7 @@
         print(*case, &summary, started);
     }
     println!("\nwithout one:");
-    for (safeguard, case) in WITHOUT {
+    for (safeguard, case) in SAFEGUARD_CASES {
         let started = Instant::now();
         let summary = case.search(Safeguards::without(*safeguard));
         print!("{:<17} ", format!("{safeguard:?}"));
@@ -28,7 +28,7 @@
 
 fn print(case: Case, summary: &Summary, started: Instant) {
     let seconds = started.elapsed().as_secs_f64();
-    let extent = if summary.is_cut {
+    let extent = if summary.is_truncated {
         "within the bound"
     } else {
         "all states"
--- a/crates/spec/src/cases.rs
+++ b/crates/spec/src/cases.rs
@@ -96,7 +96,7 @@
 ];
 
 /// For each safeguard, a case that violates an invariant without it.
-pub const WITHOUT: &[(Safeguard, Case)] = &[
+pub const SAFEGUARD_CASES: &[(Safeguard, Case)] = &[
     (Safeguard::OperationRow, Case::WriteReference),
     (Safeguard::HeadCondition, Case::WriteRace),
     (Safeguard::RevisionCheck, Case::WriteRace),
@@ -141,7 +141,7 @@
     /// Number of steps to the farthest of them.
     pub depth: usize,
     /// Whether states beyond the bound were not visited.
-    pub is_cut: bool,
+    pub is_truncated: bool,
     /// The invariant that the shortest counterexample violates, and its steps as text.
     pub violation: Option<(Invariant, Vec<String>)>,
 }
@@ -317,27 +317,27 @@
 
     fn idempotency(self) -> IdempotencyBounds {
         let moved = IdempotencyBounds {
-            tries: 2,
-            made_at: 0,
+            attempts: 2,
+            created_at: 0,
             versions: 2,
             removal: Removal::Live,
             skips: false,
             restarts: 1,
-            planned: 0,
-            lost: 1,
+            planned_restarts: 0,
+            lost_answers: 1,
             ticks: 4,
             clocks: clocks(0, 0),
         };
         let back = IdempotencyBounds {
             versions: 3,
-            lost: 0,
+            lost_answers: 0,
             ticks: 1,
             restarts: 0,
             ..moved
         };
         match self {
             Self::IntentFirstAhead => IdempotencyBounds {
-                lost: 0,
+                lost_answers: 0,
                 clocks: clocks(0, 1),
                 ..moved
             },
@@ -353,7 +353,7 @@
             },
             Self::IntentBack => back,
             Self::IntentBackSkip => IdempotencyBounds {
-                made_at: 2,
+                created_at: 2,
                 ticks: 2,
                 skips: true,
                 restarts: 1,
@@ -367,7 +367,7 @@
             },
             Self::IntentPlanned => IdempotencyBounds {
                 ticks: 3,
-                planned: 1,
+                planned_restarts: 1,
                 removal: Removal::Stopped,
                 ..back
             },
@@ -393,7 +393,7 @@
     Summary {
         states: report.states,
         depth: report.depth,
-        is_cut: report.is_cut,
+        is_truncated: report.is_truncated,
         violation,
     }
 }
--- a/crates/spec/src/idempotency/mod.rs
+++ b/crates/spec/src/idempotency/mod.rs
@@ -64,9 +64,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IdempotencyBounds {
     /// Number of attempts that the caller sends with the key.
-    pub tries: u8,
+    pub attempts: u8,
     /// Tick at which the caller creates the key.
-    pub made_at: u8,
+    pub created_at: u8,
     /// Number of versions: at version 1 the first executor is the home, at version 2 the second,
     /// and at version 3 the first again.
     pub versions: u8,
@@ -77,9 +77,9 @@
     /// Unplanned restarts of executors.
     pub restarts: u8,
     /// Planned restarts, at each of which the next process restores the stored snapshot.
-    pub planned: u8,
+    pub planned_restarts: u8,
     /// Runs whose answer may be lost.
-    pub lost: u8,
+    pub lost_answers: u8,
     /// Ticks of the clocks.
     pub ticks: u8,
     /// Skew of the clocks.
@@ -109,8 +109,8 @@
     /// Whether the second executor was stopped for good.
     stopped: bool,
     restarts: u8,
-    planned: u8,
-    lost: u8,
+    planned_restarts: u8,
+    lost_answers: u8,
 }
 
 /// One event. Executors are numbered from 0, attempts from 1.
@@ -158,7 +158,7 @@
         Self {
             bounds,
             safeguards,
-            key: key_with_changing_home(&both, wall(bounds.made_at, bounds.clocks.caller)),
+            key: key_with_changing_home(&both, wall(bounds.created_at, bounds.clocks.caller)),
             sets: vec![first.clone(), both, first],
         }
     }
@@ -204,8 +204,8 @@
             runs: 0,
             stopped: false,
             restarts: self.bounds.restarts,
-            planned: self.bounds.planned,
-            lost: self.bounds.lost,
+            planned_restarts: self.bounds.planned_restarts,
+            lost_answers: self.bounds.lost_answers,
         }
     }
 
--- a/crates/spec/src/idempotency/successors.rs
+++ b/crates/spec/src/idempotency/successors.rs
@@ -10,7 +10,7 @@
 impl IdempotencySpec {
     pub(super) fn successors(&self, state: &IdempotencyState) -> Successors {
         let mut next = Vec::new();
-        if state.now >= self.bounds.made_at && state.sent < self.bounds.tries {
+        if state.now >= self.bounds.created_at && state.sent < self.bounds.attempts {
             for version in 1..=state.head {
                 next.push((IdempotencyStep::Send(version), sent(state, version)));
             }
@@ -107,9 +107,9 @@
                     IdempotencyStep::Finish(number, id),
                     with(&|it| it.finish(key, id)),
                 ));
-                if state.lost > 0 {
+                if state.lost_answers > 0 {
                     let mut lost = with(&|it| it.target_lost(key, id, self.safeguards));
-                    lost.lost -= 1;
+                    lost.lost_answers -= 1;
                     next.push((IdempotencyStep::Lose(number, id), lost));
                 }
             }
@@ -146,9 +146,9 @@
         let mut cleaned = state.clone();
         cleaned.change(number, |it| it.clean(now));
         next.push((IdempotencyStep::Clean(number), cleaned));
-        if state.planned > 0 && state.executors[number].attempts.is_empty() {
+        if state.planned_restarts > 0 && state.executors[number].attempts.is_empty() {
             let mut handed_over = state.clone();
-            handed_over.planned -= 1;
+            handed_over.planned_restarts -= 1;
             handed_over.change(number, |it| {
                 let set = self.set_at(it.version).clone();
                 *it = it.restart_as_planned(number, now, set, self.safeguards);
--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -43,5 +43,5 @@
 };
 pub use invariant::Invariant;
 pub use safeguard::{Safeguard, Safeguards};
-pub use search::{Counterexample, Report, Spec, search};
+pub use search::{Counterexample, SearchReport, Spec, search};
 pub use version_log::{Edit, Log, VersionLogSpec, VersionLogState, WriteOutcome, WriteStep};
--- a/crates/spec/src/search.rs
+++ b/crates/spec/src/search.rs
@@ -39,13 +39,13 @@
 
 /// Result of a search.
 #[derive(Clone, Debug)]
-pub struct Report<T> {
+pub struct SearchReport<T> {
     /// Number of distinct states whose next steps were explored.
     pub states: usize,
     /// Number of steps from the initial state to the farthest of them.
     pub depth: usize,
     /// Whether some states were not visited because they lie beyond the bound.
-    pub is_cut: bool,
+    pub is_truncated: bool,
     /// The shortest counterexample, if there is one.
     pub counterexample: Option<Counterexample<T>>,
 }
@@ -75,7 +75,7 @@
 
 /// Visits every state within `bound` steps of the initial one, or stops at the first that violates
 /// an invariant.
-pub fn search<S: Spec + Clone>(spec: &S, bound: usize) -> Report<S::Step> {
+pub fn search<S: Spec + Clone>(spec: &S, bound: usize) -> SearchReport<S::Step> {
     let start = Node {
         state: spec.start(),
         depth: 0,
@@ -83,13 +83,13 @@
     };
     let mut states = 0;
     let mut depth = 0;
-    let mut is_cut = false;
+    let mut is_truncated = false;
     let successors = |node: &Node<S>| {
         states += 1;
         depth = node.depth;
         let next = spec.steps(&node.state);
         if node.depth == bound {
-            is_cut |= !next.is_empty();
+            is_truncated |= !next.is_empty();
             return Vec::new();
         }
         next.into_iter()
@@ -103,10 +103,10 @@
     let path = bfs(&start, successors, |node: &Node<S>| {
         spec.violated(&node.state).is_some()
     });
-    Report {
+    SearchReport {
         states,
         depth,
-        is_cut,
+        is_truncated,
         counterexample: path.and_then(|path| counterexample(spec, path)),
     }
 }
--- a/crates/spec/tests/all/exhaustive.rs
+++ b/crates/spec/tests/all/exhaustive.rs
@@ -4,7 +4,7 @@
 use stoatstep_spec::{Safeguard, Safeguards};
 
 /// Cases that are too large for all their states to be visited.
-const CUT: &[Case] = &[Case::RestartOutageThree, Case::RestartReachableThree];
+const TRUNCATED: &[Case] = &[Case::RestartOutageThree, Case::RestartReachableThree];
 
 /// Checks every fourth case from `first` on, so that four tests share the work evenly.
 fn hold(first: usize) {
@@ -15,7 +15,7 @@
             summary.states, summary.depth
         );
         assert_eq!(summary.violation, None, "{case:?}");
-        assert_eq!(summary.is_cut, CUT.contains(case), "{case:?}");
+        assert_eq!(summary.is_truncated, TRUNCATED.contains(case), "{case:?}");
     }
 }
 
@@ -53,6 +53,6 @@
     for case in [Case::Intent, Case::IntentBack] {
         let summary = case.search(Safeguards::without(Safeguard::SetIdCheck));
         assert_eq!(summary.violation, None, "{case:?}");
-        assert!(!summary.is_cut, "{case:?}");
+        assert!(!summary.is_truncated, "{case:?}");
     }
 }
