--- a/crates/spec/src/lib.rs
+++ b/crates/spec/src/lib.rs
@@ -8,8 +8,8 @@
 //!
 //! * [`VersionLogSpec`]: operators who write concurrently, and transactions whose answers are lost
 //!   or that arrive late;
-//! * [`DistributionSpec`]: versions that are reordered, duplicated or damaged on their way to daemons,
-//!   and daemons that restart with no state;
+//! * [`DistributionSpec`]: versions that are reordered, duplicated or damaged on their way to
+//!   daemons, and daemons that restart with no state;
 //! * [`AttemptSpec`]: calls with lost messages, executor restarts and lost targets;
 //! * [`IdempotencySpec`]: an idempotency key that is sent again while its home changes;
 //! * [`ApiKeySpec`]: a customer's key that is revoked while daemons are disconnected.
--- a/crates/versionlog/tests/random.rs
+++ b/crates/versionlog/tests/random.rs
@@ -51,7 +51,7 @@
     ]
 }
 
-fn told(stepper: &Stepper) -> Option<Result<AcceptedChange, WriteError>> {
+fn result_of(stepper: &Stepper) -> Option<Result<AcceptedChange, WriteError>> {
     match &stepper.action {
         WriteAction::Finish(result) => Some(result.clone()),
         _ => None,
@@ -93,7 +93,7 @@
         let names = ["op-a", "op-a", "op-b", "op-c"];
         for (name, writer) in names.iter().zip(&writers) {
             prop_assert!(count(&log, name) <= 1, "{name} in {log:?}");
-            match told(writer) {
+            match result_of(writer) {
                 Some(Ok(accepted)) => {
                     let index = usize::try_from(accepted.version).unwrap() - 1;
                     prop_assert_eq!(&log[index], name);
@@ -101,7 +101,7 @@
                 Some(Err(WriteError::Unsettled { .. })) | None => {}
                 // The same operation at the other daemon may have been applied.
                 Some(Err(_)) if *name == "op-a" => {}
-                Some(Err(e)) => prop_assert_eq!(count(&log, name), 0, "{} told {}", name, e),
+                Some(Err(e)) => prop_assert_eq!(count(&log, name), 0, "{} got {}", name, e),
             }
         }
         let both = BTreeMap::from([("a", count(&log, "op-a")), ("b", count(&log, "op-b"))]);
--- a/crates/versionlog/tests/recovery.rs
+++ b/crates/versionlog/tests/recovery.rs
@@ -113,7 +113,7 @@
     });
     let error = run(log(&platform, &cfg()).recover()).unwrap_err();
     let RecoveryError::NoSnapshot { skipped } = &error else {
-        panic!("told {error}");
+        panic!("got {error}");
     };
     assert_eq!(skipped.len(), 3, "{error}");
 }
--- a/crates/versionlog/tests/writer.rs
+++ b/crates/versionlog/tests/writer.rs
@@ -196,10 +196,7 @@
     stepper.step(&platform);
     platform.set_down(true);
     let error = stepper.finish(&platform).unwrap_err();
-    assert!(
-        matches!(error, WriteError::Unsettled { .. }),
-        "told {error}"
-    );
+    assert!(matches!(error, WriteError::Unsettled { .. }), "got {error}");
     assert!(error.retry_after().is_some());
     platform.set_down(false);
     let again = write(&platform, put_service("op-1", "floatdesk")).unwrap();
@@ -213,7 +210,7 @@
     let error = write(&platform, put_service("op-1", "floatdesk")).unwrap_err();
     assert!(
         matches!(error, WriteError::Unavailable { .. }),
-        "told {error}"
+        "got {error}"
     );
     assert!(operations(&platform).is_empty());
 }
@@ -235,7 +232,7 @@
     let error = stepper.finish(&platform).unwrap_err();
     assert!(
         matches!(error, WriteError::Unavailable { .. }),
-        "told {error}"
+        "got {error}"
     );
     platform.set_down(false);
     assert!(platform.land_delayed());
@@ -393,7 +390,7 @@
     let add = vec![(route("claims", "/claims", "floatdesk"), Some(0))];
     write(&platform, change("op-add", add)).unwrap();
     let error = slow.finish(&platform).unwrap_err();
-    assert!(matches!(error, WriteError::Invalid(_)), "told {error}");
+    assert!(matches!(error, WriteError::Invalid(_)), "got {error}");
     assert_eq!(operations(&platform), ["op-1", "op-add"]);
 }
 
