--- a/crates/daemon/src/call/homes.rs
+++ b/crates/daemon/src/call/homes.rs
@@ -76,7 +76,11 @@
     Refusal::retry(Reason::HomeMoving, MOVING_RETRY)
 }
 
-async fn query(node: &Rc<Node>, key: &IdempotencyKey, home_query: &HomeQuery) -> Result<(), RunEnd> {
+async fn query(
+    node: &Rc<Node>,
+    key: &IdempotencyKey,
+    home_query: &HomeQuery,
+) -> Result<(), RunEnd> {
     let Some(member) = node.control.serving(&home_query.upstream).pop() else {
         mark_if_deleted(node, key, home_query);
         return Err(not_confirmed(
--- a/crates/daemon/src/call/request.rs
+++ b/crates/daemon/src/call/request.rs
@@ -186,8 +186,9 @@
 /// target should receive one.
 fn forwarded_headers(map: &HeaderMap, forwards_credential: bool) -> Vec<Header> {
     let all = map.iter();
-    let is_allowed =
-        |name: &str| headers::is_forwarded(name) && (forwards_credential || name != AUTHORIZATION_HEADER);
+    let is_allowed = |name: &str| {
+        headers::is_forwarded(name) && (forwards_credential || name != AUTHORIZATION_HEADER)
+    };
     let forwarded = all.filter(|(name, _)| is_allowed(name.as_str()));
     let header = forwarded.map(|(name, value)| Header {
         name: name.as_str().to_smolstr(),
--- a/crates/spec/src/attempt/entry.rs
+++ b/crates/spec/src/attempt/entry.rs
@@ -1,20 +1,20 @@
-//! What the entry knows of one call.
+//! State of one call at its entry.
 
 use std::collections::BTreeSet;
 
 use stoatstep_calls::{AttemptId, AttemptStatus, Ticket, UnansweredOutcome, may_retry};
 
-use super::message::{End, id};
+use super::message::{AttemptOutcome, attempt_id};
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// What the caller was told.
+/// The outcome that was reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Told {
-    /// The answer to the call of this number.
+pub enum CallOutcome {
+    /// The answer to the call with this index.
     Answered(u8),
-    /// It did not run: safe to send again.
+    /// The call did not run and is safe to send again.
     NotRun,
-    /// It may have run.
+    /// The call may have run.
     Unknown,
 }
 
@@ -22,25 +22,25 @@
 enum Phase {
     #[default]
     Ready,
-    Waits,
-    Settles,
-    Ended(Told),
+    Waiting,
+    Settling,
+    Ended(CallOutcome),
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Call {
-    made: u8,
+    attempts_made: u8,
     phase: Phase,
     ticket: Option<Ticket>,
-    /// Attempts that the entry was told did not run.
+    /// Attempts that were reported to the entry as not run.
     not_run: BTreeSet<AttemptId>,
 }
 
 impl Call {
-    pub(super) fn told(&self) -> Option<Told> {
+    pub(super) fn outcome(&self) -> Option<CallOutcome> {
         match self.phase {
-            Phase::Ended(told) => Some(told),
-            Phase::Ready | Phase::Waits | Phase::Settles => None,
+            Phase::Ended(outcome) => Some(outcome),
+            Phase::Ready | Phase::Waiting | Phase::Settling => None,
         }
     }
 
@@ -52,58 +52,68 @@
         self.phase == Phase::Ready
     }
 
-    pub(super) fn waits(&self) -> bool {
-        self.phase == Phase::Waits
+    pub(super) fn is_waiting(&self) -> bool {
+        self.phase == Phase::Waiting
     }
 
-    pub(super) fn settles(&self) -> bool {
-        self.phase == Phase::Settles
+    pub(super) fn is_settling(&self) -> bool {
+        self.phase == Phase::Settling
     }
 
-    /// Attempts made, the one under way included.
-    pub(super) fn made(&self) -> u8 {
-        self.made
+    /// Number of attempts made, including the current one.
+    pub(super) fn attempts_made(&self) -> u8 {
+        self.attempts_made
     }
 
     pub(super) fn send(&mut self) {
-        self.made += 1;
-        self.phase = Phase::Waits;
+        self.attempts_made += 1;
+        self.phase = Phase::Waiting;
     }
 
-    pub(super) fn sent_under(&mut self, ticket: Ticket) {
+    pub(super) fn set_ticket(&mut self, ticket: Ticket) {
         self.ticket = Some(ticket);
     }
 
-    /// The ticket of the attempt under way.
+    /// The ticket of the current attempt.
     pub(super) fn ticket(&self) -> Ticket {
-        self.ticket.expect("an attempt is under way")
+        self.ticket.expect("an attempt was sent")
     }
 
-    pub(super) fn is_under_way(&self, number: u8, attempt: AttemptId) -> bool {
-        id(number, self.made) == attempt
+    pub(super) fn is_current(&self, number: u8, attempt: AttemptId) -> bool {
+        attempt_id(number, self.attempts_made) == attempt
     }
 
-    pub(super) fn break_off(&mut self) {
-        self.phase = Phase::Settles;
+    pub(super) fn abandon_connection(&mut self) {
+        self.phase = Phase::Settling;
     }
 
-    pub(super) fn give_up(&mut self) {
-        self.phase = Phase::Ended(Told::Unknown);
+    pub(super) fn abandon(&mut self) {
+        self.phase = Phase::Ended(CallOutcome::Unknown);
     }
 
-    /// A reply came on the attempt's connection.
-    pub(super) fn hear(&mut self, number: u8, end: End, allowed: u8, safeguards: Safeguards) {
+    /// Handles a reply that arrived on the attempt's connection.
+    pub(super) fn handle_reply(
+        &mut self,
+        number: u8,
+        end: AttemptOutcome,
+        allowed: u8,
+        safeguards: Safeguards,
+    ) {
         match end {
-            End::Answered(whose) => self.phase = Phase::Ended(Told::Answered(whose)),
-            End::NotRun => {
-                self.not_run.insert(id(number, self.made));
+            AttemptOutcome::Answered(whose) => {
+                self.phase = Phase::Ended(CallOutcome::Answered(whose));
+            }
+            AttemptOutcome::NotRun => {
+                self.not_run.insert(attempt_id(number, self.attempts_made));
                 self.end_attempt(UnansweredOutcome::NotRun, allowed, safeguards);
             }
-            End::Unknown => self.end_attempt(UnansweredOutcome::Unknown, allowed, safeguards),
+            AttemptOutcome::Unknown => {
+                self.end_attempt(UnansweredOutcome::Unknown, allowed, safeguards);
+            }
         }
     }
 
-    /// The ledger answered a revoke.
+    /// Handles the ledger's answer to a revoke.
     pub(super) fn settle(
         &mut self,
         number: u8,
@@ -112,24 +122,24 @@
         safeguards: Safeguards,
     ) {
         let end = match settled {
-            AttemptStatus::NotRun => End::NotRun,
-            AttemptStatus::Done(answer) => End::Answered(answer.body[0]),
-            AttemptStatus::DoneWithoutAnswer | AttemptStatus::Unknown => End::Unknown,
-            // It asks again until the deadline.
+            AttemptStatus::NotRun => AttemptOutcome::NotRun,
+            AttemptStatus::Done(answer) => AttemptOutcome::Answered(answer.body[0]),
+            AttemptStatus::DoneWithoutAnswer | AttemptStatus::Unknown => AttemptOutcome::Unknown,
+            // The entry asks again until the deadline.
             AttemptStatus::NeverSeen | AttemptStatus::Queued | AttemptStatus::Running => return,
         };
-        self.hear(number, end, allowed, safeguards);
+        self.handle_reply(number, end, allowed, safeguards);
     }
 
     fn end_attempt(&mut self, settlement: UnansweredOutcome, allowed: u8, safeguards: Safeguards) {
         let idempotent = !safeguards.has(Safeguard::RetryRule);
-        let (made, allowed) = (u32::from(self.made), u32::from(allowed));
+        let (made, allowed) = (u32::from(self.attempts_made), u32::from(allowed));
         self.phase = if may_retry(settlement, idempotent, 0, made, allowed) {
             Phase::Ready
         } else {
             Phase::Ended(match settlement {
-                UnansweredOutcome::NotRun => Told::NotRun,
-                UnansweredOutcome::Unknown => Told::Unknown,
+                UnansweredOutcome::NotRun => CallOutcome::NotRun,
+                UnansweredOutcome::Unknown => CallOutcome::Unknown,
             })
         };
     }
--- a/crates/spec/src/attempt/executor.rs
+++ b/crates/spec/src/attempt/executor.rs
@@ -1,4 +1,4 @@
-//! One executor: its ledger, its queue, and what its target runs.
+//! State of one executor: its ledger, its queue, and the attempts that its target runs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,30 +7,30 @@
     Answer, Arrival, AttemptId, AttemptStatus, Incarnation, Ledger, LedgerConfig, Ticket,
 };
 
-use super::message::{End, call_of};
-use super::{LEFT, TICKET_LIFE, ticks};
+use super::message::{AttemptOutcome, call_of};
+use super::{TICKET_LIFE, TIME_TO_DEADLINE, ticks};
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// Incarnations of one executor are this far from those of the next.
-const INCARNATIONS: Incarnation = 100;
+/// Difference between the first incarnations of two successive executors.
+const INCARNATION_STRIDE: Incarnation = 100;
 
-/// What became of a queued attempt whose turn came.
+/// What happened to a queued attempt that got a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Turn {
-    /// The target has it now.
+pub(super) enum StartResult {
+    /// The target runs it.
     Started {
-        /// Whether its time was over.
+        /// Whether its deadline had passed.
         late: bool,
     },
-    /// It does not run.
+    /// It was dropped without running.
     Dropped,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Waiting {
-    /// Tick at which it came in.
+    /// Tick at which the attempt arrived.
     arrived: u8,
-    /// Whether the ledger had seen it before.
+    /// Whether the ledger had a record of the attempt before.
     copy: bool,
 }
 
@@ -45,10 +45,10 @@
 
 impl Executor {
     pub(super) fn new(number: u8, records: usize) -> Self {
-        Self::of(u64::from(number) * INCARNATIONS, records)
+        Self::with_incarnation(u64::from(number) * INCARNATION_STRIDE, records)
     }
 
-    fn of(incarnation: Incarnation, records: usize) -> Self {
+    fn with_incarnation(incarnation: Incarnation, records: usize) -> Self {
         let cfg = LedgerConfig {
             ticket_life: ticks(TICKET_LIFE),
             records,
@@ -64,7 +64,7 @@
     }
 
     pub(super) fn restart(&mut self) {
-        *self = Self::of(self.incarnation + 1, self.records);
+        *self = Self::with_incarnation(self.incarnation + 1, self.records);
     }
 
     pub(super) fn ticket(&self, now: u8) -> Ticket {
@@ -79,33 +79,35 @@
         self.running.iter().copied()
     }
 
-    /// Takes an attempt in; its end, if that is settled by it.
+    /// Receives an attempt. Returns how it ended if it is not queued.
     pub(super) fn arrive(
         &mut self,
         id: AttemptId,
         ticket: Ticket,
         now: u8,
         safeguards: Safeguards,
-    ) -> Option<End> {
-        let ticket = self.judged(ticket, now, safeguards);
+    ) -> Option<AttemptOutcome> {
+        let ticket = self.with_checks_disabled(ticket, now, safeguards);
         match self.ledger.arrive(id, ticket, ticks(now)) {
             Arrival::New => self.wait(id, now, false),
             Arrival::Seen(_) if !safeguards.has(Safeguard::DuplicateCheck) => {
                 self.wait(id, now, true)
             }
-            Arrival::Refused(_) => Some(End::NotRun),
-            Arrival::Seen(AttemptStatus::Done(answer)) => Some(End::Answered(answer.body[0])),
-            Arrival::Seen(_) => Some(End::Unknown),
+            Arrival::Refused(_) => Some(AttemptOutcome::NotRun),
+            Arrival::Seen(AttemptStatus::Done(answer)) => {
+                Some(AttemptOutcome::Answered(answer.body[0]))
+            }
+            Arrival::Seen(_) => Some(AttemptOutcome::Unknown),
         }
     }
 
-    fn wait(&mut self, id: AttemptId, arrived: u8, copy: bool) -> Option<End> {
+    fn wait(&mut self, id: AttemptId, arrived: u8, copy: bool) -> Option<AttemptOutcome> {
         self.waiting.insert(id, Waiting { arrived, copy });
         None
     }
 
-    /// The ticket as a ledger sees it that lacks one of its checks.
-    fn judged(&self, mut ticket: Ticket, now: u8, safeguards: Safeguards) -> Ticket {
+    /// The ticket altered so that it passes a check of the ledger that is switched off.
+    fn with_checks_disabled(&self, mut ticket: Ticket, now: u8, safeguards: Safeguards) -> Ticket {
         if !safeguards.has(Safeguard::TicketExpiry) {
             ticket.stamp = ticks(now);
         }
@@ -122,7 +124,7 @@
         now: u8,
         safeguards: Safeguards,
     ) -> AttemptStatus {
-        let ticket = self.judged(ticket, now, safeguards);
+        let ticket = self.with_checks_disabled(ticket, now, safeguards);
         if safeguards.has(Safeguard::RevokeFence) {
             return self.ledger.revoke(id, ticket, ticks(now));
         }
@@ -132,22 +134,27 @@
         }
     }
 
-    pub(super) fn take_turn(&mut self, id: AttemptId, now: u8, safeguards: Safeguards) -> Turn {
+    pub(super) fn start_queued(
+        &mut self,
+        id: AttemptId,
+        now: u8,
+        safeguards: Safeguards,
+    ) -> StartResult {
         let Some(Waiting { arrived, copy }) = self.waiting.remove(&id) else {
-            return Turn::Dropped;
+            return StartResult::Dropped;
         };
-        let late = now >= arrived + LEFT;
+        let late = now >= arrived + TIME_TO_DEADLINE;
         if late && safeguards.has(Safeguard::DeadlineCheck) {
             self.ledger.refused(id);
-            return Turn::Dropped;
+            return StartResult::Dropped;
         }
         let may_start = self.ledger.start(id);
         let checks = safeguards.has(Safeguard::StartCheck);
         if !may_start && checks && !copy {
-            return Turn::Dropped;
+            return StartResult::Dropped;
         }
         self.running.insert(id);
-        Turn::Started { late }
+        StartResult::Started { late }
     }
 
     pub(super) fn shed(&mut self, id: AttemptId) {
@@ -155,7 +162,7 @@
         self.ledger.refused(id);
     }
 
-    pub(super) fn finish(&mut self, id: AttemptId) -> End {
+    pub(super) fn finish(&mut self, id: AttemptId) -> AttemptOutcome {
         self.running.remove(&id);
         let call = call_of(id);
         let answer = Answer {
@@ -164,10 +171,10 @@
             body: vec![call],
         };
         self.ledger.done(id, Arc::new(answer));
-        End::Answered(call)
+        AttemptOutcome::Answered(call)
     }
 
-    pub(super) fn lose(&mut self, id: AttemptId) {
+    pub(super) fn target_lost(&mut self, id: AttemptId) {
         self.running.remove(&id);
         self.ledger.lost(id);
     }
--- a/crates/spec/src/cases.rs
+++ b/crates/spec/src/cases.rs
@@ -1,69 +1,74 @@
-//! The searches that tests and the `search` example run, by name.
+//! The named searches that the tests and the `search` example run.
 
+use crate::api_keys::{ApiKeyBounds, ApiKeySpec};
 use crate::attempt::{AttemptBounds, AttemptSpec};
-use crate::intent::{Clocks, IntentBounds, IntentSpec, Removal};
+use crate::distribution::{DistributionBounds, DistributionSpec};
+use crate::idempotency::{Clocks, IdempotencyBounds, IdempotencySpec, Removal};
 use crate::invariant::Invariant;
-use crate::keys::{KeyBounds, KeySpec};
 use crate::safeguard::{Safeguard, Safeguards};
 use crate::search::{Spec, search};
-use crate::spreading::{SpreadingBounds, SpreadingSpec};
 use crate::version_log::{Edit, VersionLogSpec};
 
-/// No bound on the steps: the faults and versions that a case has bound it.
+/// No bound on the number of steps; the search is finite since a case has bounded faults and
+/// versions.
 const UNBOUNDED: usize = usize::MAX;
 
-/// One specification with its bounds.
+/// A specification with its bounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Case {
-    /// One operator's request at two daemons, and one who races with it.
+    /// One operator's request at two daemons, and a conflicting request of another operator.
     WriteRace,
-    /// As above and one who edits something else, with fewer faults.
+    /// The requests of [`Case::WriteRace`] and one that edits another service, with fewer faults.
     WriteApart,
-    /// One operator deletes the service to which another adds a route.
+    /// One operator deletes a service while another adds a route to it.
     WriteReference,
-    /// Deltas and whole states that cross, come twice and are damaged.
+    /// Deltas and whole states that are reordered, duplicated and damaged.
     Delivery,
-    /// Two daemons that restart while the platform may be out.
+    /// Two daemons that restart while the platform may be unavailable.
     RestartOutage,
     /// Two daemons at version 1, one restart and one freeze.
     RestartFreeze,
-    /// Three daemons at version 1, one restart, within fewer steps.
+    /// Three daemons at version 1 and one restart, within a bound on the steps.
     RestartOutageThree,
-    /// Two daemons that restart; the platform answers whenever it is asked.
+    /// Two daemons that restart while the platform answers every request.
     RestartReachable,
-    /// Three of them, within fewer steps.
+    /// Three daemons at version 1 and one restart, while the platform answers every request, within
+    /// a bound on the steps.
     RestartReachableThree,
     /// One call with two attempts.
     Attempt,
-    /// Its attempts at two executors, with more faults.
+    /// One call with two attempts, each at another executor.
     AttemptElsewhere,
     /// Two calls on one connection.
     AttemptPair,
     /// Two calls at an executor with room for one record.
     AttemptFull,
-    /// A key whose home moves, with a restart.
+    /// An idempotency key whose home changes, with a restart.
     Intent,
-    /// The same with the first home's clock ahead.
+    /// An idempotency key whose home changes, with the first home's clock ahead.
     IntentFirstAhead,
-    /// The caller's clock ahead.
+    /// An idempotency key from a caller whose clock is ahead.
     IntentCallerAhead,
-    /// The caller's clock ahead by more than is allowed.
+    /// An idempotency key from a caller whose clock is ahead by more than the allowed skew.
     IntentCallerWrong,
-    /// The home moves there and back; versions come in order.
+    /// The key's home changes and changes back; versions arrive in order.
     IntentBack,
-    /// The same with skipped versions and a restart, the key made later.
+    /// The key's home changes and changes back, with skipped versions and a restart; the key is
+    /// created later.
     IntentBackSkip,
-    /// The upstream that goes is stopped first.
+    /// The key's home changes and changes back; the removed upstream is stopped before, and
+    /// versions are skipped.
     IntentStopped,
-    /// The same with a planned restart in place of skipped versions.
+    /// The key's home changes and changes back; the removed upstream is stopped before, and there
+    /// is a planned restart.
     IntentPlanned,
-    /// A customer's key is taken away; answers are late, and a daemon restarts.
+    /// A customer's key is revoked while answers are delayed and a daemon restarts.
     Keys,
-    /// The same with a daemon that sleeps.
+    /// A customer's key is revoked while answers are delayed and a daemon is suspended.
     KeysAsleep,
 }
 
-/// Every case, in the order of the page.
+/// Every case, in the order of `docs/design/model-checking.md`.
 pub const CASES: &[Case] = &[
     Case::WriteRace,
     Case::WriteApart,
@@ -90,8 +95,8 @@
     Case::KeysAsleep,
 ];
 
-/// For each safeguard, a case in which its absence shows.
-pub const WITHOUT: &[(Safeguard, Case)] = &[
+/// For each safeguard, a case that violates an invariant without it.
+pub const SAFEGUARD_CASES: &[(Safeguard, Case)] = &[
     (Safeguard::OperationRow, Case::WriteReference),
     (Safeguard::HeadCondition, Case::WriteRace),
     (Safeguard::RevisionCheck, Case::WriteRace),
@@ -128,21 +133,21 @@
     (Safeguard::SleepCounts, Case::KeysAsleep),
 ];
 
-/// What a search found, with the steps as text.
+/// Result of a search, with the steps as text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Summary {
-    /// States visited.
+    /// Number of visited states.
     pub states: usize,
-    /// Steps to the farthest of them.
+    /// Number of steps to the farthest of them.
     pub depth: usize,
-    /// Whether states beyond the bound were left out.
-    pub is_cut: bool,
-    /// The invariant that the shortest counterexample violates, and its steps.
+    /// Whether states beyond the bound were not visited.
+    pub is_truncated: bool,
+    /// The invariant that the shortest counterexample violates, and its steps as text.
     pub violation: Option<(Invariant, Vec<String>)>,
 }
 
 impl Case {
-    /// Searches this case with these safeguards.
+    /// Runs the search of this case with these safeguards.
     #[must_use]
     pub fn search(self, safeguards: Safeguards) -> Summary {
         match self {
@@ -156,14 +161,19 @@
             | Self::RestartOutageThree
             | Self::RestartReachable
             | Self::RestartReachableThree => {
-                let (bounds, depth) = self.spreading();
-                run(&SpreadingSpec::new(bounds, safeguards), depth)
+                let (bounds, depth) = self.distribution();
+                run(&DistributionSpec::new(bounds, safeguards), depth)
             }
             Self::Attempt | Self::AttemptElsewhere | Self::AttemptPair | Self::AttemptFull => {
                 run(&AttemptSpec::new(self.attempts(), safeguards), UNBOUNDED)
             }
-            Self::Keys | Self::KeysAsleep => run(&KeySpec::new(self.keys(), safeguards), UNBOUNDED),
-            _ => run(&IntentSpec::new(self.intent(), safeguards), UNBOUNDED),
+            Self::Keys | Self::KeysAsleep => {
+                run(&ApiKeySpec::new(self.api_keys(), safeguards), UNBOUNDED)
+            }
+            _ => run(
+                &IdempotencySpec::new(self.idempotency(), safeguards),
+                UNBOUNDED,
+            ),
         }
     }
 
@@ -195,8 +205,8 @@
         }
     }
 
-    fn spreading(self) -> (SpreadingBounds, usize) {
-        let restart = SpreadingBounds {
+    fn distribution(self) -> (DistributionBounds, usize) {
+        let restart = DistributionBounds {
             daemons: 2,
             versions: 2,
             is_warm: false,
@@ -208,7 +218,7 @@
         };
         match self {
             Self::Delivery => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     versions: 3,
                     in_flight: 2,
                     faults: 2,
@@ -219,7 +229,7 @@
                 (bounds, UNBOUNDED)
             }
             Self::RestartFreeze => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     is_warm: true,
                     restarts: 1,
                     freezes: 1,
@@ -228,7 +238,7 @@
                 (bounds, UNBOUNDED)
             }
             Self::RestartOutageThree => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     daemons: 3,
                     is_warm: true,
                     restarts: 1,
@@ -237,14 +247,14 @@
                 (bounds, 8)
             }
             Self::RestartReachable => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     has_platform: true,
                     ..restart
                 };
                 (bounds, UNBOUNDED)
             }
             Self::RestartReachableThree => {
-                let bounds = SpreadingBounds {
+                let bounds = DistributionBounds {
                     daemons: 3,
                     is_warm: true,
                     restarts: 1,
@@ -288,15 +298,15 @@
         }
     }
 
-    fn keys(self) -> KeyBounds {
-        let awake = KeyBounds {
+    fn api_keys(self) -> ApiKeyBounds {
+        let awake = ApiKeyBounds {
             ticks: 6,
             in_flight: 2,
             restarts: 1,
             sleeps: 0,
         };
         match self {
-            Self::KeysAsleep => KeyBounds {
+            Self::KeysAsleep => ApiKeyBounds {
                 restarts: 0,
                 sleeps: 2,
                 ..awake
@@ -305,59 +315,59 @@
         }
     }
 
-    fn intent(self) -> IntentBounds {
-        let moved = IntentBounds {
-            tries: 2,
-            made_at: 0,
+    fn idempotency(self) -> IdempotencyBounds {
+        let moved = IdempotencyBounds {
+            attempts: 2,
+            created_at: 0,
             versions: 2,
             removal: Removal::Live,
             skips: false,
             restarts: 1,
-            planned: 0,
-            lost: 1,
+            planned_restarts: 0,
+            lost_answers: 1,
             ticks: 4,
             clocks: clocks(0, 0),
         };
-        let back = IntentBounds {
+        let back = IdempotencyBounds {
             versions: 3,
-            lost: 0,
+            lost_answers: 0,
             ticks: 1,
             restarts: 0,
             ..moved
         };
         match self {
-            Self::IntentFirstAhead => IntentBounds {
-                lost: 0,
+            Self::IntentFirstAhead => IdempotencyBounds {
+                lost_answers: 0,
                 clocks: clocks(0, 1),
                 ..moved
             },
-            Self::IntentCallerAhead => IntentBounds {
+            Self::IntentCallerAhead => IdempotencyBounds {
                 versions: 1,
                 clocks: clocks(1, 0),
                 ..moved
             },
-            Self::IntentCallerWrong => IntentBounds {
+            Self::IntentCallerWrong => IdempotencyBounds {
                 versions: 1,
                 clocks: clocks(3, 0),
                 ..moved
             },
             Self::IntentBack => back,
-            Self::IntentBackSkip => IntentBounds {
-                made_at: 2,
+            Self::IntentBackSkip => IdempotencyBounds {
+                created_at: 2,
                 ticks: 2,
                 skips: true,
                 restarts: 1,
                 ..back
             },
-            Self::IntentStopped => IntentBounds {
+            Self::IntentStopped => IdempotencyBounds {
                 ticks: 3,
                 skips: true,
                 removal: Removal::Stopped,
                 ..back
             },
-            Self::IntentPlanned => IntentBounds {
+            Self::IntentPlanned => IdempotencyBounds {
                 ticks: 3,
-                planned: 1,
+                planned_restarts: 1,
                 removal: Removal::Stopped,
                 ..back
             },
@@ -383,7 +393,7 @@
     Summary {
         states: report.states,
         depth: report.depth,
-        is_cut: report.is_cut,
+        is_truncated: report.is_truncated,
         violation,
     }
 }
--- a/crates/spec/src/spreading/daemon.rs
+++ b/crates/spec/src/distribution/daemon.rs
@@ -1,4 +1,5 @@
-//! One daemon: what it holds, may serve by, and remembers of others.
+//! State of one daemon: the version that it holds, whether it may serve, and the versions that
+//! other daemons reported to it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,24 +10,24 @@
 use super::DaemonIndex;
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// Time plays no part in what a replica takes.
+/// A fixed time, since what a replica accepts does not depend on the time.
 const NOW: Duration = Duration::ZERO;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Daemon {
     replica: Replica,
-    /// What is in force in place of the replica's state, where a safeguard that
-    /// the replica has was taken away.
+    /// The state in force in place of the replica's, where a safeguard of the replica is switched
+    /// off.
     forced: Option<Arc<State>>,
     serving: Serving,
-    /// The highest version that each daemon reported here.
+    /// The highest version that each other daemon reported to this one.
     remembered: Vec<Version>,
-    /// The highest version that this life held.
-    newest: Version,
-    /// The version that this life serves by.
-    serves: Version,
-    /// The highest version that any life of this instance served by.
-    served: Version,
+    /// The highest version that this process held.
+    highest_held: Version,
+    /// The version by which this process serves, or 0 if it does not serve.
+    serving_version: Version,
+    /// The highest version by which any process of this instance served.
+    highest_served: Version,
 }
 
 impl Daemon {
@@ -36,16 +37,16 @@
             forced: None,
             serving: Serving::default(),
             remembered: vec![0; daemons],
-            newest: 0,
-            serves: 0,
-            served: 0,
+            highest_held: 0,
+            serving_version: 0,
+            highest_served: 0,
         }
     }
 
     pub(super) fn restart(&mut self) {
-        let served = self.served;
+        let highest_served = self.highest_served;
         *self = Self::new(self.remembered.len());
-        self.served = served;
+        self.highest_served = highest_served;
     }
 
     pub(super) fn in_force(&self) -> &Arc<State> {
@@ -56,33 +57,33 @@
         self.in_force().version()
     }
 
-    pub(super) fn served(&self) -> Version {
-        self.served
+    pub(super) fn highest_served(&self) -> Version {
+        self.highest_served
     }
 
     pub(super) fn remembers(&self, i: DaemonIndex) -> Version {
         self.remembered[i]
     }
 
-    pub(super) fn went_back(&self) -> bool {
-        let serves_older = self.serves > 0 && self.serves < self.served;
-        serves_older || self.version() < self.newest
+    pub(super) fn has_reverted(&self) -> bool {
+        let serves_older = self.serving_version > 0 && self.serving_version < self.highest_served;
+        serves_older || self.version() < self.highest_held
     }
 
-    pub(super) fn asks_whole(&self) -> bool {
+    pub(super) fn needs_state(&self) -> bool {
         self.replica.needs_state()
     }
 
-    pub(super) fn hear_head(&mut self, version: Version, digest: Digest) {
+    pub(super) fn handle_head(&mut self, version: Version, digest: Digest) {
         self.replica.record_head(version, digest);
         self.serving.platform_answered(version);
     }
 
-    pub(super) fn hear_no_head(&mut self) {
+    pub(super) fn handle_failed_read(&mut self) {
         self.serving.platform_failed();
     }
 
-    pub(super) fn wake(&mut self) {
+    pub(super) fn resume(&mut self) {
         self.serving.resumed();
     }
 
@@ -90,8 +91,8 @@
         self.serving.serve_alone();
     }
 
-    /// Another daemon answered a question of this one.
-    pub(super) fn hear_answer(
+    /// Handles the answer of another daemon to this one's request.
+    pub(super) fn handle_answer(
         &mut self,
         me: DaemonIndex,
         peer: DaemonIndex,
@@ -104,8 +105,8 @@
         self.remember(peer, other.version());
     }
 
-    /// Another daemon asked this one, and told what it holds and remembers.
-    pub(super) fn hear_question(
+    /// Handles a request of another daemon, which reports the versions that it holds and remembers.
+    pub(super) fn handle_request(
         &mut self,
         me: DaemonIndex,
         peer: DaemonIndex,
@@ -116,7 +117,7 @@
         self.remember(peer, other.version());
     }
 
-    /// What this daemon says of the version by which another one served.
+    /// The version by which another daemon served, as far as this one remembers it.
     fn floor_of(&self, other: DaemonIndex, safeguards: Safeguards) -> Version {
         if safeguards.has(Safeguard::RestartFloor) {
             self.remembered[other]
@@ -138,12 +139,12 @@
             self.serving.platform_failed();
         }
         if version > 0 && self.serving.may_serve(version, others) {
-            self.serves = version;
-            self.served = self.served.max(version);
+            self.serving_version = version;
+            self.highest_served = self.highest_served.max(version);
         }
     }
 
-    pub(super) fn take_delta(&mut self, delta: &Arc<Delta>, safeguards: Safeguards) {
+    pub(super) fn apply_delta(&mut self, delta: &Arc<Delta>, safeguards: Safeguards) {
         let offer = self.replica.offer_delta(NOW, Arc::clone(delta));
         let checks_digest = safeguards.has(Safeguard::DigestCheck);
         let checks_references = safeguards.has(Safeguard::ReferenceCheck);
@@ -158,16 +159,16 @@
             }
             _ => {}
         }
-        self.newest = self.newest.max(self.version());
+        self.highest_held = self.highest_held.max(self.version());
     }
 
-    pub(super) fn take_state(&mut self, state: &State, safeguards: Safeguards) {
+    pub(super) fn apply_state(&mut self, state: &State, safeguards: Safeguards) {
         let is_older = state.version() < self.version();
         if is_older && !safeguards.has(Safeguard::VersionAboveOwn) {
             self.replica = Replica::default();
         }
         self.replica.offer_state(NOW, state.clone());
-        self.newest = self.newest.max(self.version());
+        self.highest_held = self.highest_held.max(self.version());
     }
 
     fn has_digest(&self, delta: &Delta) -> bool {
@@ -176,7 +177,7 @@
         made.digest == delta.digest
     }
 
-    /// Puts in force what the delta makes of the state, unchecked.
+    /// Applies the delta without checks and puts the result in force.
     fn force(&mut self, delta: &Delta) {
         let mut items: Vec<_> = self
             .in_force()
--- a/crates/spec/src/intent/successors.rs
+++ b/crates/spec/src/idempotency/successors.rs
@@ -1,22 +1,25 @@
-//! All that may happen next.
+//! The possible next steps.
 
 use stoatstep_calls::{AttemptId, WallTime};
 
-use super::home::{Executor, Phase, Taken};
-use super::{IntentSpec, IntentState, IntentStep, Removal, UPSTREAMS, wall};
+use super::home::{Executor, KeyAttempt, Phase};
+use super::{IdempotencySpec, IdempotencyState, IdempotencyStep, Removal, UPSTREAMS, wall};
 
-type Next = Vec<(IntentStep, IntentState)>;
+type Successors = Vec<(IdempotencyStep, IdempotencyState)>;
 
-impl IntentSpec {
-    pub(super) fn successors(&self, state: &IntentState) -> Next {
+impl IdempotencySpec {
+    pub(super) fn successors(&self, state: &IdempotencyState) -> Successors {
         let mut next = Vec::new();
-        if state.now >= self.bounds.made_at && state.sent < self.bounds.tries {
+        if state.now >= self.bounds.created_at && state.sent < self.bounds.attempts {
             for version in 1..=state.head {
-                next.push((IntentStep::Send(version), sent(state, version)));
+                next.push((IdempotencyStep::Send(version), sent(state, version)));
             }
         }
         for (id, version) in &state.messages {
-            next.push((IntentStep::Arrive(*id), self.arrived(state, *id, *version)));
+            next.push((
+                IdempotencyStep::Arrive(*id),
+                self.arrived(state, *id, *version),
+            ));
         }
         let alive = if state.stopped {
             1
@@ -24,21 +27,21 @@
             state.executors.len()
         };
         for number in 0..alive {
-            for (id, taken) in &state.executors[number].taken {
-                self.of_attempt(state, number, *id, taken, &mut next);
+            for (id, attempt) in &state.executors[number].attempts {
+                self.attempt_steps(state, number, *id, attempt, &mut next);
             }
-            self.of_version(state, number, &mut next);
-            self.of_process(state, number, &mut next);
+            self.version_steps(state, number, &mut next);
+            self.process_steps(state, number, &mut next);
         }
-        self.of_world(state, &mut next);
+        self.environment_steps(state, &mut next);
         next
     }
 
-    fn wall(&self, state: &IntentState, executor: usize) -> WallTime {
+    fn wall(&self, state: &IdempotencyState, executor: usize) -> WallTime {
         wall(state.now, self.clock_of(executor))
     }
 
-    fn arrived(&self, state: &IntentState, id: AttemptId, version: u8) -> IntentState {
+    fn arrived(&self, state: &IdempotencyState, id: AttemptId, version: u8) -> IdempotencyState {
         let mut next = state.clone();
         next.messages.remove(&id);
         let home = self.home_at(version);
@@ -53,13 +56,13 @@
         next
     }
 
-    fn of_attempt(
+    fn attempt_steps(
         &self,
-        state: &IntentState,
+        state: &IdempotencyState,
         number: usize,
         id: AttemptId,
-        taken: &Taken,
-        next: &mut Next,
+        attempt: &KeyAttempt,
+        next: &mut Successors,
     ) {
         let key = &self.key;
         let with = |change: &dyn Fn(&mut Executor)| {
@@ -67,13 +70,13 @@
             changed.change(number, change);
             changed
         };
-        match &taken.phase {
-            Phase::Asks(_) if state.stopped => {
+        match &attempt.phase {
+            Phase::Asking(_) if state.stopped => {
                 let now = self.wall(state, number);
-                let gone = with(&|it| it.note_gone(id, now));
-                next.push((IntentStep::Gone(number, id), gone));
+                let deleted = with(&|it| it.mark_homes_deleted(id, now));
+                next.push((IdempotencyStep::Gone(number, id), deleted));
             }
-            Phase::Asks(questions) => {
+            Phase::Asking(questions) => {
                 let asked = questions.last().map(|it| &it.upstream);
                 let other = UPSTREAMS
                     .iter()
@@ -81,56 +84,56 @@
                 let other = &state.executors[other.unwrap_or_default()];
                 let me = UPSTREAMS[number].into();
                 let (version, answer) = other.answer(key, &me, self.safeguards);
-                let phase = Phase::Hears(questions.clone(), version, answer);
+                let phase = Phase::AnswerInFlight(questions.clone(), version, answer);
                 let answered = with(&|it| it.set_phase(id, phase.clone()));
-                next.push((IntentStep::Ask(number, id), answered));
+                next.push((IdempotencyStep::Ask(number, id), answered));
             }
-            Phase::Hears(..) => {
+            Phase::AnswerInFlight(..) => {
                 let now = self.wall(state, number);
-                let heard = with(&|it| it.hear(key, id, now, self.safeguards));
-                next.push((IntentStep::Hear(number, id), heard));
+                let handled = with(&|it| it.handle_answer(key, id, now, self.safeguards));
+                next.push((IdempotencyStep::Hear(number, id), handled));
             }
-            Phase::Waits => {
-                let mut started = with(&|it| it.set_phase(id, Phase::Runs));
+            Phase::Waiting => {
+                let mut started = with(&|it| it.set_phase(id, Phase::Running));
                 started.runs += 1;
-                next.push((IntentStep::Start(number, id), started));
+                next.push((IdempotencyStep::Start(number, id), started));
                 next.push((
-                    IntentStep::Refuse(number, id),
+                    IdempotencyStep::Refuse(number, id),
                     with(&|it| it.refuse(key, id)),
                 ));
             }
-            Phase::Runs => {
+            Phase::Running => {
                 next.push((
-                    IntentStep::Finish(number, id),
+                    IdempotencyStep::Finish(number, id),
                     with(&|it| it.finish(key, id)),
                 ));
-                if state.lost > 0 {
-                    let mut lost = with(&|it| it.lose(key, id, self.safeguards));
-                    lost.lost -= 1;
-                    next.push((IntentStep::Lose(number, id), lost));
+                if state.lost_answers > 0 {
+                    let mut lost = with(&|it| it.target_lost(key, id, self.safeguards));
+                    lost.lost_answers -= 1;
+                    next.push((IdempotencyStep::Lose(number, id), lost));
                 }
             }
         }
     }
 
-    fn of_version(&self, state: &IntentState, number: usize, next: &mut Next) {
+    fn version_steps(&self, state: &IdempotencyState, number: usize, next: &mut Successors) {
         let version = state.executors[number].version;
         if version == state.head {
             return;
         }
         next.push((
-            IntentStep::Apply(number),
+            IdempotencyStep::Apply(number),
             self.applied(state, number, version + 1),
         ));
         if version + 1 < state.head && self.bounds.skips {
             next.push((
-                IntentStep::Skip(number),
+                IdempotencyStep::Skip(number),
                 self.applied(state, number, state.head),
             ));
         }
     }
 
-    fn applied(&self, state: &IntentState, number: usize, version: u8) -> IntentState {
+    fn applied(&self, state: &IdempotencyState, number: usize, version: u8) -> IdempotencyState {
         let mut next = state.clone();
         let follows = version == state.executors[number].version + 1;
         let (set, now) = (self.set_at(version).clone(), self.wall(state, number));
@@ -138,19 +141,19 @@
         next
     }
 
-    fn of_process(&self, state: &IntentState, number: usize, next: &mut Next) {
+    fn process_steps(&self, state: &IdempotencyState, number: usize, next: &mut Successors) {
         let now = self.wall(state, number);
         let mut cleaned = state.clone();
         cleaned.change(number, |it| it.clean(now));
-        next.push((IntentStep::Clean(number), cleaned));
-        if state.planned > 0 && state.executors[number].taken.is_empty() {
-            let mut handed = state.clone();
-            handed.planned -= 1;
-            handed.change(number, |it| {
+        next.push((IdempotencyStep::Clean(number), cleaned));
+        if state.planned_restarts > 0 && state.executors[number].attempts.is_empty() {
+            let mut handed_over = state.clone();
+            handed_over.planned_restarts -= 1;
+            handed_over.change(number, |it| {
                 let set = self.set_at(it.version).clone();
-                *it = it.successor(number, now, set, self.safeguards);
+                *it = it.restart_as_planned(number, now, set, self.safeguards);
             });
-            next.push((IntentStep::HandOver(number), handed));
+            next.push((IdempotencyStep::HandOver(number), handed_over));
         }
         if state.restarts == 0 {
             return;
@@ -161,10 +164,10 @@
             let set = self.set_at(it.version).clone();
             *it = Executor::new(number, now, it.version, set, self.safeguards);
         });
-        next.push((IntentStep::Restart(number), restarted));
+        next.push((IdempotencyStep::Restart(number), restarted));
     }
 
-    fn of_world(&self, state: &IntentState, next: &mut Next) {
+    fn environment_steps(&self, state: &IdempotencyState, next: &mut Successors) {
         if state.head < self.bounds.versions {
             let mut accepted = state.clone();
             accepted.head += 1;
@@ -172,23 +175,23 @@
                 accepted.change(1, Executor::stop);
                 accepted.stopped = true;
             }
-            next.push((IntentStep::Accept, accepted));
+            next.push((IdempotencyStep::Accept, accepted));
         }
         if state.now < self.bounds.ticks {
             let mut later = state.clone();
             later.now += 1;
-            next.push((IntentStep::Tick, later));
+            next.push((IdempotencyStep::Tick, later));
         }
     }
 }
 
-impl IntentState {
+impl IdempotencyState {
     fn change(&mut self, number: usize, change: impl FnOnce(&mut Executor)) {
         self.executors[number] = self.executors[number].changed(change).0;
     }
 }
 
-fn sent(state: &IntentState, version: u8) -> IntentState {
+fn sent(state: &IdempotencyState, version: u8) -> IdempotencyState {
     let mut next = state.clone();
     next.sent += 1;
     next.messages.insert(next.sent.into(), version);
--- a/crates/spec/src/version_log/mod.rs
+++ b/crates/spec/src/version_log/mod.rs
@@ -1,10 +1,9 @@
-//! Operators who write to the version log while answers get lost and
-//! transactions arrive late.
+//! Operators who write to the version log while answers are lost and transactions arrive late.
 //!
-//! Each request is a shipped [`Writer`](stoatstep_versionlog::Writer) and the
-//! platform a shipped [`Table`](stoatstep_platform::Table). The world decides
-//! which request goes on next, and how a transaction ends: answered, done with
-//! its answer lost, on its way for any time, or refused.
+//! Each request is a production [`Writer`](stoatstep_versionlog::Writer), and the platform is a
+//! production [`Table`](stoatstep_platform::Table). The simulated environment decides which request
+//! proceeds next, and whether a transaction is answered, applied with its answer lost, delayed for
+//! any time, or refused.
 
 mod log;
 mod request;
@@ -21,9 +20,9 @@
 
 pub use log::Log;
 use request::Request;
-pub use request::{Edit, Told};
+pub use request::{Edit, WriteOutcome};
 
-/// Operators' requests, and the faults that may happen.
+/// Specification of operators' requests, with a bound on the faults.
 #[derive(Clone, Debug)]
 pub struct VersionLogSpec {
     edits: Vec<Edit>,
@@ -31,7 +30,7 @@
     safeguards: Safeguards,
 }
 
-/// Platform and requests. The log's rows are kept decoded beside the table.
+/// State of the platform and of the requests. `log` is the decoded form of the table's log rows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct VersionLogState {
     table: Shared<Table>,
@@ -39,31 +38,31 @@
     in_flight: Vec<CommitRequest>,
     requests: Vec<Shared<Request>>,
     faults: u8,
-    broken: Option<Invariant>,
+    log_violation: Option<Invariant>,
 }
 
-/// One event; the number is the request's.
+/// One event. The number is the index of the request, unless stated otherwise.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteStep {
-    /// A read is answered.
+    /// The platform answers a read.
     Read(usize),
-    /// The platform gives no answer and the request's time is over.
+    /// The platform does not answer before the request times out.
     GaveUp(usize),
-    /// A transaction is done or refused by its conditions, and answered.
+    /// A transaction is applied or refused by its conditions, and answered.
     Committed(usize),
-    /// A transaction is done or refused by its conditions; no answer comes.
+    /// A transaction is applied or refused by its conditions, and the answer is lost.
     AnswerLost(usize),
-    /// A transaction hangs on its way; no answer comes.
+    /// A transaction is delayed, and the writer gets no answer.
     Delayed(usize),
-    /// The platform is out, and says so.
+    /// The platform answers that it is unavailable.
     Unavailable(usize),
-    /// A transaction that hung arrives, by its place among those that hang.
+    /// A delayed transaction arrives; the number is its index among those in flight.
     Landed(usize),
 }
 
 impl VersionLogSpec {
-    /// Requests that start at the same time from one service, `floatdesk`, at
-    /// version 1, and at most `faults` lost, late or refused messages.
+    /// Creates a specification of requests that start at the same time from one service,
+    /// `floatdesk`, at version 1, with at most `faults` lost, delayed or refused messages.
     #[must_use]
     pub fn new(edits: Vec<Edit>, faults: u8, safeguards: Safeguards) -> Self {
         Self {
@@ -73,31 +72,41 @@
         }
     }
 
-    /// The transaction as the platform gets it.
-    fn sent(&self, mut req: CommitRequest) -> CommitRequest {
+    /// The transaction without the parts that belong to a safeguard which is switched off.
+    fn as_sent(&self, mut req: CommitRequest) -> CommitRequest {
         if !self.safeguards.has(Safeguard::HeadCondition) {
-            req.conditions.retain(log::is_of_operation);
+            req.conditions.retain(log::is_operation_condition);
         }
         if !self.safeguards.has(Safeguard::OperationRow) {
-            req.conditions.retain(|it| !log::is_of_operation(it));
+            req.conditions.retain(|it| !log::is_operation_condition(it));
             req.writes.retain(|it| !log::writes_operation(it));
         }
         req
     }
 
-    fn answer(&self, state: &VersionLogState, i: usize, input: WriteInput) -> VersionLogState {
+    fn step_request(
+        &self,
+        state: &VersionLogState,
+        i: usize,
+        input: WriteInput,
+    ) -> VersionLogState {
         let mut next = state.clone();
         let step = |request: &mut Request| request.step(input, self.safeguards);
         next.change(i, step);
         if !self.safeguards.has(Safeguard::Validation) && next.requests[i].is_invalid() {
             let version = next.write_unchecked(state.requests[i].change());
-            next.change(i, |it| it.told = Some(Told::Accepted(version)));
+            next.change(i, |it| it.outcome = Some(WriteOutcome::Accepted(version)));
         }
         next
     }
 
-    fn fault(&self, state: &VersionLogState, i: usize, input: WriteInput) -> VersionLogState {
-        let mut next = self.answer(state, i, input);
+    fn step_with_fault(
+        &self,
+        state: &VersionLogState,
+        i: usize,
+        input: WriteInput,
+    ) -> VersionLogState {
+        let mut next = self.step_request(state, i, input);
         next.faults -= 1;
         next
     }
@@ -110,10 +119,10 @@
         if !self.safeguards.has(Safeguard::OperationRow) {
             answer.rows[log::OPERATION_ROW] = None;
         }
-        let read = self.answer(state, i, WriteInput::Read(Ok(answer)));
+        let read = self.step_request(state, i, WriteInput::Read(Ok(answer)));
         let mut next = vec![(WriteStep::Read(i), read)];
         let mut given_up = state.clone();
-        given_up.change(i, |it| it.give_up(self.safeguards));
+        given_up.change(i, |it| it.time_out(self.safeguards));
         next.push((WriteStep::GaveUp(i), given_up));
         next
     }
@@ -122,21 +131,27 @@
         let WriteAction::Commit(req) = &state.requests[i].action else {
             return Vec::new();
         };
-        let req = self.sent(req.clone());
+        let req = self.as_sent(req.clone());
         let mut done = state.clone();
         let answer = done.commit(req.clone());
-        let committed = self.answer(&done, i, WriteInput::Commit(Ok(answer)));
+        let committed = self.step_request(&done, i, WriteInput::Commit(Ok(answer)));
         let mut next = vec![(WriteStep::Committed(i), committed)];
         if state.faults == 0 {
             return next;
         }
-        let lost = || WriteInput::Commit(Err(lost()));
-        next.push((WriteStep::AnswerLost(i), self.fault(&done, i, lost())));
-        let mut delayed = self.fault(state, i, lost());
+        let lost_input = || WriteInput::Commit(Err(answer_lost()));
+        next.push((
+            WriteStep::AnswerLost(i),
+            self.step_with_fault(&done, i, lost_input()),
+        ));
+        let mut delayed = self.step_with_fault(state, i, lost_input());
         delayed.in_flight.push(req);
         next.push((WriteStep::Delayed(i), delayed));
         let out = WriteInput::Commit(Err(unavailable()));
-        next.push((WriteStep::Unavailable(i), self.fault(state, i, out)));
+        next.push((
+            WriteStep::Unavailable(i),
+            self.step_with_fault(state, i, out),
+        ));
         next
     }
 }
@@ -157,13 +172,13 @@
 
     fn read_log(&mut self) {
         let log = Log::read(&self.table);
-        if !log.continues(&self.log) {
-            self.broken.get_or_insert(Invariant::LogIsFinal);
+        if !log.extends(&self.log) {
+            self.log_violation.get_or_insert(Invariant::LogIsFinal);
         }
         self.log = Shared::new(log);
     }
 
-    /// What a writer without validation would do.
+    /// Commits the change as a writer without validation would.
     fn write_unchecked(&mut self, change: &Change) -> u64 {
         let (version, writes) = self.log.unchecked(change);
         let conditions = Vec::new();
@@ -171,34 +186,34 @@
         version
     }
 
-    fn violated_by_told(&self) -> Option<Invariant> {
+    fn violated_by_outcomes(&self) -> Option<Invariant> {
         let mut requests = self.requests.iter();
-        requests.find_map(|request| self.check_told(request))
+        requests.find_map(|request| self.check_outcome(request))
     }
 
-    fn check_told(&self, request: &Request) -> Option<Invariant> {
+    fn check_outcome(&self, request: &Request) -> Option<Invariant> {
         let operation = request.operation();
-        match request.told? {
-            Told::Accepted(version) => {
+        match request.outcome? {
+            WriteOutcome::Accepted(version) => {
                 let found = self.log.operation(version) == Some(operation);
                 (!found).then_some(Invariant::AcceptedIsInLog)
             }
-            Told::Refused => {
+            WriteOutcome::Refused => {
                 let refused = self.all_refused(operation) && self.log.count(operation) > 0;
                 refused.then_some(Invariant::RefusedIsNotInLog)
             }
-            Told::Unsettled => None,
+            WriteOutcome::Unsettled => None,
         }
     }
 
-    /// Whether every request of this operation was refused. While another one is
-    /// under way elsewhere, a refusal speaks of its own request only.
+    /// Whether every request of this operation was refused. While another one is still in progress,
+    /// a refusal applies to its own request only.
     fn all_refused(&self, operation: &OperationId) -> bool {
         let mut same = self
             .requests
             .iter()
             .filter(|it| it.operation() == operation);
-        same.all(|it| it.told == Some(Told::Refused))
+        same.all(|it| it.outcome == Some(WriteOutcome::Refused))
     }
 }
 
@@ -218,7 +233,7 @@
             in_flight: Vec::new(),
             requests: self.edits.iter().map(request).collect(),
             faults: self.faults,
-            broken: None,
+            log_violation: None,
         }
     }
 
@@ -240,13 +255,13 @@
     fn violated(&self, state: &VersionLogState) -> Option<Invariant> {
         let by_log = || state.log.violated(&self.edits);
         state
-            .broken
+            .log_violation
             .or_else(by_log)
-            .or_else(|| state.violated_by_told())
+            .or_else(|| state.violated_by_outcomes())
     }
 }
 
-fn lost() -> PlatformError {
+fn answer_lost() -> PlatformError {
     let reason = "answer lost".into();
     PlatformError::Unknown { reason }
 }
--- a/crates/spec/src/version_log/request.rs
+++ b/crates/spec/src/version_log/request.rs
@@ -12,10 +12,10 @@
 use crate::resources::{key, route, service};
 use crate::safeguard::{Safeguard, Safeguards};
 
-/// Past every budget of a writer.
-const LATE: Duration = Duration::from_hours(1);
+/// A time after the timeout of every writer.
+const AFTER_TIMEOUT: Duration = Duration::from_hours(1);
 
-/// What an operator wants. Two edits with one operation id are the same request
+/// A change requested by an operator. Two edits with the same operation id are the same request
 /// sent to two daemons.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Edit {
@@ -25,7 +25,7 @@
         operation: &'static str,
         /// The service.
         name: &'static str,
-        /// Revision that the operator saw, if that matters.
+        /// Revision that the operator expects, if any.
         expected: Option<Revision>,
     },
     /// Deletes a service.
@@ -39,7 +39,7 @@
     AddRoute {
         /// Id of the operation.
         operation: &'static str,
-        /// The service that it points at.
+        /// The service that the route refers to.
         service: &'static str,
     },
 }
@@ -68,31 +68,31 @@
     }
 }
 
-/// What an operator was told.
+/// The outcome that was reported to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Told {
-    /// The change became this version.
+pub enum WriteOutcome {
+    /// The change produced this version.
     Accepted(Version),
     /// The change did not take effect and will not.
     Refused,
-    /// It may have taken effect, or may still.
+    /// The change may have taken effect or may still do so.
     Unsettled,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Phase {
-    Reads,
-    Commits,
+    Reading,
+    Committing,
     Ended,
 }
 
-/// A writer with what it waits for.
+/// A writer with its pending action.
 #[derive(Clone, Debug)]
 pub(super) struct Request {
     change: Change,
     writer: Writer,
     pub(super) action: WriteAction,
-    pub(super) told: Option<Told>,
+    pub(super) outcome: Option<WriteOutcome>,
 }
 
 impl Request {
@@ -111,7 +111,7 @@
             change,
             writer,
             action,
-            told: None,
+            outcome: None,
         }
     }
 
@@ -130,52 +130,54 @@
         )
     }
 
-    /// Waits are left out: only their order with other events matters, and the
-    /// search tries all orders.
+    /// Passes an input to the writer. Delays are skipped: only their order with other events
+    /// matters, and the search tries all orders.
     pub(super) fn step(&mut self, input: WriteInput, safeguards: Safeguards) {
         self.action = self.writer.step(Duration::ZERO, input);
         if let WriteAction::Wait(_) = self.action {
-            self.action = self.writer.step(Duration::ZERO, WriteInput::Woke);
+            self.action = self.writer.step(Duration::ZERO, WriteInput::WaitElapsed);
         }
-        self.note_end(safeguards);
+        self.record_outcome(safeguards);
     }
 
-    pub(super) fn give_up(&mut self, safeguards: Safeguards) {
+    pub(super) fn time_out(&mut self, safeguards: Safeguards) {
         let error = PlatformError::Unavailable {
             reason: "down".into(),
             retry_after: None,
         };
-        self.action = self.writer.step(LATE, WriteInput::Read(Err(error)));
-        self.note_end(safeguards);
+        self.action = self
+            .writer
+            .step(AFTER_TIMEOUT, WriteInput::Read(Err(error)));
+        self.record_outcome(safeguards);
     }
 
-    fn note_end(&mut self, safeguards: Safeguards) {
+    fn record_outcome(&mut self, safeguards: Safeguards) {
         let WriteAction::Finish(result) = &self.action else {
             return;
         };
         let remembers = safeguards.has(Safeguard::UnansweredMemory);
-        self.told = Some(match result {
-            Ok(accepted) => Told::Accepted(accepted.version),
-            Err(WriteError::Unsettled { .. }) if remembers => Told::Unsettled,
-            Err(_) => Told::Refused,
+        self.outcome = Some(match result {
+            Ok(accepted) => WriteOutcome::Accepted(accepted.version),
+            Err(WriteError::Unsettled { .. }) if remembers => WriteOutcome::Unsettled,
+            Err(_) => WriteOutcome::Refused,
         });
     }
 
     fn phase(&self) -> Phase {
         match self.action {
-            WriteAction::Read(_) => Phase::Reads,
-            WriteAction::Commit(_) => Phase::Commits,
+            WriteAction::Read(_) => Phase::Reading,
+            WriteAction::Commit(_) => Phase::Committing,
             WriteAction::Recover | WriteAction::Wait(_) | WriteAction::Finish(_) => Phase::Ended,
         }
     }
 }
 
-/// Requests stand in fixed places, so their changes need no comparison.
+/// Requests with equal indexes in two states have the same change, so it is not compared.
 impl PartialEq for Request {
     fn eq(&self, other: &Self) -> bool {
-        self.told == other.told
+        self.outcome == other.outcome
             && self.phase() == other.phase()
-            && (self.told.is_some() || self.writer.progress() == other.writer.progress())
+            && (self.outcome.is_some() || self.writer.progress() == other.writer.progress())
     }
 }
 
@@ -183,9 +185,9 @@
 
 impl Hash for Request {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
-        self.told.hash(hasher);
+        self.outcome.hash(hasher);
         self.phase().hash(hasher);
-        if self.told.is_none() {
+        if self.outcome.is_none() {
             self.writer.progress().hash(hasher);
         }
     }
--- a/crates/versionlog/src/backoff.rs
+++ b/crates/versionlog/src/backoff.rs
@@ -1,4 +1,4 @@
-//! How long to wait between tries.
+//! Delays between retries.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 
 use crate::config::LogConfig;
 
-/// Full jitter within a budget of time.
+/// Exponential backoff with full jitter, up to a timeout.
 ///
-/// After an outage every daemon tries again. Equal waits would keep them in
-/// step and hit the platform as one; a wait drawn from the whole interval
-/// spreads them evenly. The budget ends a try that nobody waits for any more.
+/// After an outage every daemon retries. With equal delays all of them would reach the platform at
+/// the same time; a delay drawn from the whole interval spreads them evenly. The timeout ends
+/// retries whose result nobody waits for any more.
 #[derive(Clone, Debug)]
 pub(crate) struct Backoff {
     rng: Xoshiro256PlusPlus,
     bound: Duration,
-    longest: Duration,
-    budget: Duration,
+    max: Duration,
+    timeout: Duration,
     deadline: Option<Duration>,
 }
 
@@ -26,31 +26,32 @@
     pub(crate) fn new(cfg: &LogConfig, seed: u64) -> Self {
         Self {
             rng: Xoshiro256PlusPlus::seed_from_u64(seed),
-            bound: cfg.first_wait,
-            longest: cfg.longest_wait,
-            budget: cfg.budget,
+            bound: cfg.initial_backoff,
+            max: cfg.max_backoff,
+            timeout: cfg.timeout,
             deadline: None,
         }
     }
 
-    /// Starts the budget, if it has not been started.
+    /// Starts the timeout if it has not been started.
     pub(crate) fn start(&mut self, now: Duration) {
-        self.deadline.get_or_insert(now + self.budget);
+        self.deadline.get_or_insert(now + self.timeout);
     }
 
-    /// The wait before the next try; `None` once the budget does not allow it.
-    /// A hint of the platform comes on top, so that jitter still spreads those
-    /// who were given the same hint.
+    /// The delay before the next retry, or `None` if it would end after the timeout. The retry time
+    /// that the platform asked for is added to the random delay, so that processes which were given
+    /// the same time are still spread.
     pub(crate) fn next(&mut self, now: Duration, hint: Option<Duration>) -> Option<Duration> {
         self.start(now);
         let wait = hint.unwrap_or_default() + self.jitter();
-        self.bound = self.longest.min(self.bound * 2);
+        self.bound = self.max.min(self.bound * 2);
         let deadline = self.deadline.unwrap_or_default();
         (now + wait <= deadline).then_some(wait)
     }
 
-    /// As [`Backoff::next`] after an error; `None` too where a retry is futile.
-    pub(crate) fn after(&mut self, now: Duration, error: &PlatformError) -> Option<Duration> {
+    /// The delay before a retry after `error`, or `None` if the timeout or the kind of the error
+    /// rules a retry out.
+    pub(crate) fn after_error(&mut self, now: Duration, error: &PlatformError) -> Option<Duration> {
         match error {
             PlatformError::Refused { .. } | PlatformError::NotFound => None,
             PlatformError::Unavailable { .. }
@@ -60,9 +61,9 @@
         }
     }
 
-    /// A fresh hint for whoever comes back after the budget was used up.
-    pub(crate) fn hint(&mut self) -> Duration {
-        self.longest + self.jitter()
+    /// The retry time to report to the caller once the timeout has passed.
+    pub(crate) fn retry_after(&mut self) -> Duration {
+        self.max + self.jitter()
     }
 
     fn jitter(&mut self) -> Duration {
--- a/crates/versionlog/src/snapshot/mod.rs
+++ b/crates/versionlog/src/snapshot/mod.rs
@@ -1,4 +1,4 @@
-//! Snapshots in the object store, and the trimming of the log that they allow.
+//! Takes snapshots of the state into the object store and trims the log below them.
 
 mod error;
 mod format;
@@ -21,10 +21,10 @@
 pub use error::SnapshotError;
 pub use format::{decode_snapshot, encode_snapshot};
 
-/// What the snapshotter is told.
+/// Input of a step of the [`Snapshotter`].
 #[derive(Clone, Debug)]
 pub enum SnapshotInput {
-    /// Begin.
+    /// Starts the snapshot.
     Start,
     /// The answer to [`SnapshotAction::PutObject`].
     Put(Result<(), PlatformError>),
@@ -36,54 +36,53 @@
     Listed(Result<Vec<SmolStr>, PlatformError>),
     /// The answer to [`SnapshotAction::DeleteObject`].
     Deleted(Result<(), PlatformError>),
-    /// The time of [`SnapshotAction::Wait`] is over.
-    Woke,
+    /// The delay of [`SnapshotAction::Wait`] has elapsed.
+    WaitElapsed,
 }
 
-/// What the snapshotter wants done next.
+/// What the caller of the [`Snapshotter`] has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotAction {
     /// Store this object.
     PutObject(SmolStr, Vec<u8>),
     /// Read these rows.
     Read(ReadRequest),
-    /// Try this transaction.
+    /// Commit this transaction.
     Commit(CommitRequest),
-    /// List the objects whose names begin so.
+    /// List the objects whose names have this prefix.
     ListObjects(SmolStr),
     /// Delete this object.
     DeleteObject(SmolStr),
-    /// Come back after this time.
+    /// Wait for this time.
     Wait(Duration),
-    /// The end.
-    Finish(Result<Snapshot, SnapshotError>),
+    /// The snapshot has ended with this result.
+    Finish(Result<SnapshotOutcome, SnapshotError>),
 }
 
-/// How a snapshot ended.
+/// Result of a successful snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Snapshot {
-    /// The head as it is now.
+pub struct SnapshotOutcome {
+    /// The head after the snapshot.
     pub head: Head,
-    /// Objects that nothing refers to any more and that were deleted.
+    /// Number of unreferenced objects that were deleted.
     pub deleted: usize,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Put,
-    Refer,
+    UpdateHead,
     List,
     Delete,
 }
 
 /// Takes a snapshot of one state.
 ///
-/// The order is what makes a crash harmless at any point. The object is there
-/// before the head refers to it, so no reader is ever sent to an object that
-/// was never written. The rows and older objects go only once the head no
-/// longer needs them. What a crash leaves behind is an object that nothing
-/// refers to, and the next snapshot deletes it. Two who do it at once write
-/// the same bytes under the same name, and only one of them moves the head.
+/// The order of the requests makes a crash at any point harmless. The object is written before the
+/// head refers to it, so no reader follows a reference to a missing object. Log rows and older
+/// objects are deleted only once the head no longer refers to them. A crash can leave an
+/// unreferenced object behind, which the next snapshot deletes. Two processes that take the same
+/// snapshot write the same bytes under the same name, and only one of them updates the head.
 #[derive(Clone, Debug)]
 pub struct Snapshotter {
     cfg: LogConfig,
@@ -91,18 +90,18 @@
     state: Arc<State>,
     stage: Stage,
     head: Option<Head>,
-    garbage: Vec<SmolStr>,
+    unreferenced: Vec<SmolStr>,
     deleted: usize,
 }
 
 impl Snapshotter {
-    /// Whether a new snapshot is due at this head.
+    /// Whether a new snapshot should be taken at this head.
     #[must_use]
     pub fn is_due(head: &Head, cfg: &LogConfig) -> bool {
         head.version - head.snapshot_version() >= cfg.snapshot_every
     }
 
-    /// A snapshot of `state`, which has to be a version of the log.
+    /// Prepares a snapshot of `state`, which has to be a version of the log.
     #[must_use]
     pub fn new(state: Arc<State>, cfg: &LogConfig, seed: u64) -> Self {
         Self {
@@ -111,27 +110,27 @@
             state,
             stage: Stage::Put,
             head: None,
-            garbage: Vec::new(),
+            unreferenced: Vec::new(),
             deleted: 0,
         }
     }
 
-    /// Takes what happened at `now` and names what to do next. The input has
-    /// to be the answer to the last action.
+    /// Handles an input at time `now` and returns the next action. The input has to be the answer
+    /// to the previous action.
     pub fn step(&mut self, now: Duration, input: SnapshotInput) -> SnapshotAction {
         self.backoff.start(now);
         match input {
-            SnapshotInput::Start | SnapshotInput::Woke => self.next(),
-            SnapshotInput::Put(Ok(())) => self.go_to(Stage::Refer),
+            SnapshotInput::Start | SnapshotInput::WaitElapsed => self.next(),
+            SnapshotInput::Put(Ok(())) => self.enter(Stage::UpdateHead),
             SnapshotInput::Read(Ok(answer)) => self
                 .after_read(&answer)
                 .unwrap_or_else(|e| finish(Err(SnapshotError::Log(e)))),
-            SnapshotInput::Commit(Ok(CommitAnswer::Committed { .. })) => self.go_to(Stage::List),
+            SnapshotInput::Commit(Ok(CommitAnswer::Committed { .. })) => self.enter(Stage::List),
             SnapshotInput::Commit(Ok(CommitAnswer::Conflict { .. })) => self.wait(now),
             SnapshotInput::Listed(Ok(names)) => self.after_list(names),
             SnapshotInput::Deleted(Ok(())) => {
                 self.deleted += 1;
-                self.garbage.pop();
+                self.unreferenced.pop();
                 self.next()
             }
             SnapshotInput::Put(Err(e))
@@ -142,28 +141,28 @@
         }
     }
 
-    fn go_to(&mut self, stage: Stage) -> SnapshotAction {
+    fn enter(&mut self, stage: Stage) -> SnapshotAction {
         self.stage = stage;
         self.next()
     }
 
-    /// The next request. Each one may be repeated, so after a lost answer the
-    /// same stage is simply gone through again.
+    /// The request of the current stage. All requests are idempotent, so a stage whose answer was
+    /// lost is repeated.
     fn next(&mut self) -> SnapshotAction {
         match self.stage {
             Stage::Put => {
                 let name = snapshot_name(self.state.version());
                 SnapshotAction::PutObject(name, encode_snapshot(&self.state))
             }
-            Stage::Refer => {
-                let oldest_rows = log_range(0, self.cfg.rows_at_once);
+            Stage::UpdateHead => {
+                let oldest_rows = log_range(0, self.cfg.max_rows_per_read);
                 SnapshotAction::Read(ReadRequest {
                     ranges: vec![oldest_rows],
                     ..head_request()
                 })
             }
             Stage::List => SnapshotAction::ListObjects(SmolStr::new_static(SNAPSHOT_PREFIX)),
-            Stage::Delete => match self.garbage.last() {
+            Stage::Delete => match self.unreferenced.last() {
                 Some(name) => SnapshotAction::DeleteObject(name.clone()),
                 None => self.done(),
             },
@@ -172,7 +171,7 @@
 
     fn after_read(&mut self, answer: &ReadAnswer) -> Result<SnapshotAction, LogError> {
         let row = read_head(answer)?;
-        let oldest_rows = answer.ranges.first().ok_or(LogError::Shape)?;
+        let oldest_rows = answer.ranges.first().ok_or(LogError::IncompleteAnswer)?;
         let version = self.state.version();
         if row.head.version < version {
             return Err(LogError::Regressed {
@@ -180,10 +179,11 @@
                 head: row.head.version,
             });
         }
-        // Another's snapshot, or this one's whose answer was lost.
+        // Another process took this snapshot or a newer one, or this process committed it and the
+        // answer was lost.
         if row.head.snapshot_version() >= version {
             self.head = Some(row.head);
-            return Ok(self.go_to(Stage::List));
+            return Ok(self.enter(Stage::List));
         }
         let snapshot = SnapshotRef {
             version,
@@ -194,37 +194,38 @@
         Ok(SnapshotAction::Commit(req))
     }
 
-    /// Only names below this snapshot's version are looked at. An object above
-    /// it may be another's, written and not yet referred to; deleting that one
-    /// would leave a head that points at nothing.
+    /// Selects the unreferenced objects below this snapshot's version. An object above it may have
+    /// just been written by another process that has not updated the head yet; deleting it would
+    /// leave the head with a reference to a missing object.
     fn after_list(&mut self, names: Vec<SmolStr>) -> SnapshotAction {
-        let kept: Vec<SnapshotRef> = match &self.head {
+        let referenced: Vec<SnapshotRef> = match &self.head {
             Some(head) => head.snapshots.clone(),
-            None => return self.go_to(Stage::Refer),
+            None => return self.enter(Stage::UpdateHead),
         };
         let below = self.state.version();
-        let is_garbage = |name: &SmolStr| {
-            snapshot_version(name)
-                .is_some_and(|it| it < below && kept.iter().all(|kept| kept.version != it))
+        let is_unreferenced = |name: &SmolStr| {
+            snapshot_version(name).is_some_and(|it| {
+                it < below && referenced.iter().all(|snapshot| snapshot.version != it)
+            })
         };
-        self.garbage = names.into_iter().filter(is_garbage).collect();
-        self.go_to(Stage::Delete)
+        self.unreferenced = names.into_iter().filter(is_unreferenced).collect();
+        self.enter(Stage::Delete)
     }
 
     fn done(&mut self) -> SnapshotAction {
         match self.head.take() {
-            Some(head) => finish(Ok(Snapshot {
+            Some(head) => finish(Ok(SnapshotOutcome {
                 head,
                 deleted: self.deleted,
             })),
-            None => self.go_to(Stage::Refer),
+            None => self.enter(Stage::UpdateHead),
         }
     }
 
     fn wait(&mut self, now: Duration) -> SnapshotAction {
         match self.backoff.next(now, None) {
             Some(wait) => SnapshotAction::Wait(wait),
-            None => self.out_of_time(),
+            None => self.timed_out(),
         }
     }
 
@@ -233,19 +234,19 @@
             let reason = reason.clone();
             return finish(Err(SnapshotError::Refused { reason }));
         }
-        match self.backoff.after(now, error) {
+        match self.backoff.after_error(now, error) {
             Some(wait) => SnapshotAction::Wait(wait),
-            None => self.out_of_time(),
+            None => self.timed_out(),
         }
     }
 
-    fn out_of_time(&mut self) -> SnapshotAction {
+    fn timed_out(&mut self) -> SnapshotAction {
         finish(Err(SnapshotError::Unavailable {
-            retry_after: self.backoff.hint(),
+            retry_after: self.backoff.retry_after(),
         }))
     }
 }
 
-fn finish(result: Result<Snapshot, SnapshotError>) -> SnapshotAction {
+fn finish(result: Result<SnapshotOutcome, SnapshotError>) -> SnapshotAction {
     SnapshotAction::Finish(result)
 }
--- a/crates/versionlog/src/writer/prepare.rs
+++ b/crates/versionlog/src/writer/prepare.rs
@@ -1,4 +1,4 @@
-//! What a change would make of a state, and whether that is allowed.
+//! Computes the state that a change produces and checks whether the change is allowed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,30 +8,30 @@
     Delta, Digest, Finding, Held, Key, Place, Resource, Revision, State, validate,
 };
 
-use super::error::{Race, WriteError};
+use super::error::{RevisionConflict, WriteError};
 
-/// The delta of `change` on top of `state`, and the state that results.
+/// Returns the delta of `change` relative to `state`, and the resulting state.
 pub(super) fn prepare(change: &Change, state: &State) -> Result<(Delta, State), WriteError> {
-    let races = races(change, state);
-    if !races.is_empty() {
-        return Err(WriteError::Conflict(races));
+    let conflicts = conflicts(change, state);
+    if !conflicts.is_empty() {
+        return Err(WriteError::Conflict(conflicts));
     }
-    let next = changed(change, state)?;
+    let next = apply_change(change, state)?;
     let findings = validate(&next);
     if !findings.is_empty() {
         return Err(WriteError::Invalid(findings));
     }
     let delta = Delta {
         version: next.version(),
-        puts: resources(change, state),
-        deletes: keys(change, state),
+        puts: delta_puts(change, state),
+        deletes: delta_deletes(change, state),
         digest: next.digest(),
     };
     Ok((delta, next))
 }
 
-/// What the change asks for, so that an operation id that comes with another
-/// body is told from a retry.
+/// Hashes the content of the change, to tell a retry from another change under the same operation
+/// id.
 pub(super) fn fingerprint(change: &Change) -> Digest {
     let body = (&change.puts, &change.deletes);
     let bytes = rmp_serde::to_vec(&body).expect("plain data always encodes");
@@ -40,31 +40,31 @@
     Digest(fingerprint)
 }
 
-/// Every resource that is not at the expected revision. Deciding by revision
-/// and not by the head lets operators who work on different resources pass,
-/// and still shows each who was first on the same one.
-fn races(change: &Change, state: &State) -> Vec<Race> {
+/// Lists every resource that is not at the expected revision. Comparing revisions instead of the
+/// head lets operators change different resources at the same time, and still reports a conflict on
+/// the same resource.
+fn conflicts(change: &Change, state: &State) -> Vec<RevisionConflict> {
     let puts = change
         .puts
         .iter()
         .map(|(resource, expected)| (resource.key(), *expected));
     let deletes = change.deletes.iter().cloned();
     puts.chain(deletes)
-        .filter_map(|(key, expected)| race(state, key, expected?))
+        .filter_map(|(key, expected)| conflict(state, key, expected?))
         .collect()
 }
 
-fn race(state: &State, key: Key, expected: Revision) -> Option<Race> {
+fn conflict(state: &State, key: Key, expected: Revision) -> Option<RevisionConflict> {
     let found = state.get(&key).map_or(0, |held| held.revision);
-    (found != expected).then_some(Race {
+    (found != expected).then_some(RevisionConflict {
         key,
         expected,
         found,
     })
 }
 
-/// The resulting state before it is known to be valid.
-fn changed(change: &Change, state: &State) -> Result<State, WriteError> {
+/// The resulting state, not yet validated.
+fn apply_change(change: &Change, state: &State) -> Result<State, WriteError> {
     let version = state.version() + 1;
     let mut items: BTreeMap<Key, Held> = state
         .iter()
@@ -86,13 +86,13 @@
     })
 }
 
-fn resources(change: &Change, state: &State) -> Vec<Resource> {
+fn delta_puts(change: &Change, state: &State) -> Vec<Resource> {
     changed_puts(change, state).cloned().collect()
 }
 
-/// The resources that differ from what is held. Operators apply whole folders
-/// of which one file changed; sending the rest again would cost every daemon
-/// about a snapshot, and move revisions under other operators' feet.
+/// The resources that differ from those in the state. Operators often apply a whole folder of which
+/// one file changed; sending the rest again would cost every daemon about as much as a snapshot,
+/// and would change revisions that other operators expect.
 fn changed_puts<'a>(change: &'a Change, state: &'a State) -> impl Iterator<Item = &'a Resource> {
     let puts = change.puts.iter().map(|(resource, _)| resource);
     puts.filter(|resource| {
@@ -101,7 +101,7 @@
     })
 }
 
-fn keys(change: &Change, state: &State) -> Vec<Key> {
+fn delta_deletes(change: &Change, state: &State) -> Vec<Key> {
     let deletes = change.deletes.iter().map(|(key, _)| key);
     let held = deletes.filter(|key| state.get(key).is_some());
     held.cloned().collect()
--- a/crates/versionlog/tests/random.rs
+++ b/crates/versionlog/tests/random.rs
@@ -1,4 +1,4 @@
-//! Random faults, interleavings and damage.
+//! Property tests with random faults, interleavings and malformed rows.
 
 mod support;
 
@@ -7,17 +7,17 @@
 use proptest::prelude::*;
 use stoatstep_platform::{MemoryPlatform, Operation, Outcome, Row};
 use stoatstep_versionlog::{
-    Accepted, Head, LogEntry, OperationEntry, WriteAction, WriteError, decode_snapshot,
+    AcceptedChange, Head, LogEntry, OperationEntry, WriteAction, WriteError, decode_snapshot,
 };
 use support::{Stepper, change, operations, service};
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// One request of this writer.
+    /// This writer carries out its next action.
     Step(usize),
-    /// The oldest transaction that hangs arrives.
+    /// The oldest delayed transaction arrives.
     Land,
-    /// The next request of this kind goes wrong in this way.
+    /// The next request of this kind fails in this way.
     Fault(Operation, Outcome),
 }
 
@@ -38,8 +38,8 @@
 
 const WRITERS: usize = 4;
 
-/// Four writers, of which the first two are the same operator's request at two
-/// daemons; all race on two resources.
+/// Four writers that compete for two resources. The first two are the same operator's request at
+/// two daemons.
 fn writers() -> Vec<Stepper> {
     let edit =
         |operation: &str, name: &str, expected| change(operation, vec![(service(name), expected)]);
@@ -51,7 +51,7 @@
     ]
 }
 
-fn told(stepper: &Stepper) -> Option<Result<Accepted, WriteError>> {
+fn result_of(stepper: &Stepper) -> Option<Result<AcceptedChange, WriteError>> {
     match &stepper.action {
         WriteAction::Finish(result) => Some(result.clone()),
         _ => None,
@@ -65,9 +65,9 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Whatever goes wrong and whenever late transactions arrive, no operation
-    /// is in the log twice; who was told a version finds the operation there;
-    /// and who was told of a failure does not, then or later.
+    /// With any faults and any arrival of delayed transactions, no operation is in the log twice.
+    /// An operation reported as a version is in the log at that version; one reported as failed is
+    /// not in the log, then or later.
     #[test]
     fn what_writers_are_told_is_true(events in prop::collection::vec(event(), 0..120)) {
         let platform = MemoryPlatform::new();
@@ -83,7 +83,7 @@
                 Event::Fault(request, outcome) => platform.script(request, outcome),
             }
         }
-        // At the end some give up, and what hangs arrives after that.
+        // Every writer runs to its end, and the delayed transactions arrive after that.
         for writer in &mut writers {
             let _ = writer.finish(&platform);
         }
@@ -93,15 +93,15 @@
         let names = ["op-a", "op-a", "op-b", "op-c"];
         for (name, writer) in names.iter().zip(&writers) {
             prop_assert!(count(&log, name) <= 1, "{name} in {log:?}");
-            match told(writer) {
+            match result_of(writer) {
                 Some(Ok(accepted)) => {
                     let index = usize::try_from(accepted.version).unwrap() - 1;
                     prop_assert_eq!(&log[index], name);
                 }
                 Some(Err(WriteError::Unsettled { .. })) | None => {}
-                // The same operation at the other daemon may have landed.
+                // The same operation at the other daemon may have been applied.
                 Some(Err(_)) if *name == "op-a" => {}
-                Some(Err(e)) => prop_assert_eq!(count(&log, name), 0, "{} told {}", name, e),
+                Some(Err(e)) => prop_assert_eq!(count(&log, name), 0, "{} got {}", name, e),
             }
         }
         let both = BTreeMap::from([("a", count(&log, "op-a")), ("b", count(&log, "op-b"))]);
