--- a/crates/daemon/src/operator/changes.rs
+++ b/crates/daemon/src/operator/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of resources.
+//! Handles changes of resources.
 
 use std::rc::Rc;
 
@@ -29,7 +29,7 @@
     };
     match Change::try_from(req) {
         Ok(change) => submit(node, change).await,
-        Err(wrong) => findings(StatusCode::UNPROCESSABLE_ENTITY, wrong),
+        Err(invalid) => findings(StatusCode::UNPROCESSABLE_ENTITY, invalid),
     }
 }
 
@@ -39,11 +39,11 @@
             let version = accepted.version;
             json(StatusCode::OK, &ChangeAnswer { version })
         }
-        Err(err) => refused(&err),
+        Err(err) => error_answer(&err),
     }
 }
 
-fn refused(err: &WriteError) -> Response {
+fn error_answer(err: &WriteError) -> Response {
     let status = match err {
         WriteError::Conflict(_) | WriteError::OperationReused { .. } => StatusCode::CONFLICT,
         WriteError::Invalid(_) | WriteError::Refused { .. } => StatusCode::UNPROCESSABLE_ENTITY,
--- a/crates/daemon/src/operator/health.rs
+++ b/crates/daemon/src/operator/health.rs
@@ -1,10 +1,11 @@
-//! Liveness, readiness, metrics and the page for people; no token is needed.
+//! Liveness, readiness, metrics and a status page in plain text. These paths need no
+//! token.
 
 use ntex::http::{Method, Response, StatusCode};
 
 use crate::node::Node;
 
-/// Answers the paths that need no token; `None` for all others.
+/// Answers the paths that need no token; returns `None` for all others.
 pub(super) fn handle(node: &Node, method: &Method, path: &str) -> Option<Response> {
     if *method != Method::GET {
         return None;
@@ -17,7 +18,11 @@
                 .content_type("text/plain")
                 .body(node.metrics_text()),
         ),
-        "/" => Some(Response::Ok().content_type("text/plain").body(page(node))),
+        "/" => Some(
+            Response::Ok()
+                .content_type("text/plain")
+                .body(status_page(node)),
+        ),
         _ => None,
     }
 }
@@ -33,7 +38,7 @@
     Response::Ok().body("ready\n")
 }
 
-fn page(node: &Node) -> String {
+fn status_page(node: &Node) -> String {
     let in_force = node.control.in_force();
     format!(
         "stoatstep daemon {instance}\n\n\
--- a/crates/daemon/src/operator/mod.rs
+++ b/crates/daemon/src/operator/mod.rs
@@ -1,4 +1,5 @@
-//! The operators' port: resources, watches, status, health and metrics.
+//! Handles requests on the port for operators: resources, watches, status, health and
+//! metrics.
 
 mod changes;
 mod health;
@@ -16,7 +17,7 @@
 use crate::http::{drop_body, json};
 use crate::node::Node;
 
-/// Answers one request of an operator.
+/// Handles one request of an operator.
 pub(crate) async fn handle(node: &Rc<Node>, mut req: Request) -> Response {
     let method = req.method().clone();
     let path = req.path().to_owned();
@@ -41,7 +42,7 @@
     }
 }
 
-/// An answer with a single finding that has no place.
+/// Returns an answer with a single finding that refers to no place.
 fn refusal(status: StatusCode, message: &str) -> Response {
     let finding = Finding::new(Place::default(), message);
     findings(status, vec![finding])
@@ -51,7 +52,8 @@
     json(status, &FindingsAnswer { findings })
 }
 
-/// The value of a query parameter, or a finding that names it.
+/// Returns the value of a query parameter, `default` if it is absent, or a finding
+/// that names the parameter if its value can't be parsed.
 fn parameter<T: FromStr>(req: &Request, name: &str, default: T) -> Result<T, Finding> {
     let query = req.uri().query().unwrap_or_default();
     let mut pairs = query.split('&').filter_map(|pair| pair.split_once('='));
--- a/crates/daemon/src/operator/resources.rs
+++ b/crates/daemon/src/operator/resources.rs
@@ -1,4 +1,4 @@
-//! Reads of resources.
+//! Handles reads of resources.
 
 use ntex::http::{Response, StatusCode};
 use stoatstep_resource::wire::{ItemWire, ListAnswer};
--- a/crates/daemon/src/operator/status.rs
+++ b/crates/daemon/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! Where each version holds, and the graceful stop.
+//! Handles the status of the fleet and the request for a graceful stop.
 
 use std::rc::Rc;
 
@@ -30,9 +30,9 @@
     json(StatusCode::OK, &status)
 }
 
-/// Answers `POST /v1/drain`: starts the same graceful stop as SIGTERM.
+/// Answers `POST /v1/drain`, which starts the same graceful stop as SIGTERM.
 pub(super) fn drain(node: &Rc<Node>) -> Response {
-    slog::info!(node.log, "drain asked for by an operator");
+    slog::info!(node.log, "drain requested by an operator");
     crate::call::drain::start(node);
     Response::build(StatusCode::ACCEPTED).finish()
 }
