--- a/crates/daemon/src/control/announce.rs
+++ b/crates/daemon/src/control/announce.rs
@@ -1,4 +1,5 @@
-//! This instance's row at the platform, by which starting daemons find it.
+//! Announcement of this instance: its row at the platform, through which starting
+//! daemons find it.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,49 +14,54 @@
 use super::{cold_start, platform};
 use crate::node::Node;
 
-/// Time between two writes of the row. Peers know more and know it sooner, so
-/// it need not be fresh: 610 daemons write it about once a second in all.
-const INTERVAL: Duration = Duration::from_mins(10);
+/// Mean time between two writes of the row. Peers have newer information through
+/// gossip, so the row may be old. At this interval 610 daemons together write about
+/// once a second.
+const WRITE_INTERVAL: Duration = Duration::from_mins(10);
 
-/// Wait until the first daemon of a herd tries again after a failure.
-const RETRY: Duration = Duration::from_secs(5);
+/// Mean delay before a failed write is retried. It is randomized, so that many
+/// daemons that failed at once don't retry at once.
+const RETRY_DELAY: Duration = Duration::from_secs(5);
 
-/// How often it is looked whether the time has come, or the daemon drains.
-const STEP: Millis = Millis(500);
+/// Interval at which the task checks whether a write or read is due, and whether the
+/// daemon drains.
+const CHECK_INTERVAL: Millis = Millis(500);
 
 pub(super) async fn run(node: Rc<Node>) {
-    // Platform or peers name the last life's incarnation, above which this one
-    // must start; a row written before would be taken for an old one.
-    while !is_settled(&node) {
-        sleep(STEP).await;
+    // The platform or peers know the incarnation of this instance's previous process.
+    // This process must use a higher one. A row written before that is known could be
+    // taken for an outdated one.
+    while !knows_previous_incarnation(&node) {
+        sleep(CHECK_INTERVAL).await;
     }
     let mut write_due = node.control.now();
-    let mut looks = RosterLooks::new(write_due, Xoshiro256PlusPlus::from_rng(&mut rand::rng()));
+    let mut read_schedule =
+        RosterLooks::new(write_due, Xoshiro256PlusPlus::from_rng(&mut rand::rng()));
     while !node.draining.get() {
         if write_due <= node.control.now() {
             write_due = node.control.now() + write(&node).await;
         }
         let is_alone = node.control.members().len() == 1;
-        if looks.is_due(node.control.now(), is_alone) {
-            look(&node).await;
+        if read_schedule.is_due(node.control.now(), is_alone) {
+            refresh_roster(&node).await;
         }
-        sleep(STEP).await;
+        sleep(CHECK_INTERVAL).await;
     }
-    // A row that stays behind costs those who start a few knocks, no more.
+    // A row that is left over only costs starting daemons a few failed connections.
     if let Err(err) = platform::delete_announcement(&node).await {
         warn(&node, "announcement not deleted", &err);
     }
 }
 
-fn is_settled(node: &Node) -> bool {
+fn knows_previous_incarnation(node: &Node) -> bool {
     let cold_start = node.control.cold_start.borrow();
     cold_start.has_read_roster() || cold_start.is_done()
 }
 
-async fn look(node: &Rc<Node>) {
+async fn refresh_roster(node: &Rc<Node>) {
     match platform::read_roster(node, false).await {
         Ok(roster) => {
-            cold_start::take_in(node, roster);
+            cold_start::apply_roster(node, roster);
         }
         Err(err) => warn(node, "roster not read", &err),
     }
@@ -65,19 +71,20 @@
 async fn write(node: &Rc<Node>) -> Duration {
     let announcement = node.control.membership.borrow().announcement();
     let written = platform::announce(node, &announcement).await;
-    let share = rand::rng().random_range(0.5..1.5);
+    let jitter = rand::rng().random_range(0.5..1.5);
     match written {
-        Ok(()) => INTERVAL.mul_f64(share),
+        Ok(()) => WRITE_INTERVAL.mul_f64(jitter),
         Err(err) => {
             warn(node, "announcement failed", &err);
-            RETRY.mul_f64(share)
+            RETRY_DELAY.mul_f64(jitter)
         }
     }
 }
 
 /// Deletes the row of an instance of this zone that crashed long ago. Only the
-/// zone's pollers do, so that the death of one daemon does not cost 76 reads.
-pub(super) fn clean_up(node: &Rc<Node>, instance: SmolStr, incarnation: u64) {
+/// zone's pollers do this: if every member did, the failure of one daemon would cost
+/// 76 reads.
+pub(super) fn delete_row_of_crashed(node: &Rc<Node>, instance: SmolStr, incarnation: u64) {
     if !node.control.poller.borrow().is_poller() {
         return;
     }
--- a/crates/daemon/src/control/client.rs
+++ b/crates/daemon/src/control/client.rs
@@ -1,4 +1,4 @@
-//! Control messages to other daemons.
+//! Sends control messages to other daemons.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -15,28 +15,28 @@
 use crate::http::{from_msgpack, read_body};
 use crate::node::Node;
 
-/// Largest answer: a whole state with room to grow.
+/// Largest answer in bytes: a whole state, with room for growth.
 const MAX_ANSWER: usize = 16 << 20;
 
 /// Why a peer gave no usable answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum PeerError {
-    /// No answer in time, or no connection.
+    /// There was no connection, or no answer in time.
     Unreached,
-    /// It answered with an error or something that can't be decoded.
-    Refused,
+    /// The peer answered with an error status, or with a body that can't be decoded.
+    Unusable,
 }
 
 impl fmt::Display for PeerError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Unreached => "no answer in time",
-            Self::Refused => "an answer that is no use",
+            Self::Unusable => "unusable answer",
         })
     }
 }
 
-/// A message, encoded once however many peers it goes to.
+/// An encoded control message, which can be sent to any number of peers.
 #[derive(Clone, Debug)]
 pub(super) struct Message {
     path: &'static str,
@@ -55,27 +55,27 @@
     }
 }
 
-/// Sends a message and decodes the answer.
-pub(super) async fn ask<A: DeserializeOwned>(
+/// Sends a control message and decodes the answer.
+pub(super) async fn send_request<A: DeserializeOwned>(
     node: &Node,
     addr: SocketAddr,
     message: &Message,
-    bound: Duration,
+    time_limit: Duration,
 ) -> Result<A, PeerError> {
-    let body = send(node, addr, message, bound).await?;
-    from_msgpack(&body).map_err(|_| PeerError::Refused)
+    let body = send(node, addr, message, time_limit).await?;
+    from_msgpack(&body).map_err(|_| PeerError::Unusable)
 }
 
-/// Sends a message and returns the answer's body. The bound covers everything
-/// from connecting on: a connection that went silent is dropped with it, and
-/// the next message takes another.
+/// Sends a control message and returns the body of the answer. The time limit covers
+/// the whole exchange, including the connect. A connection that went silent is dropped
+/// when the limit expires, and the next message takes another one.
 pub(super) async fn send(
     node: &Node,
     addr: SocketAddr,
     message: &Message,
-    bound: Duration,
+    time_limit: Duration,
 ) -> Result<Bytes, PeerError> {
-    let answer = timeout(Millis::from(bound), exchange(node, addr, message)).await;
+    let answer = timeout(Millis::from(time_limit), exchange(node, addr, message)).await;
     answer.unwrap_or(Err(PeerError::Unreached))
 }
 
@@ -98,6 +98,6 @@
     traffic.received(&node.metrics, message.class, ANSWER_HEAD + body.len());
     match status {
         StatusCode::OK => Ok(body),
-        _ => Err(PeerError::Refused),
+        _ => Err(PeerError::Unusable),
     }
 }
--- a/crates/daemon/src/control/cold_start.rs
+++ b/crates/daemon/src/control/cold_start.rs
@@ -1,4 +1,4 @@
-//! From nothing to the first configuration.
+//! Brings a daemon that just started to its first configuration.
 
 use std::rc::Rc;
 
@@ -15,13 +15,13 @@
         return;
     }
     let me = control.me();
-    let near: Vec<_> = zone.iter().copied().filter(|key| *key != me).collect();
-    let far = members_elsewhere(node);
+    let own_zone: Vec<_> = zone.iter().copied().filter(|key| *key != me).collect();
+    let other_zones = members_of_other_zones(node);
     let standing = Standing {
         held: control.replica.borrow().version(),
         may_serve: control.may_serve(),
-        near: &near,
-        far: &far,
+        near: &own_zone,
+        far: &other_zones,
     };
     let step = control
         .cold_start
@@ -41,19 +41,19 @@
     }
 }
 
-fn members_elsewhere(node: &Rc<Node>) -> Vec<MemberKey> {
+fn members_of_other_zones(node: &Rc<Node>) -> Vec<MemberKey> {
     let membership = node.control.membership.borrow();
     let others = membership.table().present();
     let others = others.filter(|(_, entry)| entry.member.zone != node.cfg.zone);
     others.map(|(key, _)| key).collect()
 }
 
-async fn read_roster(node: Rc<Node>, wide: bool) {
-    let roster = platform::read_roster(&node, wide).await;
+async fn read_roster(node: Rc<Node>, all_rows: bool) {
+    let roster = platform::read_roster(&node, all_rows).await;
     match roster {
         Ok(roster) => {
             let head = roster.head.version;
-            let others = take_in(&node, roster);
+            let others = apply_roster(&node, roster);
             let now = node.control.now();
             let mut cold_start = node.control.cold_start.borrow_mut();
             cold_start.roster_read(now, head, others);
@@ -67,19 +67,21 @@
     }
 }
 
-/// Takes in what the platform knows; returns how many others it named.
-pub(super) fn take_in(node: &Rc<Node>, roster: platform::Roster) -> usize {
-    learn_own_floor(node, &roster);
+/// Applies a roster that was read from the platform and returns how many other
+/// instances it lists.
+pub(super) fn apply_roster(node: &Rc<Node>, roster: platform::Roster) -> usize {
+    raise_floor_to_own_row(node, &roster);
     let rows: Vec<_> = roster.announcements.into_iter().map(|it| it.row).collect();
     let is_other = |row: &&Row| row.instance != node.cfg.instance;
     let others = rows.iter().filter(is_other).count();
-    gossip::input(node, Input::AnnouncementsRead { rows });
-    poll::learn(node, &roster.head);
+    gossip::handle_input(node, Input::AnnouncementsRead { rows });
+    poll::record_head(node, &roster.head);
     others
 }
 
-/// The row that this instance's last life wrote says by which version it served.
-fn learn_own_floor(node: &Rc<Node>, roster: &platform::Roster) {
+/// Raises the floor, the lowest version to serve with, to the version in this
+/// instance's own row, which its previous process wrote.
+fn raise_floor_to_own_row(node: &Rc<Node>, roster: &platform::Roster) {
     let own = |it: &&stoatstep_membership::Announcement| it.row.instance == node.cfg.instance;
     if let Some(row) = roster.announcements.iter().find(own) {
         node.control.serving.borrow_mut().learn_floor(row.version);
@@ -88,15 +90,15 @@
 
 async fn pull_peer(node: Rc<Node>, peer: MemberKey) {
     pull::from_peer(&node, peer, false).await;
-    pulled(&node);
+    record_pull(&node);
 }
 
 async fn pull_platform(node: Rc<Node>) {
     pull::from_platform(&node, false).await;
-    pulled(&node);
+    record_pull(&node);
 }
 
-fn pulled(node: &Rc<Node>) {
+fn record_pull(node: &Rc<Node>) {
     let held = node.control.replica.borrow().version();
     let now = node.control.now();
     node.control.cold_start.borrow_mut().pulled(now, held);
--- a/crates/daemon/src/control/collect.rs
+++ b/crates/daemon/src/control/collect.rs
@@ -1,4 +1,4 @@
-//! Where each version holds, asked for down the trees.
+//! Collects over the trees which version is in force on each instance of the fleet.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,68 +6,70 @@
 use stoatstep_distribution::{CollectReply, CollectRequest, Hold, Holdings};
 use stoatstep_membership::MemberKey;
 
-use super::client::{Message, ask};
+use super::client::{Message, send_request};
 use super::peer::COLLECT;
 use super::traffic::Class;
 use crate::node::Node;
 
-/// Seed of the trees for this purpose. They stay the same from one status to
-/// the next, while those of changes move.
-const SEED: u64 = 0x7374_6174;
+/// Seed of the trees used here. They stay the same for every status, whereas the
+/// trees that distribute changes differ by version.
+const TREE_SEED: u64 = 0x7374_6174;
 
-/// Time for the roots. Each level has a share less, so that a silent daemon far
-/// down does not make those above it miss their own bound.
-const ROOT_BOUND: Duration = Duration::from_millis(2400);
+/// Timeout of a request to a root. Each level below has a shorter one, so that a silent
+/// daemon deep in the tree does not make those above it miss their own timeout.
+const ROOT_TIMEOUT: Duration = Duration::from_millis(2400);
 
-/// What a level takes off the bound.
-const LEVEL_SHARE: Duration = Duration::from_millis(500);
+/// Difference between the timeouts of two adjacent levels.
+const LEVEL_REDUCTION: Duration = Duration::from_millis(500);
 
-/// Shortest bound, for the lowest level.
-const LEAST_BOUND: Duration = Duration::from_millis(400);
+/// Shortest timeout, for the lowest level.
+const MIN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Members asked directly because no tree reached them.
-const MAX_STRAYS: usize = 32;
+/// Maximum number of members asked directly because no tree reached them.
+const MAX_UNREPORTED: usize = 32;
 
-/// What the whole fleet holds, as far as it answers.
+/// Collects the holdings of the whole fleet, as far as its members answer.
 pub(super) async fn fleet(node: &Rc<Node>) -> Holdings {
-    let view = node.control.view();
+    let zone_members = node.control.zone_members();
     let roots: Vec<MemberKey> = {
         let spread = node.control.spread.borrow();
-        let trees = view.values().map(|members| spread.tree(SEED, members));
+        let trees = zone_members
+            .values()
+            .map(|members| spread.tree(TREE_SEED, members));
         trees.flat_map(|tree| tree.roots().to_vec()).collect()
     };
     let me = node.control.me();
     let mut targets = roots;
     targets.extend(children(node, me));
-    let mut all = own(node);
-    all.merge(gather(node, targets, true, ROOT_BOUND).await);
+    let mut all = own_holdings(node);
+    all.merge(gather(node, targets, true, ROOT_TIMEOUT).await);
     let below: Vec<_> = all
         .silent
         .iter()
         .flat_map(|key| children(node, *key))
         .filter(|key| !all.silent.contains(key))
         .collect();
-    all.merge(gather(node, below, true, ROOT_BOUND / 2).await);
-    let missing = strays(node, &all);
-    all.merge(gather(node, missing, false, LEAST_BOUND).await);
+    all.merge(gather(node, below, true, ROOT_TIMEOUT / 2).await);
+    let missing = unreported(node, &all);
+    all.merge(gather(node, missing, false, MIN_TIMEOUT).await);
     all
 }
 
-/// Answers for this daemon and, if asked to, for those below it.
+/// Answers for this daemon and, if requested, for those below it in the tree.
 pub(super) async fn answer(node: &Rc<Node>, message: CollectRequest) -> CollectReply {
-    let mut holdings = own(node);
+    let mut holdings = own_holdings(node);
     if message.below {
-        let bound = Duration::from_millis(message.bound_ms.into()).min(ROOT_BOUND);
+        let timeout = Duration::from_millis(message.bound_ms.into()).min(ROOT_TIMEOUT);
         let me = node.control.me();
         let below = children(node, me);
-        let bound = bound.saturating_sub(LEVEL_SHARE);
-        holdings.merge(gather(node, below, true, bound).await);
+        let timeout = timeout.saturating_sub(LEVEL_REDUCTION);
+        holdings.merge(gather(node, below, true, timeout).await);
     }
     CollectReply { holdings }
 }
 
-/// What this daemon holds and refused.
-fn own(node: &Node) -> Holdings {
+/// Returns the version in force on this daemon and the versions it refused.
+fn own_holdings(node: &Node) -> Holdings {
     let control = &node.control;
     let me = control.me();
     let since = control.replica.borrow().since();
@@ -83,13 +85,13 @@
     holdings
 }
 
-/// Asks all of these at the same time, and those below one that is known not to
-/// answer in its place, so that a frozen daemon does not hold up the others.
+/// Asks all targets concurrently. If a target is known not to answer, its children are
+/// asked instead, so that a suspended daemon does not delay the others.
 async fn gather(
     node: &Rc<Node>,
     targets: Vec<MemberKey>,
     below: bool,
-    bound: Duration,
+    timeout: Duration,
 ) -> Holdings {
     let me = node.control.me();
     let mut all = Holdings::default();
@@ -104,7 +106,7 @@
             due.extend(children(node, target));
             continue;
         }
-        let task = one(Rc::clone(node), target, below, bound);
+        let task = collect_from(Rc::clone(node), target, below, timeout);
         tasks.push(ntex::rt::spawn(task));
     }
     for task in tasks {
@@ -120,15 +122,20 @@
     membership.table().get(key).is_some_and(|it| it.unreached)
 }
 
-async fn one(node: Rc<Node>, target: MemberKey, below: bool, bound: Duration) -> Holdings {
-    let bound = bound.max(LEAST_BOUND);
-    let bound_ms = u16::try_from(bound.as_millis()).unwrap_or(u16::MAX);
+async fn collect_from(
+    node: Rc<Node>,
+    target: MemberKey,
+    below: bool,
+    timeout: Duration,
+) -> Holdings {
+    let timeout = timeout.max(MIN_TIMEOUT);
+    let bound_ms = u16::try_from(timeout.as_millis()).unwrap_or(u16::MAX);
     let request = CollectRequest { below, bound_ms };
     let message = Message::new(COLLECT, Class::Configuration, &request);
     let Some(addr) = node.control.peer_addr(target) else {
         return Holdings::default();
     };
-    let answer: Result<CollectReply, _> = ask(&node, addr, &message, bound).await;
+    let answer: Result<CollectReply, _> = send_request(&node, addr, &message, timeout).await;
     answer.map_or_else(
         |_| {
             let mut holdings = Holdings::default();
@@ -140,21 +147,24 @@
 }
 
 fn children(node: &Node, parent: MemberKey) -> Vec<MemberKey> {
-    let view = node.control.view();
+    let zone_members = node.control.zone_members();
     let spread = node.control.spread.borrow();
-    let zone = view.values().find(|members| members.contains(&parent));
+    let zone = zone_members
+        .values()
+        .find(|members| members.contains(&parent));
     zone.map_or_else(Vec::new, |members| {
-        spread.tree(SEED, members).children(parent).to_vec()
+        spread.tree(TREE_SEED, members).children(parent).to_vec()
     })
 }
 
-/// Members that nobody reported on: their parent was silent, or views differ.
-fn strays(node: &Node, all: &Holdings) -> Vec<MemberKey> {
-    let heard: std::collections::BTreeSet<_> = all.heard().collect();
+/// Returns members that no answer covered, because their parent was silent or because
+/// daemons see different sets of members.
+fn unreported(node: &Node, all: &Holdings) -> Vec<MemberKey> {
+    let reported: std::collections::BTreeSet<_> = all.heard().collect();
     let membership = node.control.membership.borrow();
     let present = membership.table().present().map(|(key, _)| key);
     present
-        .filter(|key| !heard.contains(key) && !all.silent.contains(key))
-        .take(MAX_STRAYS)
+        .filter(|key| !reported.contains(key) && !all.silent.contains(key))
+        .take(MAX_UNREPORTED)
         .collect()
 }
--- a/crates/daemon/src/control/directory.rs
+++ b/crates/daemon/src/control/directory.rs
@@ -1,4 +1,4 @@
-//! Members in the form in which calls look for them.
+//! Index of the present members by upstream, as calls look them up.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use stoatstep_membership::{self as membership, MemberState, Table};
 use stoatstep_resource::{InstanceId, UpstreamName, ZoneName};
 
-/// Another instance, or this one.
+/// An instance of the fleet; it may be this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Member {
     pub(crate) instance: InstanceId,
@@ -17,10 +17,11 @@
     pub(crate) caller_addr: SocketAddr,
     pub(crate) peer_addr: SocketAddr,
     pub(crate) operator_addr: SocketAddr,
-    /// Incarnation with which its process started. A process keeps it for life,
-    /// also where it refutes a suspicion.
+    /// Incarnation with which its process started. It stays the same until the process
+    /// ends, also when the member refutes a suspicion with a higher incarnation.
     pub(crate) birth: u64,
-    /// It takes no new calls but still answers for those it ran.
+    /// Whether it is leaving: it takes no new calls, but still answers questions about
+    /// those it ran.
     pub(crate) leaving: bool,
 }
 
@@ -40,8 +41,8 @@
     }
 }
 
-/// Present members by upstream. Calls look here for each attempt, so the table
-/// of members is not gone through each time.
+/// Present members by upstream. Calls look up members for each attempt, so this index
+/// saves them a scan of the whole member table.
 #[derive(Debug, Default)]
 pub(super) struct Directory {
     by_upstream: BTreeMap<UpstreamName, Vec<Member>>,
@@ -56,8 +57,9 @@
             by_upstream.entry(upstream).or_default().push(member);
         }
         for members in by_upstream.values_mut() {
-            // An instance was replaced under the same upstream, and both are
-            // still known: the newest that stays comes last, where users look.
+            // When an instance was replaced under the same upstream, both may still
+            // be known. The newest one that isn't leaving comes last, and the last
+            // one is used.
             members.sort_by_key(|it| (!it.leaving, it.birth));
         }
         Self { by_upstream }
--- a/crates/daemon/src/control/gauges.rs
+++ b/crates/daemon/src/control/gauges.rs
@@ -1,4 +1,4 @@
-//! Gauges of the control side, set when somebody asks for metrics.
+//! Gauges of the control plane, updated whenever the metrics are requested.
 
 use stoatstep_membership::{MemberState, Table};
 use stoatstep_telemetry::Metrics;
@@ -6,7 +6,7 @@
 use super::tables::Control;
 
 impl Control {
-    /// Sets the gauges to what holds now.
+    /// Sets the gauges to the current values.
     pub(crate) fn report(&self, metrics: &Metrics) {
         let gauge = |name: &str, value: u64| metrics.gauge(name, value);
         gauge("control.version_held", self.replica.borrow().version());
@@ -21,7 +21,7 @@
             ("control.members_gone", MemberState::Dead),
         ];
         for (name, state) in states {
-            gauge(name, in_state(table, state));
+            gauge(name, members_in_state(table, state));
         }
         let unreached = table.present().filter(|(_, it)| it.unreached);
         gauge("control.members_unreached", count(unreached.count()));
@@ -32,7 +32,7 @@
     }
 }
 
-fn in_state(table: &Table, state: MemberState) -> u64 {
+fn members_in_state(table: &Table, state: MemberState) -> u64 {
     let members = table.iter().filter(|(_, it)| it.confirmed);
     count(members.filter(|(_, it)| it.member.state == state).count())
 }
--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -1,4 +1,4 @@
-//! Membership over `/peer/gossip`.
+//! Exchanges membership with other daemons over `/peer/gossip`.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,38 +9,40 @@
 };
 
 use super::announce;
-use super::client::{Message, PeerError, ask};
+use super::client::{Message, PeerError, send_request};
 use super::peer::GOSSIP;
 use super::traffic::Class;
 use crate::node::Node;
 
-/// Time for a probe. A round trip in a region takes a few milliseconds.
-const PROBE_BOUND: Duration = Duration::from_millis(500);
+/// Timeout of a probe. A round trip within a region takes a few milliseconds.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Time for a helper, which probes with the bound above.
-const HELPER_BOUND: Duration = Duration::from_millis(1200);
+/// Timeout of an indirect probe: the peer that is asked to probe does so with
+/// [`PROBE_TIMEOUT`].
+const INDIRECT_PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// Time for a table.
-const TABLE_BOUND: Duration = Duration::from_secs(2);
+/// Timeout of a request for rows of the member table.
+const TABLE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Feeds the machine and does what it asks for.
-pub(super) fn input(node: &Rc<Node>, input: Input) {
+/// Passes an input to the membership state machine and performs the actions that it
+/// returns.
+pub(super) fn handle_input(node: &Rc<Node>, input: Input) {
     let now = node.control.now();
     let actions = node.control.membership.borrow_mut().handle(now, input);
-    run(node, actions);
+    perform(node, actions);
 }
 
-/// Answers one message of another daemon.
+/// Handles a gossip message of another daemon and returns the reply.
 pub(super) async fn answer(node: &Rc<Node>, message: GossipRequest) -> GossipReply {
     match message {
         GossipRequest::Exchange(exchange) => {
             let now = node.control.now();
             let answer = node.control.membership.borrow_mut().answer(now, exchange);
             let (reply, actions) = answer;
-            run(node, actions);
+            perform(node, actions);
             GossipReply::Exchange(reply)
         }
-        GossipRequest::Probe(target) => GossipReply::Probe(reaches(node, target).await),
+        GossipRequest::Probe(target) => GossipReply::Probe(probe(node, target).await),
         GossipRequest::Table(zones) => {
             let membership = node.control.membership.borrow();
             GossipReply::Table(membership.rows_for(&zones))
@@ -48,7 +50,7 @@
     }
 }
 
-fn run(node: &Rc<Node>, actions: Vec<Action>) {
+fn perform(node: &Rc<Node>, actions: Vec<Action>) {
     let mut is_changed = false;
     for action in actions {
         match action {
@@ -60,7 +62,7 @@
                 ntex::rt::spawn(exchange(Rc::clone(node), peer, addr, message));
             }
             Action::IndirectProbe { addr, target } => {
-                ntex::rt::spawn(ask_helper(Rc::clone(node), addr, target));
+                ntex::rt::spawn(request_indirect_probe(Rc::clone(node), addr, target));
             }
             Action::PullTable { addr, zones } => {
                 ntex::rt::spawn(pull_table(Rc::clone(node), addr, zones));
@@ -72,14 +74,14 @@
                 answered,
                 ..
             } => {
-                peer_holds(node, peer, mark);
-                heard(node, peer, mark, floor, answered);
+                record_peer_config(node, peer, mark);
+                record_peer_version(node, peer, mark, floor, answered);
             }
             Action::Changed(_) => is_changed = true,
             Action::Forgotten {
                 instance,
                 incarnation,
-            } => announce::clean_up(node, instance, incarnation),
+            } => announce::delete_row_of_crashed(node, instance, incarnation),
             Action::ZoneReachable { zone, reachable } => {
                 slog::warn!(node.log, "way to a zone changed";
                     "zone" => %zone, "reachable" => reachable);
@@ -87,7 +89,7 @@
             Action::Resumed { gap } => {
                 slog::warn!(node.log, "woke from a freeze"; "gap_ms" => gap.as_millis());
                 node.metrics.count("control.freezes", 1);
-                node.control.woke();
+                node.control.resumed();
             }
             Action::Superseded { birth } => superseded(node, birth),
             // Targets are configured here and announce nothing.
@@ -99,8 +101,8 @@
     }
 }
 
-/// A newer process bears this instance's id. Two that answer under one name
-/// would each hold half of what callers rely on, so the older one stops.
+/// Stops this process because a newer one runs under the same instance id. If both
+/// answered calls, each would have only a part of the state that callers rely on.
 fn superseded(node: &Rc<Node>, birth: u64) {
     if !node.draining.get() {
         slog::error!(node.log, "a newer process runs under this id"; "birth" => birth);
@@ -108,7 +110,7 @@
     crate::call::drain::start(node);
 }
 
-fn peer_holds(node: &Rc<Node>, peer: MemberKey, theirs: ConfigId) {
+fn record_peer_config(node: &Rc<Node>, peer: MemberKey, theirs: ConfigId) {
     let control = &node.control;
     let now = control.now();
     let mine = control.replica.borrow().mark();
@@ -122,8 +124,9 @@
     }
 }
 
-/// Takes in what a peer's word means for the version to serve by.
-fn heard(node: &Node, peer: MemberKey, theirs: ConfigId, floor: u64, answered: bool) {
+/// Records the version and the floor that a peer reported, which decide whether this
+/// daemon may serve with the version it holds.
+fn record_peer_version(node: &Node, peer: MemberKey, theirs: ConfigId, floor: u64, answered: bool) {
     let mut serving = node.control.serving.borrow_mut();
     if answered {
         serving.heard_peer(peer, theirs.version, floor);
@@ -133,8 +136,8 @@
 }
 
 async fn exchange(node: Rc<Node>, peer: MemberKey, addr: SocketAddr, message: Exchange) {
-    let answer = say(&node, addr, message).await;
-    input(
+    let answer = send_exchange(&node, addr, message).await;
+    handle_input(
         &node,
         match answer {
             Some(reply) => Input::Replied { peer, reply },
@@ -143,44 +146,45 @@
     );
 }
 
-async fn say(node: &Node, addr: SocketAddr, message: Exchange) -> Option<Exchange> {
+async fn send_exchange(node: &Node, addr: SocketAddr, message: Exchange) -> Option<Exchange> {
     let request = GossipRequest::Exchange(message);
     let message = Message::new(GOSSIP, Class::Membership, &request);
     let sent = node.control.now();
-    let answer = ask(node, addr, &message, PROBE_BOUND).await;
+    let answer = send_request(node, addr, &message, PROBE_TIMEOUT).await;
     let took = node.control.now().saturating_sub(sent);
     match answer {
-        // An answer that lay in the socket through a freeze is as old as that:
-        // taken for news, it would confirm a version that the fleet has left.
-        Ok(GossipReply::Exchange(reply)) if took < PROBE_BOUND * 2 => Some(reply),
+        // A reply that waited in the socket while this process was suspended is
+        // outdated: it would confirm a version that the fleet has since replaced.
+        Ok(GossipReply::Exchange(reply)) if took < PROBE_TIMEOUT * 2 => Some(reply),
         _ => None,
     }
 }
 
-async fn ask_helper(node: Rc<Node>, addr: SocketAddr, target: MemberKey) {
+async fn request_indirect_probe(node: Rc<Node>, addr: SocketAddr, target: MemberKey) {
     let request = GossipRequest::Probe(target);
     let message = Message::new(GOSSIP, Class::Membership, &request);
-    let answer = ask(&node, addr, &message, HELPER_BOUND).await;
+    let answer = send_request(&node, addr, &message, INDIRECT_PROBE_TIMEOUT).await;
     let reached = matches!(answer, Ok(GossipReply::Probe(true)));
-    input(&node, Input::IndirectProbeResult { target, reached });
+    handle_input(&node, Input::IndirectProbeResult { target, reached });
 }
 
-/// Probes a member for a peer that can't reach it.
-async fn reaches(node: &Rc<Node>, target: MemberKey) -> bool {
+/// Probes a member on behalf of a peer that can't reach it.
+async fn probe(node: &Rc<Node>, target: MemberKey) -> bool {
     let Some(addr) = node.control.peer_addr(target) else {
         return false;
     };
     let now = node.control.now();
     let message = node.control.membership.borrow().probe_message(now, target);
-    let answer = say(node, addr, message).await;
+    let answer = send_exchange(node, addr, message).await;
     answer.is_some_and(|reply| reply.from == target)
 }
 
 async fn pull_table(node: Rc<Node>, addr: SocketAddr, zones: Vec<ZoneDigest>) {
     let request = GossipRequest::Table(zones);
     let message = Message::new(GOSSIP, Class::Membership, &request);
-    let answer: Result<GossipReply, PeerError> = ask(&node, addr, &message, TABLE_BOUND).await;
+    let answer: Result<GossipReply, PeerError> =
+        send_request(&node, addr, &message, TABLE_TIMEOUT).await;
     if let Ok(GossipReply::Table(rows)) = answer {
-        input(&node, Input::TablePulled { rows });
+        handle_input(&node, Input::TablePulled { rows });
     }
 }
--- a/crates/daemon/src/control/mod.rs
+++ b/crates/daemon/src/control/mod.rs
@@ -1,8 +1,9 @@
-//! The control side of the daemon: which configuration is in force, and which
-//! other instances there are.
+//! The control plane of the daemon: tracks which configuration is in force and
+//! which other instances exist.
 //!
-//! The decisions come from `stoatstep-membership` and `stoatstep-distribution`;
-//! the code here decodes, feeds their machines and does what they ask for. See
+//! The state machines of `stoatstep-membership` and `stoatstep-distribution`
+//! make the decisions; this module decodes messages, passes them to the state
+//! machines as inputs and performs the actions that they return. See
 //! `docs/design/membership.md` and `docs/design/spreading.md`.
 
 mod announce;
@@ -31,7 +32,7 @@
 pub(crate) use tables::Control;
 pub(crate) use write::submit;
 
-/// Starts the tasks that keep the tables current.
+/// Starts the tasks that keep membership and configuration up to date.
 pub(crate) fn start(node: &Rc<Node>) {
     ntex::rt::spawn(tick::run(Rc::clone(node)));
     ntex::rt::spawn(announce::run(Rc::clone(node)));
--- a/crates/daemon/src/control/peer.rs
+++ b/crates/daemon/src/control/peer.rs
@@ -1,4 +1,4 @@
-//! The port on which other daemons connect.
+//! Handles requests on the port for other daemons.
 
 use std::rc::Rc;
 
@@ -16,18 +16,18 @@
 /// Header that carries the daemons' shared secret.
 pub(crate) const PEER_TOKEN: &str = "stoatstep-peer";
 
-/// Paths of the control side.
+/// Paths of control messages.
 pub(super) const GOSSIP: &str = "/peer/gossip";
 pub(super) const PUSH: &str = "/peer/push";
 pub(super) const LOG: &str = "/peer/log";
 pub(super) const COLLECT: &str = "/peer/collect";
 
-/// Largest control message that a peer may send.
+/// Largest control message in bytes that a peer may send.
 const MAX_BODY: usize = 4 << 20;
 
-/// Answers one request of another daemon.
+/// Handles one request of another daemon.
 pub(crate) async fn handle(node: &Rc<Node>, mut req: Request) -> Response {
-    // A caller that reached this port could otherwise run calls that bypass
+    // Without this check a caller that reaches this port could run calls that bypass
     // routing and limits.
     if !is_peer(node, &req) {
         drop_body(req.take_payload()).await;
@@ -35,11 +35,11 @@
     }
     let path = req.path().to_owned();
     let answer = match path.as_str() {
-        GOSSIP => control(node, &mut req, GOSSIP, Class::Membership, gossip::answer).await,
-        PUSH => control(node, &mut req, PUSH, Class::Configuration, push::answer).await,
-        LOG => control(node, &mut req, LOG, Class::Configuration, pull::answer).await,
+        GOSSIP => answer_control(node, &mut req, GOSSIP, Class::Membership, gossip::answer).await,
+        PUSH => answer_control(node, &mut req, PUSH, Class::Configuration, push::answer).await,
+        LOG => answer_control(node, &mut req, LOG, Class::Configuration, pull::answer).await,
         COLLECT => {
-            control(
+            answer_control(
                 node,
                 &mut req,
                 COLLECT,
@@ -53,8 +53,9 @@
     answer.unwrap_or_else(|| Response::new(StatusCode::NOT_FOUND))
 }
 
-/// Decodes a control message, has it answered, and counts both ways.
-async fn control<M: DeserializeOwned, A: Serialize>(
+/// Decodes a control message, answers it with `answer`, and counts the bytes of
+/// both directions.
+async fn answer_control<M: DeserializeOwned, A: Serialize>(
     node: &Rc<Node>,
     req: &mut Request,
     path: &str,
--- a/crates/daemon/src/control/platform.rs
+++ b/crates/daemon/src/control/platform.rs
@@ -1,4 +1,5 @@
-//! What the control side reads and writes at the platform.
+//! Reads and writes of the control plane at the platform: the version log and the
+//! announcement rows.
 
 use std::fmt;
 use std::rc::Rc;
@@ -25,14 +26,14 @@
 /// The first key after every key that starts with [`PREFIX`].
 const PREFIX_END: &str = "instance0";
 
-/// Announcements read at most. Twice the size to design for, since rows of
-/// instances that crashed stay behind.
+/// Maximum number of announcements read at once. It is twice the fleet size that the
+/// daemon is designed for, since rows of crashed instances are left over.
 const MAX_ANNOUNCEMENTS: usize = 4096;
 
-/// The version log's way to this daemon's client, clock and randomness.
-pub(crate) struct NodeEdge(Rc<Node>);
+/// Gives the version log this daemon's platform client, clock and random numbers.
+pub(crate) struct NodeEnvironment(Rc<Node>);
 
-impl Edge for NodeEdge {
+impl Edge for NodeEnvironment {
     type Platform = HttpPlatform;
 
     fn platform(&self) -> &HttpPlatform {
@@ -52,21 +53,21 @@
     }
 }
 
-/// The version log as this daemon uses it.
-pub(crate) fn version_log(node: &Rc<Node>) -> VersionLog<NodeEdge> {
-    VersionLog::new(NodeEdge(Rc::clone(node)), LogConfig::default())
+/// Returns a version log that uses this daemon's platform client.
+pub(crate) fn version_log(node: &Rc<Node>) -> VersionLog<NodeEnvironment> {
+    VersionLog::new(NodeEnvironment(Rc::clone(node)), LogConfig::default())
 }
 
-/// Why the platform gave nothing that is of use.
+/// Why a read of the platform gave no usable result.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum SourceError {
-    /// Head or log could not be read.
+pub(super) enum PlatformReadError {
+    /// The head or the log could not be read.
     Poll(PollError),
-    /// No whole state could be read.
+    /// The whole state could not be read.
     Recovery(RecoveryError),
 }
 
-impl fmt::Display for SourceError {
+impl fmt::Display for PlatformReadError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Poll(err) => err.fmt(f),
@@ -75,39 +76,41 @@
     }
 }
 
-impl std::error::Error for SourceError {}
+impl std::error::Error for PlatformReadError {}
 
-impl<E: Into<PollError>> From<E> for SourceError {
+impl<E: Into<PollError>> From<E> for PlatformReadError {
     fn from(err: E) -> Self {
         Self::Poll(err.into())
     }
 }
 
-/// Something newer than what is held, with the head in the same view.
+/// Versions newer than the held one, with the head from the same consistent read
+/// or recovery.
 #[derive(Clone, Debug)]
-pub(super) struct Newer {
+pub(super) struct PlatformUpdate {
     pub(super) head: Head,
     pub(super) tail: LogTail,
 }
 
-/// What a starting daemon needs to know.
+/// The head of the version log and announcement rows, from one consistent read.
 #[derive(Clone, Debug)]
 pub(super) struct Roster {
     pub(super) head: Head,
     pub(super) announcements: Vec<Announcement>,
 }
 
-/// Reads head and roster in one view: of the roster this instance's own row,
-/// its next neighbour in the zone and one row of each side of the zone, or all
-/// rows where `wide`. A herd that starts thus reads a handful of rows each, and
-/// the rows that they read form a ring with links out of the zone.
-pub(super) async fn read_roster(node: &Node, wide: bool) -> Result<Roster, SourceError> {
-    let own = key(&node.cfg);
+/// Reads the head and the roster in one consistent read. With `all_rows` the whole
+/// roster is read; otherwise this instance's own row, the next one in the zone and one
+/// row on each side of the zone's range of keys. When many daemons start at once, each
+/// then reads only a few rows, and the rows that they read form a ring with links to
+/// other zones.
+pub(super) async fn read_roster(node: &Node, all_rows: bool) -> Result<Roster, PlatformReadError> {
+    let own = own_key(&node.cfg);
     let zone = format_smolstr!("{PREFIX}{}/", node.cfg.zone);
     let zone_end = format_smolstr!("{PREFIX}{}0", node.cfg.zone);
     let start = SmolStr::new_static(PREFIX);
     let end = SmolStr::new_static(PREFIX_END);
-    let ranges = if wide {
+    let ranges = if all_rows {
         vec![range(start, end, MAX_ANNOUNCEMENTS)]
     } else {
         vec![
@@ -123,7 +126,7 @@
     let answer = node.platform.read(req).await?;
     let head = read_head(&answer).map_err(PollError::from)?.head;
     let rows = answer.ranges.into_iter().flatten();
-    // A row that can't be decoded is of another build; its daemon is found
+    // A row that can't be decoded was written by another build; its daemon is found
     // through the others.
     let announcements = rows
         .filter_map(|row| rmp_serde::from_slice(&row.value).ok())
@@ -138,27 +141,27 @@
     RangeRead { start, end, limit }
 }
 
-/// Reads what follows `held`, as deltas where they are still there and not
-/// `whole` is asked for.
+/// Reads the versions after `held`: as deltas if the log still has them and `whole` is
+/// not set, else as a whole state.
 pub(super) async fn read_after(
     node: &Rc<Node>,
     held: Version,
     whole: bool,
-) -> Result<Newer, SourceError> {
+) -> Result<PlatformUpdate, PlatformReadError> {
     let log = version_log(node);
     if held > 0
         && !whole
         && let Tail::Deltas { head, deltas } = log.tail(held).await?
     {
         let tail = LogTail::Deltas(deltas.into_iter().map(Arc::new).collect());
-        return Ok(Newer { head, tail });
+        return Ok(PlatformUpdate { head, tail });
     }
-    let recovered = log.recover().await.map_err(SourceError::Recovery)?;
+    let recovered = log.recover().await.map_err(PlatformReadError::Recovery)?;
     for it in recovered.skipped {
         slog::error!(node.log, "a snapshot can't be used";
             "version" => it.version, "reason" => %it.reason);
     }
-    Ok(Newer {
+    Ok(PlatformUpdate {
         head: recovered.head,
         tail: LogTail::Snapshot(Arc::unwrap_or_clone(recovered.state)),
     })
@@ -171,7 +174,7 @@
 ) -> Result<(), PlatformError> {
     let value = rmp_serde::to_vec(announcement).expect("plain data always encodes");
     let put = Write::Put {
-        key: key(&node.cfg),
+        key: own_key(&node.cfg),
         value,
     };
     commit(node, put).await
@@ -179,12 +182,13 @@
 
 /// Deletes this instance's row.
 pub(super) async fn delete_announcement(node: &Node) -> Result<(), PlatformError> {
-    let key = key(&node.cfg);
+    let key = own_key(&node.cfg);
     commit(node, Write::Delete { key }).await
 }
 
-/// Deletes the row of another instance of this zone, unless a life after the
-/// given incarnation wrote it. The condition holds off one that starts just now.
+/// Deletes the row of another instance of this zone, unless a process that started
+/// after the given incarnation wrote it. The condition on the revision protects the row
+/// of a process that starts at the same time.
 pub(super) async fn delete_row_of(
     node: &Node,
     instance: &str,
@@ -218,6 +222,6 @@
     node.platform.commit(req).await.map(|_| ())
 }
 
-fn key(cfg: &Config) -> SmolStr {
+fn own_key(cfg: &Config) -> SmolStr {
     format_smolstr!("{PREFIX}{}/{}", cfg.zone, cfg.instance)
 }
--- a/crates/daemon/src/control/poll.rs
+++ b/crates/daemon/src/control/poll.rs
@@ -1,4 +1,4 @@
-//! Reads of the platform's head.
+//! Periodic reads of the head of the platform's version log.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,9 +11,9 @@
 use super::{gossip, platform, pull};
 use crate::node::Node;
 
-/// Longest time in which the platform's client waits for an answer, and then
-/// some.
-const FRESH: Duration = Duration::from_secs(4);
+/// Age above which an answer is ignored: somewhat more than the platform client waits
+/// for one.
+const MAX_ANSWER_AGE: Duration = Duration::from_secs(4);
 
 pub(super) fn tick(node: &Rc<Node>, zone: &[MemberKey]) {
     let control = &node.control;
@@ -41,10 +41,11 @@
     };
     node.control.poller.borrow_mut().polled(outcome);
     match head {
-        // An answer that lay in the socket through a freeze tells of then.
-        Ok(_) if node.control.now() > asked + FRESH => {}
+        // The answer waited in the socket while the process was suspended, and is
+        // outdated.
+        Ok(_) if node.control.now() > asked + MAX_ANSWER_AGE => {}
         Ok(head) => {
-            learn(&node, &head);
+            record_head(&node, &head);
             if head.version > node.control.replica.borrow().version() {
                 pull::from_platform(&node, false).await;
             }
@@ -53,8 +54,8 @@
     }
 }
 
-/// Takes in what the platform states of its newest version.
-pub(super) fn learn(node: &Rc<Node>, head: &Head) {
+/// Records the newest version according to the platform.
+pub(super) fn record_head(node: &Rc<Node>, head: &Head) {
     let mut replica = node.control.replica.borrow_mut();
     replica.learn_head(head.version, head.digest);
     replica.settle_fork(head.version, head.digest);
@@ -62,5 +63,5 @@
     let mut serving = node.control.serving.borrow_mut();
     serving.heard_platform(head.version);
     drop(serving);
-    gossip::input(node, Input::HeadRead);
+    gossip::handle_input(node, Input::HeadRead);
 }
--- a/crates/daemon/src/control/pull.rs
+++ b/crates/daemon/src/control/pull.rs
@@ -1,4 +1,5 @@
-//! Pulling what pushes did not bring, and giving others what they lack.
+//! Pulls versions that were not pushed to this daemon, and answers the pulls of
+//! others.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,32 +9,34 @@
 use stoatstep_resource::Version;
 use stoatstep_resource::wire::{DeltaWire, SnapshotWire};
 
-use super::client::{Message, ask};
+use super::client::{Message, send_request};
 use super::peer::LOG;
 use super::traffic::Class;
 use super::warning::warn;
 use super::{platform, poll, push};
 use crate::node::Node;
 
-/// Time for a log's tail or a whole state.
-const BOUND: Duration = Duration::from_secs(3);
+/// Timeout of a pull from a peer, whether it returns deltas or a whole state.
+const PULL_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Deltas in one answer; beyond it the whole state is smaller in most cases.
+/// Maximum number of deltas in one answer; beyond it the whole state is smaller in
+/// most cases.
 const MAX_DELTAS: usize = 64;
 
-/// Versions found at the platform at once that are pushed to the zone.
-const MAX_PASSED_ON: usize = 8;
+/// Maximum number of versions from one read of the platform that are pushed to the
+/// zone.
+const MAX_PUSHED: usize = 8;
 
-/// Whether a pull brought what it was for.
+/// Whether a pull succeeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Outcome {
-    /// Something came into force, or nothing newer was there.
-    Good,
-    /// No answer, or one that was refused.
+pub(super) enum PullOutcome {
+    /// A newer version was applied, or there was none.
+    Succeeded,
+    /// There was no answer, or its content was refused.
     Failed,
 }
 
-/// Answers a daemon that lacks versions.
+/// Answers a peer's pull with the versions that it lacks.
 pub(super) async fn answer(node: &Rc<Node>, message: LogRequest) -> LogReply {
     let replica = node.control.replica.borrow();
     let mine = replica.mark();
@@ -50,7 +53,7 @@
     }
 }
 
-/// Does the pull that is due and tells the machine how it went.
+/// Performs a pull that is due and reports its outcome to the repair state machine.
 pub(super) async fn repair(node: Rc<Node>, pull: Pull) {
     let outcome = match pull.source {
         Source::Peer(peer) => from_peer(&node, peer, pull.whole).await,
@@ -59,62 +62,63 @@
     node.metrics.count("control.pulls", 1);
     let mut repair = node.control.repair.borrow_mut();
     match outcome {
-        Outcome::Good => repair.succeeded(),
-        Outcome::Failed => repair.failed(node.control.now()),
+        PullOutcome::Succeeded => repair.succeeded(),
+        PullOutcome::Failed => repair.failed(node.control.now()),
     }
 }
 
-/// Pulls from one peer.
-pub(super) async fn from_peer(node: &Rc<Node>, peer: MemberKey, whole: bool) -> Outcome {
+/// Pulls newer versions from one peer.
+pub(super) async fn from_peer(node: &Rc<Node>, peer: MemberKey, whole: bool) -> PullOutcome {
     let Some(addr) = node.control.peer_addr(peer) else {
-        return Outcome::Failed;
+        return PullOutcome::Failed;
     };
     let held = node.control.replica.borrow().mark();
     let message = Message::new(LOG, Class::Configuration, &LogRequest { held, whole });
-    let answer: Result<LogReply, _> = ask(node, addr, &message, BOUND).await;
+    let answer: Result<LogReply, _> = send_request(node, addr, &message, PULL_TIMEOUT).await;
     let Ok(tail) = answer.map(LogTail::try_from) else {
-        return Outcome::Failed;
+        return PullOutcome::Failed;
     };
     match tail {
-        Ok(tail) => take(node, tail),
+        Ok(tail) => offer_tail(node, tail),
         Err(err) => {
-            slog::error!(node.log, "a peer's state is broken"; "error" => %err);
-            Outcome::Failed
+            slog::error!(node.log, "a peer sent an invalid state"; "error" => %err);
+            PullOutcome::Failed
         }
     }
 }
 
-/// Reads what is newer from the platform, and passes single versions on to the
-/// zone.
-pub(super) async fn from_platform(node: &Rc<Node>, whole: bool) -> Outcome {
+/// Reads newer versions from the platform and, if there are only a few, pushes them
+/// to the zone.
+pub(super) async fn from_platform(node: &Rc<Node>, whole: bool) -> PullOutcome {
     let held = node.control.replica.borrow().version();
     match platform::read_after(node, held, whole).await {
         Ok(newer) => {
-            poll::learn(node, &newer.head);
-            let outcome = take(node, newer.tail);
-            pass_on(node, held);
+            poll::record_head(node, &newer.head);
+            let outcome = offer_tail(node, newer.tail);
+            push_to_zone(node, held);
             outcome
         }
         Err(err) => {
             warn(node, "state not read from the platform", &err);
-            Outcome::Failed
+            PullOutcome::Failed
         }
     }
 }
 
-fn pass_on(node: &Rc<Node>, after: Version) {
+fn push_to_zone(node: &Rc<Node>, after: Version) {
     if after == 0 {
         return;
     }
     let deltas = node.control.deltas_after(after).unwrap_or_default();
-    // After a long cut the whole zone is far behind, and all of it sees so in
-    // exchanges. One pull each is then less than a push for each version.
-    if deltas.len() <= MAX_PASSED_ON {
-        push::found(node, &deltas);
+    // After a long loss of the connection the whole zone is far behind, and every
+    // member notices it in gossip exchanges. One pull by each member then costs less
+    // than a push of each version.
+    if deltas.len() <= MAX_PUSHED {
+        push::push_found(node, &deltas);
     }
 }
 
-fn take(node: &Rc<Node>, tail: LogTail) -> Outcome {
+fn offer_tail(node: &Rc<Node>, tail: LogTail) -> PullOutcome {
     let outcome = node.control.offer(|replica, now| match tail {
         LogTail::Nothing(_) => Offer::Held,
         LogTail::Deltas(deltas) => replica.offer_deltas(now, deltas),
@@ -124,8 +128,8 @@
         Offer::Refused(row) => {
             slog::error!(node.log, "refused a version";
                 "version" => row.version, "reason" => %row.reason);
-            Outcome::Failed
+            PullOutcome::Failed
         }
-        _ => Outcome::Good,
+        _ => PullOutcome::Succeeded,
     }
 }
--- a/crates/daemon/src/control/push.rs
+++ b/crates/daemon/src/control/push.rs
@@ -1,4 +1,4 @@
-//! Versions on their way down the tree.
+//! Pushes new versions to the fleet along a tree for each zone.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,44 +15,45 @@
 use super::traffic::Class;
 use crate::node::Node;
 
-/// Time for a push to be taken.
-const BOUND: Duration = Duration::from_secs(1);
+/// Timeout of a push.
+const PUSH_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A push to one member, and how many silent ones it already went past.
+/// A member to push to, and the number of silent members above it in the tree that
+/// were bypassed.
 #[derive(Clone, Copy, Debug)]
 struct Branch {
     target: MemberKey,
     bypassed: u32,
 }
 
-/// Takes a version that the platform accepted from this daemon, and sends it to
+/// Applies a version that the platform accepted from this daemon, and pushes it to
 /// the whole fleet.
-pub(super) fn accepted(node: &Rc<Node>, delta: &Arc<Delta>) {
+pub(super) fn push_accepted(node: &Rc<Node>, delta: &Arc<Delta>) {
     offer(node, delta);
-    let view = node.control.view();
-    originate(node, delta, &view);
+    let zone_members = node.control.zone_members();
+    originate(node, delta, &zone_members);
 }
 
-/// Sends versions that this daemon was the first of its zone to find at the
-/// platform to the rest of the zone. It is needed where the daemon that had
-/// them accepted died before it told anyone.
-pub(super) fn found(node: &Rc<Node>, deltas: &[Arc<Delta>]) {
-    let mut view = node.control.view();
-    view.retain(|zone, _| *zone == node.cfg.zone);
+/// Pushes versions that this daemon was the first of its zone to read from the platform
+/// to the rest of the zone. This is needed if the daemon that wrote them failed before it
+/// pushed them.
+pub(super) fn push_found(node: &Rc<Node>, deltas: &[Arc<Delta>]) {
+    let mut zone_members = node.control.zone_members();
+    zone_members.retain(|zone, _| *zone == node.cfg.zone);
     for delta in deltas {
-        originate(node, delta, &view);
+        originate(node, delta, &zone_members);
     }
 }
 
-fn originate(node: &Rc<Node>, delta: &Arc<Delta>, view: &View) {
+fn originate(node: &Rc<Node>, delta: &Arc<Delta>, zone_members: &View) {
     let me = node.control.me();
     let mut spread = node.control.spread.borrow_mut();
-    let targets = spread.originate(delta.version, view, me);
+    let targets = spread.originate(delta.version, zone_members, me);
     drop(spread);
-    start(node, delta, me, targets);
+    spawn_pushes(node, delta, me, targets);
 }
 
-/// Takes a version that another daemon pushed, and passes it on.
+/// Applies a version that another daemon pushed, and forwards it.
 pub(super) async fn answer(node: &Rc<Node>, message: PushRequest) -> bool {
     let origin = message.origin;
     let delta = Arc::new(Delta::from(message.delta));
@@ -61,13 +62,13 @@
     if due.is_empty() && is_held {
         due.push(delta);
     }
-    let view = node.control.view();
+    let zone_members = node.control.zone_members();
     let me = node.control.me();
     for delta in due {
         let mut spread = node.control.spread.borrow_mut();
-        let targets = spread.forward(delta.version, &view, me, origin);
+        let targets = spread.forward(delta.version, &zone_members, me, origin);
         drop(spread);
-        start(node, &delta, origin, targets);
+        spawn_pushes(node, &delta, origin, targets);
     }
     true
 }
@@ -86,16 +87,17 @@
             Vec::new()
         }
         Offer::Waiting { .. } => {
-            close_gap(node, version);
+            schedule_pull(node, version);
             Vec::new()
         }
         Offer::Held | Offer::Replaced(_) => Vec::new(),
     }
 }
 
-/// A version overtook one before it. Most often that one arrives in the next
-/// moment; if it was lost, some peer of the zone has it.
-fn close_gap(node: &Rc<Node>, version: u64) {
+/// Schedules a pull from a peer of the zone, since a version arrived before one that
+/// precedes it. In most cases the missing one arrives a moment later; if it was lost,
+/// some peer of the zone has it.
+fn schedule_pull(node: &Rc<Node>, version: u64) {
     let control = &node.control;
     let me = control.me();
     let membership = control.membership.borrow();
@@ -110,7 +112,7 @@
     repair.peer_holds(control.now(), peer, theirs, mine);
 }
 
-fn start(node: &Rc<Node>, delta: &Arc<Delta>, origin: MemberKey, targets: Vec<MemberKey>) {
+fn spawn_pushes(node: &Rc<Node>, delta: &Arc<Delta>, origin: MemberKey, targets: Vec<MemberKey>) {
     if targets.is_empty() {
         return;
     }
@@ -129,32 +131,32 @@
     }
 }
 
-/// Pushes to one member, or to those below it where it does not answer.
+/// Pushes to one member, or to its children in the tree if it does not answer.
 async fn push(node: Rc<Node>, message: Message, version: u64, branch: Branch) {
     let mut due = vec![branch];
     while let Some(branch) = due.pop() {
         let Some(addr) = node.control.peer_addr(branch.target) else {
             continue;
         };
-        if send(&node, addr, &message, BOUND).await.is_ok() {
+        if send(&node, addr, &message, PUSH_TIMEOUT).await.is_ok() {
             continue;
         }
         node.metrics.count("control.push_failures", 1);
         if !is_reachable(&node, branch.target) {
             continue;
         }
-        let view = node.control.view();
+        let zone_members = node.control.zone_members();
         let spread = node.control.spread.borrow();
-        let below = spread.bypass(version, &view, branch.target, branch.bypassed);
-        due.extend(below.into_iter().map(|target| Branch {
+        let children = spread.bypass(version, &zone_members, branch.target, branch.bypassed);
+        due.extend(children.into_iter().map(|target| Branch {
             target,
             bypassed: branch.bypassed + 1,
         }));
     }
 }
 
-/// Whether the target's zone can be reached. While it can't, going past the one
-/// that did not answer would cost a wait for each of those below it.
+/// Whether the target's zone is reachable. While it isn't, bypassing the silent
+/// member would cost a timeout for each member below it.
 fn is_reachable(node: &Node, target: MemberKey) -> bool {
     let membership = node.control.membership.borrow();
     let entry = membership.table().get(target);
--- a/crates/daemon/src/control/status.rs
+++ b/crates/daemon/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told about the fleet.
+//! Status of the fleet, for operators.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use super::tables::Control;
 use crate::node::Node;
 
-/// What the whole fleet reports.
+/// Members, versions in force and refused versions of the whole fleet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetStatus {
     pub(crate) members: Vec<MemberStatus>,
@@ -21,7 +21,8 @@
 }
 
 impl Control {
-    /// Where each version holds, asked for now.
+    /// Asks the fleet which version is in force on each instance, and returns its
+    /// status.
     pub(crate) async fn fleet_status(&self, node: &Rc<Node>) -> FleetStatus {
         let holdings = collect::fleet(node).await;
         let membership = self.membership.borrow();
@@ -56,7 +57,9 @@
     members
 }
 
-/// A member that did not answer is shown with the version it last reported.
+/// Returns the status of one member. `in_force` is the version in force and the time
+/// since when, from the member's answer; for a member that did not answer, the version
+/// that it last reported is shown.
 fn member(entry: &Entry, in_force: Option<(u64, u64)>) -> MemberStatus {
     let (version, since_unix_ms) = in_force.unwrap_or((entry.version, 0));
     let member = &entry.member;
--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -1,4 +1,5 @@
-//! The machines of the control side, and the views that others take of them.
+//! The state machines of the control plane, and the views of them that calls and
+//! operators use.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -21,23 +22,23 @@
 use crate::config::Config;
 use crate::in_force::InForce;
 
-/// Time after a wake in which others should have answered. Probes that go
-/// unanswered end well within it.
-const WAKE_BOUND: Duration = Duration::from_secs(2);
+/// Time after a suspension of the process within which peers should have answered.
+/// Probes that get no answer time out well before it ends.
+const RESUME_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The deltas asked for are no longer held.
+/// Error: the requested deltas are no longer held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Trimmed;
 
-/// Configuration and membership as this daemon knows them. Borrows of the cells
-/// never last over an `await`, so that no two tasks meet in one.
+/// Configuration and membership as this daemon knows them. No borrow of a cell is
+/// held across an `await`, so two tasks never borrow the same cell at once.
 pub(crate) struct Control {
     started: Instant,
     in_force: RefCell<Rc<InForce>>,
     directory: RefCell<Directory>,
     changed: Condition,
     serves: Cell<bool>,
-    woke_at: Cell<Option<Time>>,
+    resumed_at: Cell<Option<Time>>,
     pub(super) membership: RefCell<Membership>,
     pub(super) replica: RefCell<Replica>,
     pub(super) serving: RefCell<Serving>,
@@ -46,16 +47,16 @@
     pub(super) poller: RefCell<Poller>,
     pub(super) cold_start: RefCell<ColdStart>,
     pub(super) has_announced_leave: Cell<bool>,
-    pub(super) takes_snapshot: Cell<bool>,
+    pub(super) is_taking_snapshot: Cell<bool>,
     pub(super) warnings: RefCell<RateLimit>,
     pub(crate) traffic: Traffic,
 }
 
 impl Control {
     pub(crate) fn new(cfg: &Config) -> Self {
-        let me = myself(cfg);
-        // Different for each life of the instance, or a herd of restarts would
-        // draw the same waits again.
+        let me = own_member(cfg);
+        // The seed differs for each process of the instance. Otherwise many daemons
+        // that restart at once would draw the same delays as last time.
         let seed = me.key() ^ me.birth;
         let membership = Membership::new(me, membership::Config::default(), seed);
         let directory = Directory::new(membership.table());
@@ -66,7 +67,7 @@
             directory: RefCell::new(directory),
             changed: Condition::default(),
             serves: Cell::new(false),
-            woke_at: Cell::new(None),
+            resumed_at: Cell::new(None),
             membership: RefCell::new(membership),
             replica: RefCell::default(),
             serving: RefCell::default(),
@@ -75,73 +76,74 @@
             poller: RefCell::new(Poller::new(seed)),
             cold_start: RefCell::new(ColdStart::new(Time::ZERO, seed)),
             has_announced_leave: Cell::new(false),
-            takes_snapshot: Cell::new(false),
-            warnings: RefCell::new(warning::limit()),
+            is_taking_snapshot: Cell::new(false),
+            warnings: RefCell::new(warning::rate_limit()),
             traffic: Traffic::default(),
         }
     }
 
-    /// The version in force; the caller keeps it for as long as it needs one
+    /// Returns the version in force. The caller keeps it for as long as it needs one
     /// consistent view.
     pub(crate) fn in_force(&self) -> Rc<InForce> {
         Rc::clone(&self.in_force.borrow())
     }
 
-    /// Every instance that takes part, this one included.
+    /// Returns every present member, including this instance.
     pub(crate) fn members(&self) -> Vec<Member> {
         self.directory.borrow().members()
     }
 
-    /// The instances whose target serves `upstream`, the one to use last.
+    /// Returns the members whose target serves `upstream`; the last one is to be used.
     pub(crate) fn serving(&self, upstream: &str) -> Vec<Member> {
         self.directory.borrow().serving(upstream)
     }
 
-    /// The deltas after `version`, oldest first.
+    /// Returns the deltas after `version`, oldest first.
     pub(crate) fn deltas_after(&self, version: Version) -> Result<Vec<Arc<Delta>>, Trimmed> {
         let replica = self.replica.borrow();
         replica.tail_after(version).ok_or(Trimmed)
     }
 
-    /// The newest version received, in force or not.
+    /// Returns the newest version received, whether or not it is in force.
     pub(crate) fn version_held(&self) -> Version {
         let replica = self.replica.borrow();
         let refused = replica.quarantine().iter().map(|it| it.version).max();
         refused.unwrap_or(0).max(replica.version())
     }
 
-    /// Whether this daemon knows enough to serve by what it holds; see
+    /// Whether this daemon knows enough to serve with the version that it holds; see
     /// [`Serving`].
     pub(crate) fn may_serve(&self) -> bool {
         self.serves.get()
     }
 
-    /// Ends when the version in force changes.
+    /// Returns a future that completes when the version in force changes.
     pub(crate) fn changed(&self) -> Waiter {
         self.changed.wait()
     }
 
-    /// Time since the start, as the machines want it. The clock goes on while
-    /// the process is stopped, by which it notices that it was.
+    /// Time since the start, which the state machines take as the current time. The
+    /// clock advances while the process is suspended, so that a suspension shows as
+    /// a gap between two ticks.
     pub(super) fn now(&self) -> Time {
         self.started.elapsed()
     }
 
-    /// The wall clock at an earlier time of this process.
+    /// Converts an earlier time of this process to Unix milliseconds.
     pub(super) fn unix_ms(&self, at: Time) -> u64 {
         let ago = self.now().saturating_sub(at);
         let unix = unix_time().saturating_sub(ago);
         u64::try_from(unix.as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// Offers something to the replica and puts in force what it takes.
+    /// Offers a delta or a state to the replica and puts in force what it accepts.
     pub(super) fn offer(&self, offer: impl FnOnce(&mut Replica, Time) -> Offer) -> Offer {
         let outcome = offer(&mut self.replica.borrow_mut(), self.now());
         self.put_in_force();
         outcome
     }
 
-    /// Puts in force what the replica holds, once this daemon may serve by it.
+    /// Puts the replica's version in force, once this daemon may serve with it.
     pub(super) fn put_in_force(&self) {
         let state = Arc::clone(self.replica.borrow().state());
         let others = self.membership.borrow().table().present().count() - 1;
@@ -160,25 +162,26 @@
             .handle(now, Input::ConfigChanged(mark));
     }
 
-    /// Takes what is held for old until others confirm it.
-    pub(super) fn woke(&self) {
+    /// Treats the held version as outdated after a suspension of the process, until
+    /// peers or the platform confirm it.
+    pub(super) fn resumed(&self) {
         self.serving.borrow_mut().woke();
         self.serves.set(false);
-        self.woke_at.set(Some(self.now()));
+        self.resumed_at.set(Some(self.now()));
     }
 
-    /// Gives up waiting for others after a wake, where nobody answers.
-    pub(super) fn end_wake(&self) {
-        let Some(woke_at) = self.woke_at.get() else {
+    /// Stops waiting for a confirmation after a suspension if nobody answered in time.
+    pub(super) fn end_resume_wait(&self) {
+        let Some(resumed_at) = self.resumed_at.get() else {
             return;
         };
-        if woke_at + WAKE_BOUND <= self.now() {
-            self.woke_at.set(None);
+        if resumed_at + RESUME_TIMEOUT <= self.now() {
+            self.resumed_at.set(None);
             self.serving.borrow_mut().serve_alone();
         }
     }
 
-    /// Makes membership's changes visible to calls.
+    /// Rebuilds the directory, which makes changes of the membership visible to calls.
     pub(super) fn refresh_directory(&self) {
         let membership = self.membership.borrow();
         *self.directory.borrow_mut() = Directory::new(membership.table());
@@ -188,23 +191,24 @@
         self.membership.borrow().me()
     }
 
-    /// Members that take part in spreading, by zone.
-    pub(super) fn view(&self) -> View {
-        let mut view = View::new();
+    /// Returns the present members by zone; these take part in the distribution of
+    /// versions.
+    pub(super) fn zone_members(&self) -> View {
+        let mut zone_members = View::new();
         for (key, entry) in self.membership.borrow().table().present() {
             let zone = entry.member.zone.clone();
-            view.entry(zone).or_default().push(key);
+            zone_members.entry(zone).or_default().push(key);
         }
-        view
+        zone_members
     }
 
-    /// Where a member listens for other daemons.
+    /// Returns the address at which a member listens for other daemons.
     pub(super) fn peer_addr(&self, key: MemberKey) -> Option<std::net::SocketAddr> {
         let membership = self.membership.borrow();
         membership.table().get(key).map(|it| it.member.peer)
     }
 
-    /// Refused versions and forks that are not settled.
+    /// Returns the refused versions and the unresolved forks.
     pub(super) fn quarantine(&self) -> Vec<Quarantined> {
         self.replica.borrow().quarantine().to_vec()
     }
@@ -216,7 +220,7 @@
         .unwrap_or_default()
 }
 
-fn myself(cfg: &Config) -> membership::Member {
+fn own_member(cfg: &Config) -> membership::Member {
     let birth = starting_incarnation(unix_time(), None);
     membership::Member {
         instance: cfg.instance.clone(),
--- a/crates/daemon/src/control/tick.rs
+++ b/crates/daemon/src/control/tick.rs
@@ -1,4 +1,4 @@
-//! The systems of the control side, run four times a second.
+//! The periodic work of the control plane, done four times a second.
 
 use std::rc::Rc;
 
@@ -18,21 +18,22 @@
 }
 
 fn tick(node: &Rc<Node>) {
-    leave_once(node);
-    gossip::input(node, Input::Tick);
+    announce_leave_once(node);
+    gossip::handle_input(node, Input::Tick);
     let zone = members_of_zone(node);
     cold_start::tick(node, &zone);
     poll::tick(node, &zone);
-    repair(node);
-    node.control.end_wake();
-    // Membership may have changed what is enough to have heard.
+    start_due_pull(node);
+    node.control.end_resume_wait();
+    // How many peers must have answered depends on the number of members, which may
+    // have changed.
     node.control.put_in_force();
 }
 
-fn leave_once(node: &Rc<Node>) {
+fn announce_leave_once(node: &Rc<Node>) {
     let control = &node.control;
     if node.draining.get() && !control.has_announced_leave.replace(true) {
-        gossip::input(node, Input::Leave);
+        gossip::handle_input(node, Input::Leave);
     }
 }
 
@@ -42,7 +43,7 @@
     zone.map(|(key, _)| key).collect()
 }
 
-fn repair(node: &Rc<Node>) {
+fn start_due_pull(node: &Rc<Node>) {
     let control = &node.control;
     let (mark, needs_state) = {
         let replica = control.replica.borrow();
--- a/crates/daemon/src/control/traffic.rs
+++ b/crates/daemon/src/control/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes of control traffic, counted by class.
+//! Counts the bytes of control messages by class.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -6,12 +6,12 @@
 use stoatstep_resource::wire::TrafficStatus;
 use stoatstep_telemetry::Metrics;
 
-/// What a control message is about. Membership and configuration are counted
-/// apart, since they grow with different things: one with the fleet and time,
-/// the other with changes.
+/// Subject of a control message. The two are counted separately, since traffic of the
+/// membership grows with the size of the fleet and with time, and traffic of the
+/// configuration with the number of changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Class {
-    /// Who is in the fleet.
+    /// Which instances are in the fleet.
     Membership,
     /// Which configuration is in force.
     Configuration,
@@ -26,11 +26,11 @@
     }
 }
 
-/// Bytes that a status line and the headers of an answer take.
+/// Size in bytes of the status line and headers of an answer.
 pub(super) const ANSWER_HEAD: usize =
     "HTTP/1.1 200 OK\r\ncontent-length: 100\r\ndate: Wed, 02 Dec 2026 18:00:00 GMT\r\n\r\n".len();
 
-/// Bytes that the request line and headers of a request take.
+/// Returns the size in bytes of the request line and headers of a request.
 pub(super) fn request_head(path: &str, addr: SocketAddr, token: &str, body: usize) -> usize {
     const FIXED: usize = "POST  HTTP/1.1\r\nhost: \r\nstoatstep-peer: \r\n\
         content-length: \r\ndate: Wed, 02 Dec 2026 18:00:00 GMT\r\n\r\n"
@@ -40,42 +40,42 @@
 }
 
 #[derive(Debug, Default)]
-struct Sum {
+struct ByteCount {
     sent: Cell<u64>,
     received: Cell<u64>,
 }
 
-/// Sums over the life of the process, of heads and bodies as they go over the
-/// sockets. Attempts of calls are not among them.
+/// Bytes of control messages since the start of the process, including the HTTP headers.
+/// Attempts of calls are not counted.
 #[derive(Debug, Default)]
 pub(crate) struct Traffic {
-    membership: Sum,
-    configuration: Sum,
+    membership: ByteCount,
+    configuration: ByteCount,
 }
 
 impl Traffic {
     pub(super) fn sent(&self, metrics: &Metrics, class: Class, bytes: usize) {
-        add(&self.sum(class).sent, bytes);
+        add(&self.byte_count(class).sent, bytes);
         emit(metrics, class, "sent", bytes);
     }
 
     pub(super) fn received(&self, metrics: &Metrics, class: Class, bytes: usize) {
-        add(&self.sum(class).received, bytes);
+        add(&self.byte_count(class).received, bytes);
         emit(metrics, class, "received", bytes);
     }
 
-    /// Sums since the start, for operators.
+    /// Returns the sums since the start of the process, for operators.
     pub(crate) fn status(&self) -> Vec<TrafficStatus> {
         let classes = [Class::Membership, Class::Configuration];
         let row = |class: Class| TrafficStatus {
             class: class.as_str().into(),
-            sent_bytes: self.sum(class).sent.get(),
-            received_bytes: self.sum(class).received.get(),
+            sent_bytes: self.byte_count(class).sent.get(),
+            received_bytes: self.byte_count(class).received.get(),
         };
         classes.map(row).to_vec()
     }
 
-    fn sum(&self, class: Class) -> &Sum {
+    fn byte_count(&self, class: Class) -> &ByteCount {
         match class {
             Class::Membership => &self.membership,
             Class::Configuration => &self.configuration,
@@ -83,8 +83,8 @@
     }
 }
 
-fn add(sum: &Cell<u64>, bytes: usize) {
-    sum.set(sum.get() + bytes as u64);
+fn add(byte_count: &Cell<u64>, bytes: usize) {
+    byte_count.set(byte_count.get() + bytes as u64);
 }
 
 fn emit(metrics: &Metrics, class: Class, direction: &str, bytes: usize) {
--- a/crates/daemon/src/control/warning.rs
+++ b/crates/daemon/src/control/warning.rs
@@ -1,4 +1,4 @@
-//! Warnings that a lasting fault repeats.
+//! Rate-limited warnings, for faults that recur as long as their cause lasts.
 
 use std::fmt::Display;
 use std::time::Duration;
@@ -7,17 +7,18 @@
 
 use crate::node::Node;
 
-/// One line of a kind in each window. An outage of the platform repeats each
-/// with every try, on every daemon, for as long as it lasts.
+/// Warnings with the same message that are logged per window. During an outage of the
+/// platform every retry on every daemon fails with the same warning.
 const ALLOWED: u32 = 1;
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// The limit that all warnings of a daemon's control side share.
-pub(super) fn limit() -> RateLimit {
+/// Returns the rate limit that all warnings of the control plane share.
+pub(super) fn rate_limit() -> RateLimit {
     RateLimit::new(ALLOWED, WINDOW)
 }
 
-/// Logs a warning, or counts it towards the next one of its kind.
+/// Logs a warning, or suppresses it and counts it in the next one with the same
+/// message.
 pub(crate) fn warn(node: &Node, message: &'static str, err: &dyn Display) {
     let now = node.control.now();
     let admission = node.control.warnings.borrow_mut().admit(message, now);
--- a/crates/daemon/src/control/write.rs
+++ b/crates/daemon/src/control/write.rs
@@ -1,4 +1,4 @@
-//! Changes that operators ask this daemon for.
+//! Writes changes that operators submit to this daemon.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,22 +11,23 @@
 use super::{poll, push};
 use crate::node::Node;
 
-/// Has the platform accept a change, and sends it to the whole fleet.
+/// Writes a change to the platform's version log and pushes it to the whole fleet.
 pub(crate) async fn submit(node: &Rc<Node>, change: Change) -> Result<Accepted, WriteError> {
     let author = node.cfg.instance.clone();
     let state = Arc::clone(node.control.replica.borrow().state());
     let accepted = version_log(node).write(change, author, state).await?;
-    take_in(node, &accepted);
+    apply_accepted(node, &accepted);
     if version_log(node).snapshot_is_due(&accepted.head) {
         ntex::rt::spawn(snapshot(Rc::clone(node), Arc::clone(&accepted.state)));
     }
     Ok(accepted)
 }
 
-/// Puts in force what the writer came to know. Versions of others on the way are
-/// sent by those who had them accepted.
-fn take_in(node: &Rc<Node>, accepted: &Accepted) {
-    poll::learn(node, &accepted.head);
+/// Applies the accepted change and any versions before it that the writer read.
+/// Only the accepted change is pushed: each other version is pushed by the daemon
+/// that wrote it.
+fn apply_accepted(node: &Rc<Node>, accepted: &Accepted) {
+    poll::record_head(node, &accepted.head);
     if accepted.deltas.is_empty() {
         let state = State::clone(&accepted.state);
         node.control
@@ -35,7 +36,7 @@
     for delta in &accepted.deltas {
         let delta = Arc::new(delta.clone());
         if delta.version == accepted.version {
-            push::accepted(node, &delta);
+            push::push_accepted(node, &delta);
         } else {
             node.control
                 .offer(|replica, now| replica.offer_delta(now, delta));
@@ -44,8 +45,8 @@
 }
 
 async fn snapshot(node: Rc<Node>, state: Arc<State>) {
-    // A second one at the same time would only repeat the work of the first.
-    if node.control.takes_snapshot.replace(true) {
+    // A concurrent snapshot would only repeat the work of the first.
+    if node.control.is_taking_snapshot.replace(true) {
         return;
     }
     let version = state.version();
@@ -54,5 +55,5 @@
         Err(err) => slog::warn!(node.log, "snapshot not taken";
             "version" => version, "error" => %err),
     }
-    node.control.takes_snapshot.set(false);
+    node.control.is_taking_snapshot.set(false);
 }
