--- a/crates/daemon/src/call/entry.rs
+++ b/crates/daemon/src/call/entry.rs
@@ -118,7 +118,7 @@
     } else {
         pick(node, call, tried)?
     };
-    let member = node.control.serving(&upstream).pop()?;
+    let member = node.control.members_serving(&upstream).pop()?;
     Some((upstream, member.peer_addr))
 }
 
--- a/crates/daemon/src/call/homes.rs
+++ b/crates/daemon/src/call/homes.rs
@@ -76,7 +76,7 @@
 }
 
 async fn ask(node: &Rc<Node>, key: &IdempotencyKey, question: &HomeQuery) -> Result<(), RunEnd> {
-    let Some(member) = node.control.serving(&question.upstream).pop() else {
+    let Some(member) = node.control.members_serving(&question.upstream).pop() else {
         settle_deleted(node, key, question);
         return Err(unsettled(node, question, &"no instance of it is known"));
     };
--- a/crates/daemon/src/call/sync.rs
+++ b/crates/daemon/src/call/sync.rs
@@ -85,7 +85,7 @@
 }
 
 fn candidate(node: &Rc<Node>, in_force: &InForce, name: &UpstreamName) -> Option<Candidate> {
-    let member = node.control.serving(name).pop()?;
+    let member = node.control.members_serving(name).pop()?;
     let upstream = in_force.upstream(name)?;
     let own = member.peer_addr == node.cfg.peer_addr;
     let leaving = member.leaving || own && node.draining.get();
--- a/crates/daemon/src/control/directory.rs
+++ b/crates/daemon/src/control/directory.rs
@@ -65,7 +65,7 @@
         Self { by_upstream }
     }
 
-    pub(super) fn serving(&self, upstream: &str) -> Vec<Member> {
+    pub(super) fn members_serving(&self, upstream: &str) -> Vec<Member> {
         self.by_upstream.get(upstream).cloned().unwrap_or_default()
     }
 
--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -94,8 +94,8 @@
     }
 
     /// Returns the members whose target serves `upstream`; the last one is to be used.
-    pub(crate) fn serving(&self, upstream: &str) -> Vec<Member> {
-        self.directory.borrow().serving(upstream)
+    pub(crate) fn members_serving(&self, upstream: &str) -> Vec<Member> {
+        self.directory.borrow().members_serving(upstream)
     }
 
     /// Returns the deltas after `version`, oldest first.
