--- a/crates/daemon/src/control/gauges.rs
+++ b/crates/daemon/src/control/gauges.rs
@@ -7,7 +7,7 @@
 
 impl Control {
     /// Sets the gauges to the current values.
-    pub(crate) fn report(&self, metrics: &Metrics) {
+    pub(crate) fn set_gauges(&self, metrics: &Metrics) {
         let gauge = |name: &str, value: u64| metrics.gauge(name, value);
         gauge("control.version_held", self.replica.borrow().version());
         gauge("control.version_in_force", self.in_force().state.version());
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/node.rs
@@ -49,7 +49,7 @@
     /// Every metric of this daemon as text lines.
     pub(crate) fn metrics_text(&self) -> String {
         let usage = self.platform.usage();
-        self.control.report(&self.metrics);
+        self.control.set_gauges(&self.metrics);
         let gauge = |name, value| self.metrics.gauge(name, value);
         gauge("platform.sent_bytes", usage.bytes_sent);
         gauge("platform.received_bytes", usage.bytes_received);
