--- a/crates/daemon/src/call/homes.rs
+++ b/crates/daemon/src/call/homes.rs
@@ -81,7 +81,7 @@
     key: &IdempotencyKey,
     home_query: &HomeQuery,
 ) -> Result<(), RunEnd> {
-    let Some(member) = node.control.serving(&home_query.upstream).pop() else {
+    let Some(member) = node.control.members_serving(&home_query.upstream).pop() else {
         mark_if_deleted(node, key, home_query);
         return Err(not_confirmed(
             node,
