--- a/crates/scenario/src/daemon/control.rs
+++ b/crates/scenario/src/daemon/control.rs
@@ -191,7 +191,7 @@
     };
     match control.cold_start.tick(now, standing) {
         Some(ColdStartAction::ReadRoster { all_rows }) => {
-            node.spawn(read_roster(Rc::clone(node), all_rows))
+            node.spawn(read_roster(Rc::clone(node), all_rows));
         }
         Some(ColdStartAction::PullPeer(peer)) => node.spawn(pull(Rc::clone(node), Some(peer))),
         Some(ColdStartAction::PullPlatform) => node.spawn(pull(Rc::clone(node), None)),
