--- a/crates/membership/src/isolation.rs
+++ b/crates/membership/src/isolation.rs
@@ -30,7 +30,7 @@
 /// Without this check, a daemon that loses its network declares its whole zone
 /// dead and spreads that as soon as it reconnects, which empties every table. If
 /// most own-zone probes fail while no other zone answers, the common cause is this
-/// daemon, so it declares nobody suspect or dead. The same outcomes arise when a
+/// daemon, so it declares no member suspect or dead. The same outcomes arise when a
 /// zone really lost most of its members and all links to other zones: its dead
 /// members then stay in the tables as unreached, which costs retries only.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -214,9 +214,9 @@
     /// calls to a target whose departure the previous process acknowledged. The target's
     /// answer is sufficient: it stops reporting itself ready when it begins to leave, which
     /// is before any acknowledgement.
-    pub fn confirm(&mut self, upstream: &str) {
+    pub fn confirm(&mut self, generation_id: &str) {
         let generation = self.current.as_mut();
-        if let Some(generation) = generation.filter(|it| it.heartbeat.upstream == upstream) {
+        if let Some(generation) = generation.filter(|it| it.heartbeat.upstream == generation_id) {
             generation.is_confirmed = true;
         }
     }
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -228,8 +228,8 @@
         self.isolation.is_isolated()
     }
 
-    /// Returns the time since the platform's head was last read, by this daemon or by
-    /// any other whose read is known here.
+    /// Returns the time since the head, which is the newest configuration version at the
+    /// platform, was last read, by this daemon or by any other whose read is known here.
     #[must_use]
     pub fn head_age(&self, now: Time) -> Option<Time> {
         self.head_read.map(|at| now.saturating_sub(at))
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -24,7 +24,7 @@
 const RELAYS_PER_ZONE: usize = 2;
 
 /// Unanswered contacts after which an unconfirmed instance no longer counts as a relay.
-/// Otherwise rows of instances that are gone for good would leave a zone without relays
+/// Otherwise rows of instances that no longer exist would leave a zone without relays
 /// until they are forgotten.
 const MAX_RELAY_CONTACTS: u32 = 2;
 
--- a/crates/membership/src/tick.rs
+++ b/crates/membership/src/tick.rs
@@ -15,7 +15,7 @@
 const CONTACTS_PER_TICK: usize = 3;
 
 /// Age of the process from which it contacts unconfirmed members of zones in which it
-/// already knows somebody. By then, the rows of live members have arrived from their own
+/// already knows a member. By then, the rows of live members have arrived from their own
 /// zone.
 const OTHER_ZONE_CONTACTS_AFTER: Time = Time::from_secs(5);
 
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -36,8 +36,9 @@
     /// Highest version that the sender has seen the receiver report. A receiver that
     /// restarted must not fall back below it.
     pub floor: u64,
-    /// Tenths of a second since the platform's head was last read, by the sender or by any
-    /// other daemon whose read is known to it; `u16::MAX` if no read is known.
+    /// Tenths of a second since the head, which is the newest configuration version at the
+    /// platform, was last read, by the sender or by any other daemon whose read is known to
+    /// it; `u16::MAX` if no read is known.
     pub head_age: u16,
     /// Digest of the sender's table.
     pub table: u64,
--- a/crates/membership/tests/all/failures.rs
+++ b/crates/membership/tests/all/failures.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn news_that_all_have_is_soon_told_no_more() {
+fn updates_known_everywhere_stop_being_sent() {
     // A whole fleet starts. Daemons must not send all rows for as many rounds as an
     // epidemic may need although every table is complete: that would take the traffic
     // budget of minutes.
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_cut_zone_kills_nobody() {
+fn an_unreachable_zone_declares_no_member_dead() {
     // A zone is cut off. If failed probes to other zones led to deaths, callers in the
     // zone would get no answer, and both sides would have empty tables after the cut
     // heals. Only probes within a zone may lead to a death.
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn who_wakes_from_a_freeze_declares_nobody_dead() {
+fn a_process_that_resumes_from_a_freeze_declares_no_member_dead() {
     // A process is frozen while it holds a peer for suspect. The peer's timer expires
     // during the freeze. If it fired on resumption, the process would spread a death that
     // the peer refuted long ago, and callers would lose a healthy target.
@@ -240,7 +240,7 @@
     fleet.input(key(0, 0), Input::HeadRead);
     fleet.run(Duration::from_mins(1));
     for node in fleet.nodes.values() {
-        let age = node.head_age(fleet.now).expect("heard");
+        let age = node.head_age(fleet.now).expect("age known");
         assert!(age >= Duration::from_mins(1), "{age:?}");
     }
 }
--- a/crates/membership/tests/all/local_target.rs
+++ b/crates/membership/tests/all/local_target.rs
@@ -30,7 +30,7 @@
     }
 }
 
-fn admitted(target: &LocalTarget, now: Duration) -> Option<&str> {
+fn accepting(target: &LocalTarget, now: Duration) -> Option<&str> {
     target
         .accepting_heartbeat(now)
         .map(|it| it.upstream.as_str())
@@ -50,21 +50,21 @@
 /// A daemon that has just started does not know its target's state. The previous daemon
 /// process may have acknowledged the target's drain, after which calls arrive too late.
 #[test]
-fn nothing_is_admitted_before_the_first_heartbeat() {
+fn no_calls_are_accepted_before_the_first_heartbeat() {
     let mut target = LocalTarget::new(INTERVAL);
-    assert_eq!(admitted(&target, at(0)), None);
+    assert_eq!(accepting(&target, at(0)), None);
     target.confirm("a");
-    assert_eq!(admitted(&target, at(0)), None);
+    assert_eq!(accepting(&target, at(0)), None);
     target.record_heartbeat(heartbeat("a", 1), at(0));
     target.confirm("a");
-    assert_eq!(admitted(&target, at(0)), Some("a"));
+    assert_eq!(accepting(&target, at(0)), Some("a"));
 }
 
 /// A daemon acknowledged its target's departure and was restarted. A heartbeat from before
 /// the departure arrives late, and no peer has answered yet. Calls must not be sent before
 /// the target itself has confirmed the generation.
 #[test]
-fn a_heartbeat_alone_admits_nothing() {
+fn an_unconfirmed_target_accepts_no_calls() {
     let mut target = LocalTarget::new(INTERVAL);
     assert_eq!(
         target.record_heartbeat(heartbeat("a", 7), at(0)),
@@ -74,11 +74,11 @@
         target.record_heartbeat(heartbeat("a", 8), at(100)),
         HeartbeatOutcome::Accepted
     );
-    assert_eq!(admitted(&target, at(100)), None);
+    assert_eq!(accepting(&target, at(100)), None);
     assert_eq!(target.announced(at(100)), None);
     assert!(target.unconfirmed(at(100)).is_some());
     target.confirm("a");
-    assert_eq!(admitted(&target, at(100)), Some("a"));
+    assert_eq!(accepting(&target, at(100)), Some("a"));
     assert!(target.announced(at(100)).is_some_and(|it| !it.draining));
     assert_eq!(target.unconfirmed(at(100)), None);
 }
@@ -86,39 +86,39 @@
 /// The target announces its drain or its departure while a confirmation is under way, and
 /// its earlier answer arrives after that.
 #[test]
-fn a_confirmation_does_not_undo_a_drain_or_a_good_bye() {
+fn a_confirmation_does_not_undo_a_drain_or_a_departure() {
     let mut drains = LocalTarget::new(INTERVAL);
     drains.record_heartbeat(heartbeat("a", 1), at(0));
     drains.record_heartbeat(draining("a", 2), at(10));
     drains.confirm("a");
-    assert_eq!(admitted(&drains, at(20)), None);
+    assert_eq!(accepting(&drains, at(20)), None);
     let mut leaves = LocalTarget::new(INTERVAL);
     leaves.record_heartbeat(heartbeat("a", 1), at(0));
     leaves.record_departure("a");
     leaves.confirm("a");
-    assert_eq!(admitted(&leaves, at(20)), None);
+    assert_eq!(accepting(&leaves, at(20)), None);
     assert_eq!(leaves.unconfirmed(at(20)), None);
 }
 
 /// The target crashes while a confirmation is under way, and restarts. The answer of the
 /// former generation does not apply to the current one, whichever arrives first.
 #[test]
-fn an_answer_for_an_earlier_life_changes_nothing() {
+fn an_answer_for_an_earlier_generation_changes_nothing() {
     let mut target = LocalTarget::new(INTERVAL);
     target.record_heartbeat(heartbeat("a", 1), at(0));
     target.record_heartbeat(heartbeat("b", 1), at(10));
     target.confirm("a");
-    assert_eq!(admitted(&target, at(20)), None);
+    assert_eq!(accepting(&target, at(20)), None);
     target.record_answer("a", "c");
     target.confirm("b");
-    assert_eq!(admitted(&target, at(20)), Some("b"));
+    assert_eq!(accepting(&target, at(20)), Some("b"));
 }
 
 #[test]
 fn a_target_that_drains_takes_no_new_calls_whatever_comes_late() {
     let mut target = confirmed(&["a"]);
     target.record_heartbeat(draining("a", 3), at(100));
-    assert_eq!(admitted(&target, at(100)), None);
+    assert_eq!(accepting(&target, at(100)), None);
     assert_eq!(
         target.record_heartbeat(heartbeat("a", 2), at(200)),
         HeartbeatOutcome::Stale
@@ -127,41 +127,41 @@
         target.record_heartbeat(heartbeat("a", 4), at(300)),
         HeartbeatOutcome::Accepted
     );
-    assert_eq!(admitted(&target, at(300)), None, "a drain is final");
+    assert_eq!(accepting(&target, at(300)), None, "a drain is final");
 }
 
 #[test]
-fn a_target_that_said_good_bye_takes_no_new_calls() {
+fn a_target_that_announced_its_departure_takes_no_new_calls() {
     let mut target = confirmed(&["a"]);
     target.record_departure("a");
-    assert_eq!(admitted(&target, at(0)), None);
+    assert_eq!(accepting(&target, at(0)), None);
     assert!(target.announced(at(0)).is_some_and(|it| it.draining));
     target.record_heartbeat(heartbeat("a", 2), at(100));
-    assert_eq!(admitted(&target, at(100)), None);
+    assert_eq!(accepting(&target, at(100)), None);
 }
 
 /// The target crashed and restarted. A delayed heartbeat of the earlier generation arrives
 /// last; it must not bring that generation back.
 #[test]
-fn a_late_heartbeat_of_an_earlier_life_changes_nothing() {
+fn a_late_heartbeat_of_an_earlier_generation_changes_nothing() {
     let mut target = confirmed(&["a", "b"]);
     assert_eq!(
         target.record_heartbeat(heartbeat("a", 8), at(200)),
         HeartbeatOutcome::Stale
     );
-    assert_eq!(admitted(&target, at(200)), Some("b"));
+    assert_eq!(accepting(&target, at(200)), Some("b"));
 }
 
 /// A delayed heartbeat of the earlier generation "a" arrives at a daemon that was restarted
 /// and does not know that "a" is the earlier one. The target's answer tells which
 /// generation is running.
 #[test]
-fn the_targets_own_answer_settles_which_life_is_the_present_one() {
+fn the_targets_own_answer_determines_the_current_generation() {
     let mut target = confirmed(&["b"]);
     target.record_heartbeat(heartbeat("a", 8), at(100));
-    assert_eq!(admitted(&target, at(100)), None);
+    assert_eq!(accepting(&target, at(100)), None);
     target.record_answer("a", "b");
-    assert_eq!(admitted(&target, at(100)), Some("b"));
+    assert_eq!(accepting(&target, at(100)), Some("b"));
     assert_eq!(
         target.record_heartbeat(heartbeat("a", 9), at(200)),
         HeartbeatOutcome::Stale
@@ -173,59 +173,59 @@
 }
 
 #[test]
-fn an_unknown_life_that_answers_leaves_nobody_admitted() {
+fn an_answer_of_an_unknown_generation_leaves_no_accepting_target() {
     let mut target = confirmed(&["a"]);
     target.record_answer("a", "c");
-    assert_eq!(admitted(&target, at(0)), None);
+    assert_eq!(accepting(&target, at(0)), None);
     target.record_heartbeat(heartbeat("c", 1), at(100));
     target.confirm("c");
-    assert_eq!(admitted(&target, at(100)), Some("c"));
+    assert_eq!(accepting(&target, at(100)), Some("c"));
 }
 
 #[test]
-fn a_target_that_falls_silent_is_gone_until_it_is_heard_again() {
+fn a_target_that_falls_silent_is_gone_until_its_next_heartbeat() {
     let mut target = confirmed(&["a"]);
-    assert_eq!(admitted(&target, at(3_000)), Some("a"));
-    assert_eq!(admitted(&target, at(3_100)), None);
+    assert_eq!(accepting(&target, at(3_000)), Some("a"));
+    assert_eq!(accepting(&target, at(3_100)), None);
     assert_eq!(target.announced(at(3_100)), None);
     target.record_heartbeat(heartbeat("a", 2), at(3_200));
-    assert_eq!(admitted(&target, at(3_200)), Some("a"));
+    assert_eq!(accepting(&target, at(3_200)), Some("a"));
 }
 
 /// The first message that a restarted daemon gets is its target's departure notice, which
 /// it acknowledges. A delayed heartbeat from before the departure arrives next, and looks
 /// like one of a new target that accepts calls.
 #[test]
-fn a_good_bye_holds_for_a_life_that_was_not_known_before() {
+fn a_departure_applies_to_a_generation_that_was_not_known_before() {
     let mut target = LocalTarget::new(INTERVAL);
     target.record_departure("a");
     assert_eq!(
         target.record_heartbeat(heartbeat("a", 7), at(100)),
         HeartbeatOutcome::Stale
     );
-    assert_eq!(admitted(&target, at(100)), None);
+    assert_eq!(accepting(&target, at(100)), None);
     target.record_heartbeat(heartbeat("b", 1), at(200));
     target.confirm("b");
-    assert_eq!(admitted(&target, at(200)), Some("b"));
+    assert_eq!(accepting(&target, at(200)), Some("b"));
 }
 
-fn heartbeat_of(born: StartMillis, sequence: u64) -> Heartbeat {
+fn heartbeat_started_at(start: StartMillis, sequence: u64) -> Heartbeat {
     Heartbeat {
-        born: Some(born),
-        ..heartbeat(&generation_id("a", Some(born)), sequence)
+        born: Some(start),
+        ..heartbeat(&generation_id("a", Some(start)), sequence)
     }
 }
 
 /// Returns the state after the generation of target "a" that started at 1000 was confirmed.
 fn started_at_1000() -> LocalTarget {
     let mut target = LocalTarget::new(INTERVAL);
-    target.record_heartbeat(heartbeat_of(1_000, 70), at(0));
+    target.record_heartbeat(heartbeat_started_at(1_000, 70), at(0));
     target.confirm("a#1000");
     target
 }
 
 #[test]
-fn a_life_is_named_by_id_and_birth() {
+fn a_generation_is_named_by_id_and_start_time() {
     assert_eq!(generation_id("i-7", Some(5)), "i-7#5");
     assert_eq!(generation_id("i-7", None), "i-7");
     assert_eq!(target_id_of("i-7#5"), "i-7");
@@ -236,67 +236,67 @@
 /// their sequence numbers alone they would all be stale, and the target would get no calls
 /// for as long as the former generation had lasted.
 #[test]
-fn a_target_that_starts_again_under_its_id_is_another_life() {
+fn a_target_that_restarts_under_its_id_is_another_generation() {
     let mut target = started_at_1000();
     assert_eq!(
-        target.record_heartbeat(heartbeat_of(2_000, 1), at(100)),
+        target.record_heartbeat(heartbeat_started_at(2_000, 1), at(100)),
         HeartbeatOutcome::Accepted
     );
-    assert_eq!(admitted(&target, at(100)), None, "not confirmed yet");
+    assert_eq!(accepting(&target, at(100)), None, "not confirmed yet");
     target.confirm("a#2000");
-    assert_eq!(admitted(&target, at(100)), Some("a#2000"));
+    assert_eq!(accepting(&target, at(100)), Some("a#2000"));
 }
 
 /// A target restarted under its id, and a heartbeat of the former generation was delayed by
 /// a partition.
 #[test]
-fn a_late_heartbeat_of_the_former_birth_changes_nothing() {
+fn a_late_heartbeat_with_an_earlier_start_time_changes_nothing() {
     let mut target = started_at_1000();
-    target.record_heartbeat(heartbeat_of(2_000, 1), at(100));
+    target.record_heartbeat(heartbeat_started_at(2_000, 1), at(100));
     target.confirm("a#2000");
     assert_eq!(
-        target.record_heartbeat(heartbeat_of(1_000, 71), at(200)),
+        target.record_heartbeat(heartbeat_started_at(1_000, 71), at(200)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
-        target.record_heartbeat(heartbeat_of(500, 99), at(200)),
+        target.record_heartbeat(heartbeat_started_at(500, 99), at(200)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(
         target.record_heartbeat(heartbeat("a", 99), at(200)),
         HeartbeatOutcome::Stale
     );
-    assert_eq!(admitted(&target, at(200)), Some("a#2000"));
+    assert_eq!(accepting(&target, at(200)), Some("a#2000"));
 }
 
 /// A target announced its departure, got an acknowledgement, and restarts under its id. The
 /// departure still holds for the former generation and must not affect the new one.
 #[test]
-fn a_departure_does_not_bind_the_next_birth_nor_is_it_lifted_by_it() {
+fn a_departure_applies_to_its_generation_only_and_for_good() {
     let mut target = started_at_1000();
     let left = target.departing_generation("a", None);
     assert_eq!(left, "a#1000");
     assert!(target.record_departure(&left));
-    assert_eq!(admitted(&target, at(0)), None);
+    assert_eq!(accepting(&target, at(0)), None);
     assert_eq!(
-        target.record_heartbeat(heartbeat_of(2_000, 1), at(100)),
+        target.record_heartbeat(heartbeat_started_at(2_000, 1), at(100)),
         HeartbeatOutcome::Accepted
     );
     target.confirm("a#2000");
-    assert_eq!(admitted(&target, at(100)), Some("a#2000"));
+    assert_eq!(accepting(&target, at(100)), Some("a#2000"));
     assert_eq!(
-        target.record_heartbeat(heartbeat_of(1_000, 71), at(200)),
+        target.record_heartbeat(heartbeat_started_at(1_000, 71), at(200)),
         HeartbeatOutcome::Stale
     );
     assert_eq!(target.departing_generation("a", Some(1_000)), "a#1000");
     assert!(!target.record_departure("a#1000"), "it is known already");
-    assert_eq!(admitted(&target, at(200)), Some("a#2000"));
+    assert_eq!(accepting(&target, at(200)), Some("a#2000"));
 }
 
 /// The target answers with its id alone, which does not identify a generation.
 #[test]
-fn an_answer_under_the_same_id_keeps_the_present_birth() {
+fn an_answer_under_the_same_id_keeps_the_current_generation() {
     let mut target = started_at_1000();
     target.record_answer("a#1000", "a");
-    assert_eq!(admitted(&target, at(0)), Some("a#1000"));
+    assert_eq!(accepting(&target, at(0)), Some("a#1000"));
 }
--- a/crates/membership/tests/all/merging.rs
+++ b/crates/membership/tests/all/merging.rs
@@ -70,12 +70,12 @@
 }
 
 #[test]
-fn a_new_birth_brings_its_addresses() {
+fn a_restarted_process_replaces_its_addresses() {
     let mut node = Membership::new(member(0, 0, 5), Config::default(), 1);
     let mut moved = member(0, 1, 9);
     moved.peer = ([127, 0, 0, 9], 9).into();
-    for birth in [member(0, 1, 5), moved.clone(), member(0, 1, 5)] {
-        let rows = vec![Row::from(&birth)];
+    for process in [member(0, 1, 5), moved.clone(), member(0, 1, 5)] {
+        let rows = vec![Row::from(&process)];
         node.handle(std::time::Duration::ZERO, Input::TablePulled { rows });
     }
     let held = &node.table().get(key(0, 1)).expect("held").member;
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_process_that_just_started_does_not_yield_to_its_former_life() {
+fn a_process_that_just_started_is_not_superseded_by_its_own_old_row() {
     // An instance restarts after its wall clock was set back, and reads its own old row
     // from the platform. If it took that for a newer process, it would stop, and so
     // would every process started after it.
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn news_of_a_strangers_death_is_not_taken_up() {
+fn a_dead_update_about_an_unknown_member_is_ignored() {
     // Tables forget dead members at different times. If a death of an unknown member
     // were merged, each table would take it back from those that have not forgotten it
     // yet, and it would circulate for ever.
