--- a/crates/daemon/src/control/gossip.rs
+++ b/crates/daemon/src/control/gossip.rs
@@ -69,13 +69,13 @@
             }
             Action::PeerConfig {
                 peer,
-                mark,
+                config_id,
                 floor,
                 answered,
                 ..
             } => {
-                record_peer_config(node, peer, mark);
-                record_peer_version(node, peer, mark, floor, answered);
+                record_peer_config(node, peer, config_id);
+                record_peer_version(node, peer, config_id, floor, answered);
             }
             Action::Changed(_) => is_changed = true,
             Action::Forgotten {
--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -159,11 +159,11 @@
             *self.in_force.borrow_mut() = Rc::new(InForce::new(&state));
             self.changed.notify();
         }
-        let mark = self.replica.borrow().config_id();
+        let config_id = self.replica.borrow().config_id();
         let now = self.now();
         self.membership
             .borrow_mut()
-            .handle(now, Input::ConfigChanged(mark));
+            .handle(now, Input::ConfigChanged(config_id));
     }
 
     /// Treats the held version as outdated after a suspension of the process, until
--- a/crates/daemon/src/control/tick.rs
+++ b/crates/daemon/src/control/tick.rs
@@ -45,14 +45,14 @@
 
 fn start_due_pull(node: &Rc<Node>) {
     let control = &node.control;
-    let (mark, needs_state) = {
+    let (config_id, needs_state) = {
         let replica = control.replica.borrow();
         (replica.config_id(), replica.needs_state())
     };
     let due = control
         .repair
         .borrow_mut()
-        .tick(control.now(), mark, needs_state);
+        .tick(control.now(), config_id, needs_state);
     if let Some(due) = due {
         ntex::rt::spawn(pull::repair(Rc::clone(node), due));
     }
--- a/crates/distribution/src/repair.rs
+++ b/crates/distribution/src/repair.rs
@@ -37,7 +37,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Candidate {
     peer: MemberKey,
-    mark: ConfigId,
+    config_id: ConfigId,
     due: Time,
 }
 
@@ -74,7 +74,7 @@
         }
         if self
             .candidate
-            .is_some_and(|it| it.mark.version >= theirs.version)
+            .is_some_and(|it| it.config_id.version >= theirs.version)
         {
             return;
         }
@@ -82,8 +82,12 @@
             Some(candidate) => candidate.due,
             None => now + full_jitter(&mut self.rng, MAX_PULL_DELAY),
         };
-        let mark = theirs;
-        self.candidate = Some(Candidate { peer, mark, due });
+        let config_id = theirs;
+        self.candidate = Some(Candidate {
+            peer,
+            config_id,
+            due,
+        });
     }
 
     /// Schedules a pull from the platform, which alone can tell which of two states is right and
@@ -104,7 +108,7 @@
         }
         if self
             .candidate
-            .is_some_and(|it| it.mark.version <= mine.version)
+            .is_some_and(|it| it.config_id.version <= mine.version)
         {
             self.candidate = None;
         }
--- a/crates/distribution/src/wire.rs
+++ b/crates/distribution/src/wire.rs
@@ -57,7 +57,7 @@
 
     fn try_from(reply: LogReply) -> Result<Self, SnapshotError> {
         Ok(match reply {
-            LogReply::Nothing(mark) => Self::Nothing(mark),
+            LogReply::Nothing(config_id) => Self::Nothing(config_id),
             LogReply::Deltas(deltas) => {
                 let deltas = deltas.into_iter().map(Delta::from).map(Arc::new);
                 Self::Deltas(deltas.collect())
--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -87,7 +87,7 @@
         /// Address on which the peer listens.
         addr: SocketAddr,
         /// The configuration that the peer holds.
-        mark: ConfigId,
+        config_id: ConfigId,
         /// Highest version that the peer has seen this instance report.
         floor: u64,
         /// Whether the report came in a reply to this daemon. A request may have
--- a/crates/membership/src/receive.rs
+++ b/crates/membership/src/receive.rs
@@ -104,7 +104,7 @@
         self.actions.push(Action::PeerConfig {
             peer: from,
             addr,
-            mark: message.mark,
+            config_id: message.mark,
             floor: message.floor,
             answered,
         });
--- a/crates/membership/tests/all/failures.rs
+++ b/crates/membership/tests/all/failures.rs
@@ -163,11 +163,11 @@
     // process reported.
     let mut fleet = settled(2, 5);
     let again = key(0, 0);
-    let mark = stoatstep_membership::ConfigId {
+    let config_id = stoatstep_membership::ConfigId {
         version: 7,
         digest: 1,
     };
-    fleet.input(again, Input::ConfigChanged(mark));
+    fleet.input(again, Input::ConfigChanged(config_id));
     fleet.run(Duration::from_secs(10));
     fleet.nodes.remove(&again);
     fleet.run(Duration::from_secs(20));
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -107,7 +107,7 @@
     let reply = node.links.ask_within(addr, Ask::Following, bound).await;
     let now = node.clock.now();
     let mut contact = node.fleet.contact.borrow_mut();
-    let Ok(Reply::Following(following, mark)) = reply else {
+    let Ok(Reply::Following(following, config_id)) = reply else {
         contact.mark_silent(key, now);
         node.journal.count("host.followers_missed");
         return None;
@@ -118,13 +118,13 @@
         Following::No => {}
     }
     drop(contact);
-    versions::pull_if_newer(node, key, addr, mark);
+    versions::pull_if_newer(node, key, addr, config_id);
     Some(following)
 }
 
 /// Answers [`Ask::Following`] of another daemon in the zone.
 pub(crate) fn answer(node: &Node) -> Reply {
-    let mark = node.fleet.membership.borrow().config_id();
+    let config_id = node.fleet.membership.borrow().config_id();
     let following = if node.fleet.reaches_store.get() == Some(false) {
         Following::LostStore
     } else if role::polls_for_zone(node) {
@@ -132,7 +132,7 @@
     } else {
         Following::No
     };
-    Reply::Following(following, mark)
+    Reply::Following(following, config_id)
 }
 
 /// Records that the store answers this daemon.
--- a/crates/mesh/src/fleet/gossip.rs
+++ b/crates/mesh/src/fleet/gossip.rs
@@ -154,14 +154,14 @@
 }
 
 /// Handles a peer's unsolicited announcement of the configuration that it holds.
-pub(crate) fn peer_announced(node: &Rc<Node>, peer: MemberKey, mark: ConfigId) {
+pub(crate) fn peer_announced(node: &Rc<Node>, peer: MemberKey, config_id: ConfigId) {
     let addr = {
         let membership = node.fleet.membership.borrow();
         membership.table().get(peer).map(|it| it.member.peer)
     };
     // A peer that is not yet known is asked in the exchange that makes it known.
     if let Some(addr) = addr {
-        versions::pull_if_newer(node, peer, addr, mark);
+        versions::pull_if_newer(node, peer, addr, config_id);
     }
 }
 
@@ -201,8 +201,11 @@
                 ntex::rt::spawn(pull_table(Rc::clone(node), addr, zones));
             }
             Action::PeerConfig {
-                peer, addr, mark, ..
-            } => versions::pull_if_newer(node, peer, addr, mark),
+                peer,
+                addr,
+                config_id,
+                ..
+            } => versions::pull_if_newer(node, peer, addr, config_id),
             Action::Changed(key) => {
                 is_changed = true;
                 log_member(node, key);
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -50,10 +50,10 @@
             fields::VERSION => version, fields::HELD => held, fields::SOURCE => ?source, fields::ERROR => %err);
         return false;
     }
-    let mark = activate(node, state);
+    let config_id = activate(node, state);
     slog::info!(node.log, "configuration in force";
         fields::VERSION => version, fields::BEFORE => held, fields::SOURCE => ?source);
-    gossip::input(node, Input::ConfigChanged(mark));
+    gossip::input(node, Input::ConfigChanged(config_id));
     announce(node, source);
     // The first configuration contains the path at which the target is probed.
     executor::confirm_target(node);
@@ -81,16 +81,16 @@
         None => state,
     };
     let in_force = InForce::new(state);
-    let mark = in_force.mark;
+    let config_id = in_force.config_id;
     *node.fleet.in_force.borrow_mut() = Some(Rc::new(in_force));
     if let Some(before) = before {
         let mut earlier_states = node.fleet.earlier_states.borrow_mut();
-        earlier_states.push_back((before.mark, Arc::clone(&before.state)));
+        earlier_states.push_back((before.config_id, Arc::clone(&before.state)));
         if earlier_states.len() > MAX_EARLIER_STATES {
             earlier_states.pop_front();
         }
     }
-    mark
+    config_id
 }
 
 /// The update for a peer that holds an older configuration.
@@ -101,14 +101,14 @@
     if held.version() <= theirs.version {
         return Newer::Nothing;
     }
-    if let Some(bytes) = cached_update(node, theirs, held.mark) {
+    if let Some(bytes) = cached_update(node, theirs, held.config_id) {
         return Newer::Packed(bytes);
     }
     let newer = compression::compress(update_from(node, theirs, &held));
     if let Newer::Packed(bytes) = &newer {
         let update = CompressedUpdate {
             from: theirs,
-            to: held.mark,
+            to: held.config_id,
             bytes: bytes.clone(),
         };
         node.fleet.compressed_update.replace(Some(update));
@@ -126,7 +126,10 @@
 
 fn update_from(node: &Node, theirs: ConfigId, held: &InForce) -> Newer {
     let earlier_states = node.fleet.earlier_states.borrow();
-    match earlier_states.iter().find(|(mark, _)| *mark == theirs) {
+    match earlier_states
+        .iter()
+        .find(|(config_id, _)| *config_id == theirs)
+    {
         Some((_, state)) => Newer::Difference((&state.difference(&held.state)).into()),
         None => Newer::Whole((&*held.state).into()),
     }
@@ -153,7 +156,10 @@
 }
 
 fn held(node: &Node) -> ConfigId {
-    node.fleet.in_force().map(|it| it.mark).unwrap_or_default()
+    node.fleet
+        .in_force()
+        .map(|it| it.config_id)
+        .unwrap_or_default()
 }
 
 async fn pull(node: &Rc<Node>, addr: SocketAddr) {
--- a/crates/mesh/src/in_force.rs
+++ b/crates/mesh/src/in_force.rs
@@ -11,7 +11,7 @@
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub(crate) state: Arc<State>,
-    pub(crate) mark: ConfigId,
+    pub(crate) config_id: ConfigId,
     pub(crate) routes: RouteTable,
     pub(crate) keys: KeyRing,
 }
@@ -19,7 +19,7 @@
 impl InForce {
     pub(crate) fn new(state: State) -> Self {
         Self {
-            mark: stoatstep_distribution::config_id_of(&state),
+            config_id: stoatstep_distribution::config_id_of(&state),
             routes: RouteTable::new(&state),
             keys: KeyRing::new(&state),
             state: Arc::new(state),
--- a/crates/mesh/src/link/server.rs
+++ b/crates/mesh/src/link/server.rs
@@ -131,8 +131,8 @@
             let evidence = rollout::evidence(&node, &service, order);
             connection.reply(id, Reply::Evidence(evidence));
         }
-        Ask::Holds(peer, mark) => {
-            fleet::gossip::peer_announced(&node, peer, mark);
+        Ask::Holds(peer, config_id) => {
+            fleet::gossip::peer_announced(&node, peer, config_id);
             connection.reply(id, Reply::Pong);
         }
         Ask::Occupancy => {
--- a/crates/scenario/src/daemon/control.rs
+++ b/crates/scenario/src/daemon/control.rs
@@ -83,8 +83,10 @@
     if is_newer && control.serves {
         control.in_force = state;
     }
-    let mark = control.replica.config_id();
-    control.membership.handle(now, Input::ConfigChanged(mark));
+    let config_id = control.replica.config_id();
+    control
+        .membership
+        .handle(now, Input::ConfigChanged(config_id));
 }
 
 /// The systems of the control side, four times a second.
@@ -121,9 +123,9 @@
     }
     let now = node.now();
     let mut control = node.control.borrow_mut();
-    let mark = control.replica.config_id();
+    let config_id = control.replica.config_id();
     let needs_state = control.replica.needs_state();
-    if let Some(due) = control.repair.tick(now, mark, needs_state) {
+    if let Some(due) = control.repair.tick(now, config_id, needs_state) {
         node.spawn(spread::repair(Rc::clone(node), due));
     }
 }
--- a/crates/scenario/src/daemon/gossip.rs
+++ b/crates/scenario/src/daemon/gossip.rs
@@ -35,8 +35,11 @@
                 Rc::clone(&node).spawn(pull_table(node, addr, zones));
             }
             Action::PeerConfig {
-                peer, mark, floor, ..
-            } => peer_holds(&node, peer, mark, floor),
+                peer,
+                config_id,
+                floor,
+                ..
+            } => peer_holds(&node, peer, config_id, floor),
             Action::Superseded { .. } => node.drain(),
             // The rest is for logs, and for tables that are not kept here.
             _ => {}
--- a/tests/all/decoders.rs
+++ b/tests/all/decoders.rs
@@ -116,7 +116,7 @@
     state.delta(vec![Resource::Service(service)], routes.collect())
 }
 
-fn mark() -> ConfigId {
+fn config_id() -> ConfigId {
     ConfigId {
         version: 7,
         digest: 8,
@@ -137,8 +137,8 @@
 
     #[test]
     fn damaged_requests_and_answers_are_read_or_refused(damages in damages()) {
-        read_damaged(&LogRequest { held: mark(), whole: false }, &damages);
-        read_damaged(&LogReply::Nothing(mark()), &damages);
+        read_damaged(&LogRequest { held: config_id(), whole: false }, &damages);
+        read_damaged(&LogReply::Nothing(config_id()), &damages);
         let answer = Answer { status: 200, headers: Vec::new(), body: vec![1, 2, 3] };
         read_damaged(&answer, &damages);
     }
@@ -177,7 +177,7 @@
     Exchange {
         from: row().key(),
         incarnation: 3,
-        mark: mark(),
+        mark: config_id(),
         floor: 6,
         head_age: 5,
         table: 4,
