--- a/crates/calls/tests/all/homes.rs
+++ b/crates/calls/tests/all/homes.rs
@@ -6,7 +6,7 @@
     HomeCheck, HomeHistory, HomeQuery, IdempotencyKey, home_of, upstream_set_id,
 };
 
-use crate::intent::timed_key;
+use crate::idempotency::timed_key;
 
 const NOW: Duration = Duration::from_secs(1_000_000);
 const EARLIER: Duration = Duration::from_hours(275);
--- a/crates/calls/tests/all/main.rs
+++ b/crates/calls/tests/all/main.rs
@@ -1,10 +1,9 @@
 //! Tests of the decisions about calls. Time is passed in as an argument.
 
 mod admission;
-mod departure;
 mod homes;
+mod idempotency;
 mod identity;
-mod intent;
 mod ledger;
 mod placement;
 mod quarantine;
@@ -14,6 +13,7 @@
 mod retry;
 mod router;
 mod routes;
+mod shutdown;
 mod silence;
 mod throttle;
 mod uplink;
--- a/crates/distribution/tests/all/main.rs
+++ b/crates/distribution/tests/all/main.rs
@@ -3,8 +3,8 @@
 mod cold_start;
 mod collect;
 mod confirmation;
-mod contact;
 mod poller;
+mod poller_health;
 mod repair;
 mod replica;
 mod roster_read_schedule;
--- a/crates/rollout/tests/all/main.rs
+++ b/crates/rollout/tests/all/main.rs
@@ -1,8 +1,8 @@
 //! Tests of the decisions about roll-outs, without a network or a clock.
 
-mod book;
 mod judge;
-mod lane;
 mod plan;
+mod progress_table;
+mod routing;
 mod service;
 mod tally;
