--- a/crates/calls/src/admission/types.rs
+++ b/crates/calls/src/admission/types.rs
@@ -63,7 +63,8 @@
     Refused(AttemptId, Refusal),
 }
 
-/// Load of an executor whose calls have classes, which its answers report to the entries.
+/// Load that an executor which admits calls by class ([`Admission`](super::Admission))
+/// reports to the entries in its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Load {
     /// Calls that have a slot.
--- a/crates/calls/src/idempotency/home.rs
+++ b/crates/calls/src/idempotency/home.rs
@@ -19,7 +19,8 @@
 /// members of its set.
 pub type KnownMembers = BTreeMap<ServiceName, BTreeSet<UpstreamName>>;
 
-/// Returns the home of a key by rendezvous hashing over the *configured* names.
+/// Returns the home of an idempotency key, which is the upstream whose executor keeps the
+/// key's record, by rendezvous hashing over the *configured* names.
 /// Liveness is ignored: two entries may disagree about it, and a request whose key
 /// has two homes could run twice.
 #[must_use]
@@ -209,7 +210,7 @@
     ///
     /// An executor that lags behind may ask although the home has moved on. The next
     /// home may not know of the lagging one, because it restarted or skipped versions.
-    /// If both were told "never", or one of them had nobody to ask, the key would run
+    /// If both were told "never", or one of them had no previous home to ask, the key would run
     /// at both. Therefore only the home that this executor knows is told "never".
     #[must_use]
     pub fn is_home(&self, key: &IdempotencyKey, asker: &UpstreamName) -> bool {
--- a/crates/calls/src/idempotency/key.rs
+++ b/crates/calls/src/idempotency/key.rs
@@ -24,7 +24,7 @@
     Timed {
         /// The UUID.
         text: SmolStr,
-        /// Creation time by the clock of whoever made the key.
+        /// Creation time by the clock of the caller that made the key.
         created: WallTime,
     },
     /// Any other text. Its creation time is unknown.
--- a/crates/calls/src/placement.rs
+++ b/crates/calls/src/placement.rs
@@ -221,7 +221,7 @@
         bytes: request.answer_bytes,
     };
     let tolerance = request.objective.mul_f64(TOLERANCE_SHARE);
-    let Some(local) = soonest_reported(&eligible.local, inputs, tolerance, now, rng) else {
+    let Some(local) = soonest_by_reports(&eligible.local, inputs, tolerance, now, rng) else {
         return soonest_sampled(&eligible.remote, inputs, now, rng);
     };
     let Some(remote) = soonest_sampled(&eligible.remote, inputs, now, rng) else {
@@ -252,7 +252,7 @@
 /// An entry that calls each of its 17 targets once a second has hardly any information
 /// without fresh reports: with 6 slots for each target and four fifths of them in use,
 /// calls wait at one target while slots are free at another.
-fn soonest_reported<'a>(
+fn soonest_by_reports<'a>(
     rows: &[&'a Row],
     inputs: EstimateInputs,
     tolerance: Duration,
--- a/crates/calls/src/quarantine/record.rs
+++ b/crates/calls/src/quarantine/record.rs
@@ -48,20 +48,21 @@
         if is_new {
             // The age is only updated here. If two daemons took over each other's age in
             // every exchange, it would drift by the transmission time each time.
-            self.age_at_change = self.age(now).min(ago);
+            self.age_at_change = self.time_since_crash(now).min(ago);
             self.changed = now;
         }
         is_new
     }
 
     /// Returns the time since the latest crash.
-    pub(super) fn age(&self, now: Time) -> Duration {
+    pub(super) fn time_since_crash(&self, now: Time) -> Duration {
         self.age_at_change + now.saturating_sub(self.changed)
     }
 
     /// Returns how long the request is still refused.
     pub(super) fn left(&self, threshold: usize, now: Time) -> Option<Duration> {
-        let left = quarantine_time(self.crashed.len(), threshold)?.saturating_sub(self.age(now));
+        let left = quarantine_time(self.crashed.len(), threshold)?
+            .saturating_sub(self.time_since_crash(now));
         (!left.is_zero()).then_some(left)
     }
 
@@ -70,7 +71,7 @@
     fn is_expired(&self, threshold: usize, now: Time) -> bool {
         let kept_for =
             quarantine_time(self.crashed.len(), threshold).map_or(SUSPICION_TTL, |it| it * 2);
-        self.age(now) > kept_for
+        self.time_since_crash(now) > kept_for
     }
 }
 
@@ -97,7 +98,7 @@
             Self::Suspected(it) => QuarantineFinding::Ended {
                 request,
                 lives: it.crashed.clone(),
-                ago: it.age(now),
+                ago: it.time_since_crash(now),
             },
             Self::Answered(at) => QuarantineFinding::Answered {
                 request,
--- a/crates/calls/src/quarantine/stored.rs
+++ b/crates/calls/src/quarantine/stored.rs
@@ -59,7 +59,7 @@
         Some(QuarantinedRequest {
             request,
             lives: known.crashed.clone(),
-            ended: wall.saturating_sub(known.age(now)),
+            ended: wall.saturating_sub(known.time_since_crash(now)),
         })
     }
 }
--- a/crates/calls/src/queue.rs
+++ b/crates/calls/src/queue.rs
@@ -9,8 +9,8 @@
 //! * The more urgent rank goes first. Within a rank, calls that can still meet their
 //!   objective go before those that can't, then the kind with the smallest admitted
 //!   share of its recent calls, then the earlier deadline.
-//! * Run times are estimated for each kind of call, because the kinds of calls to one
-//!   target differ several times in their run times.
+//! * Run times are estimated for each kind of call, which is its route, because the kinds
+//!   of calls to one target differ several times in their run times.
 //!
 //! See `docs/design/platform.md`.
 
@@ -40,7 +40,7 @@
 pub struct QueueRequest {
     /// The attempt.
     pub attempt: AttemptId,
-    /// Kind of the call; calls of one kind have similar run times.
+    /// Kind of the call, which is its route; calls of one kind have similar run times.
     pub kind: SmolStr,
     /// Rank among other calls, 0 the most urgent.
     pub rank: u8,
@@ -51,7 +51,8 @@
     pub expires: Time,
 }
 
-/// Load of an executor, which its answers report to the entries.
+/// Load that an executor which queues calls by rank and latency objective ([`Queue`])
+/// reports to the entries in its answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Occupancy {
     /// Calls that have a slot.
@@ -104,8 +105,8 @@
     #[must_use]
     pub fn occupancy(&self) -> Occupancy {
         Occupancy {
-            running: count(self.running.len()),
-            queued: count(self.waiting.len()),
+            running: to_u32(self.running.len()),
+            queued: to_u32(self.waiting.len()),
             slots: self.slots,
             service: self.kinds.mean(),
             link_backlog: Duration::ZERO,
@@ -288,6 +289,6 @@
     Refusal::retry(Reason::Overload, wait.max(MIN_RETRY_AFTER))
 }
 
-fn count(len: usize) -> u32 {
+fn to_u32(len: usize) -> u32 {
     u32::try_from(len).unwrap_or(u32::MAX)
 }
--- a/crates/calls/src/quota/token_bucket.rs
+++ b/crates/calls/src/quota/token_bucket.rs
@@ -1,4 +1,4 @@
-//! The token bucket of a customer at its home.
+//! The token bucket of a customer at the home of the customer's quota.
 
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
     pub retry_after: Option<Duration>,
 }
 
-/// The token bucket of one customer at its home.
+/// The token bucket of one customer at the home of the customer's quota.
 ///
 /// A new bucket is empty because an earlier home may have granted all tokens already. Thus
 /// successive homes together grant no more in any period than a single one would.
--- a/crates/calls/src/refusal.rs
+++ b/crates/calls/src/refusal.rs
@@ -84,7 +84,8 @@
     NotReady => "not-ready", NotRun;
     /// The caller sent no API key, or one that belongs to no customer.
     Unauthenticated => "unauthenticated", NotRun;
-    /// The daemon is cut off, and the API key may have been revoked in the meantime.
+    /// The daemon is cut off from the store and from the daemons that follow it, and the API
+    /// key may have been revoked in the meantime.
     Unconfirmed => "unconfirmed", NotRun;
     /// The customer's quota is used up.
     OverQuota => "over-quota", NotRun;
--- a/crates/calls/tests/all/idempotency.rs
+++ b/crates/calls/tests/all/idempotency.rs
@@ -45,8 +45,8 @@
     }
 }
 
-// A caller does not receive the answer and sends its claim again with the same key. It
-// gets the answer of the first run, and the claim is not posted twice.
+// A caller does not receive the answer and sends its request again with the same key. It
+// gets the answer of the first run, and the request does not run twice.
 #[test]
 fn same_key_runs_once() {
     let mut table = table();
@@ -61,7 +61,7 @@
     );
 }
 
-// A claim ran at its home, and its caller retries while a previous home is down. The
+// A request ran at the home of its key, and its caller retries while a previous home is down. The
 // home knows the outcome without asking the previous home, so the caller must get the
 // answer and not "not run". For an unknown key the table returns nothing.
 #[test]
--- a/crates/calls/tests/all/ledger.rs
+++ b/crates/calls/tests/all/ledger.rs
@@ -4,11 +4,11 @@
 use stoatstep_calls::{Answer, Arrival, AttemptStatus, Ledger, LedgerConfig, Reason, Ticket};
 
 const SECOND: Duration = Duration::from_secs(1);
-const LIFE: Duration = Duration::from_secs(10);
+const TICKET_LIFETIME: Duration = Duration::from_secs(10);
 
 fn ledger() -> Ledger {
     let cfg = LedgerConfig {
-        ticket_life: LIFE,
+        ticket_life: TICKET_LIFETIME,
         records: 4,
         answer_bytes: 1_000,
     };
@@ -49,7 +49,7 @@
     let mut ledger = ledger();
     let ticket = ledger.ticket(SECOND);
     ledger.revoke(1, ticket, 2 * SECOND);
-    let later = 2 * SECOND + LIFE;
+    let later = 2 * SECOND + TICKET_LIFETIME;
     ledger.tick(later);
     assert!(ledger.is_empty());
     assert_eq!(
@@ -67,9 +67,9 @@
     assert_eq!(ledger.arrive(1, ticket, SECOND), Arrival::New);
     assert!(ledger.start(1));
     ledger.done(1, answer(10));
-    ledger.tick(SECOND + LIFE);
+    ledger.tick(SECOND + TICKET_LIFETIME);
     assert_eq!(
-        ledger.revoke(1, ticket, SECOND + LIFE),
+        ledger.revoke(1, ticket, SECOND + TICKET_LIFETIME),
         AttemptStatus::Unknown
     );
 }
@@ -183,9 +183,9 @@
     let ticket = ledger.ticket(SECOND);
     ledger.arrive(1, ticket, SECOND);
     assert!(ledger.start(1));
-    ledger.tick(SECOND + 2 * LIFE);
+    ledger.tick(SECOND + 2 * TICKET_LIFETIME);
     assert_eq!(
-        ledger.peek(1, ticket, SECOND + 2 * LIFE),
+        ledger.peek(1, ticket, SECOND + 2 * TICKET_LIFETIME),
         AttemptStatus::Running
     );
 }
--- a/crates/calls/tests/all/silence.rs
+++ b/crates/calls/tests/all/silence.rs
@@ -55,7 +55,7 @@
 // Queries over new connections get no answer either, so the executor is gone. The call
 // must end as unknown now rather than at its deadline.
 #[test]
-fn executor_that_answers_nobody_is_given_up() {
+fn an_unresponsive_executor_is_abandoned() {
     let mut detector = detector();
     detector.sent(1, Duration::ZERO);
     let times = [200, 400, 600, 800];
--- a/crates/distribution/src/collect.rs
+++ b/crates/distribution/src/collect.rs
@@ -9,7 +9,7 @@
 /// Maximum length of a refusal's reason.
 const MAX_REASON: usize = 256;
 
-/// An instance that serves by a version.
+/// An instance that uses this configuration version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Hold {
     /// The instance.
@@ -32,7 +32,7 @@
 /// The versions held by one daemon, or by all daemons below it in a tree.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
-    /// The instances that serve by each version.
+    /// The instances that use each version.
     pub holds: BTreeMap<Version, Vec<Hold>>,
     /// Refused versions.
     pub refusals: Vec<Refusal>,
--- a/crates/distribution/src/serving.rs
+++ b/crates/distribution/src/serving.rs
@@ -1,7 +1,7 @@
 //! When a daemon may serve after a start.
 //!
-//! An instance stores nothing, so after a restart it does not know which version it served by.
-//! Serving by an older one would show callers a route that was removed, or hide one that they used.
+//! An instance stores nothing, so after a restart it does not know which version it used.
+//! Serving with an older one would show callers a route that was removed, or hide one that they used.
 //! The daemon therefore learns its former version from the platform or its peers.
 //!
 //! A daemon serves once all of this holds:
@@ -22,7 +22,7 @@
 //! newest version that they hold.
 //!
 //! A restart while the platform is up is covered whatever happened to peers, because the head is
-//! never older than what any instance served by. A restart while the platform is out is covered if
+//! never older than what any instance used. A restart while the platform is out is covered if
 //! one of the peers that answered had exchanged gossip with the former process after that process's
 //! last change, or holds that version itself. One case is not covered: the platform is out, and all
 //! peers that answered hold an older version and never learned of the newer one, because every
@@ -112,7 +112,7 @@
         self.newest = 0;
     }
 
-    /// Lets the daemon serve by what it holds if no one answered for a while after a freeze. A
+    /// Lets the daemon serve with what it holds if no one answered for a while after a freeze. A
     /// daemon that is cut off has nothing better and goes on serving.
     pub fn serve_alone(&mut self) {
         if self.service == Service::Suspended {
--- a/crates/distribution/src/wire.rs
+++ b/crates/distribution/src/wire.rs
@@ -30,7 +30,8 @@
 /// Answer to a [`LogRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LogReply {
-    /// The configuration of the answering daemon, which is not newer than the sender's.
+    /// The answering daemon has nothing newer than the sender. Holds the id of its
+    /// configuration.
     #[serde(rename = "n")]
     Nothing(ConfigId),
     /// The versions after the sender's, oldest first.
@@ -44,7 +45,8 @@
 /// A [`LogReply`] whose contents were checked.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogTail {
-    /// The configuration of the answering daemon, which is not newer than the sender's.
+    /// The answering daemon has nothing newer than the sender. Holds the id of its
+    /// configuration.
     Nothing(ConfigId),
     /// Versions, oldest first.
     Deltas(Vec<Arc<Delta>>),
--- a/crates/distribution/tests/all/replica.rs
+++ b/crates/distribution/tests/all/replica.rs
@@ -46,7 +46,7 @@
 #[test]
 fn a_bad_digest_is_refused_whole_and_explained() {
     // A delta is corrupt or was computed on another state. If it were applied in part or with other
-    // content, one proxy would route differently from all others under the same version. The old
+    // content, one daemon would route differently from all others under the same version. The old
     // version stays in force, and a whole state is requested.
     let (deltas, state) = log(2);
     let mut replica = Replica::default();
--- a/crates/distribution/tests/all/roster_read_schedule.rs
+++ b/crates/distribution/tests/all/roster_read_schedule.rs
@@ -73,7 +73,7 @@
 /// pairs that found each other do not read again soon. Until a daemon reads it again, calls reach
 /// only half of the targets, and the other half holds another configuration.
 #[test]
-fn a_herd_that_starts_at_once_is_one_fleet_within_five_seconds() {
+fn daemons_that_start_together_find_each_other_within_five_seconds() {
     for seed in 0..300 {
         for size in [2, 4, 12] {
             let connected = connected_by(Time::from_secs(5), seed, size);
--- a/crates/distribution/tests/all/serving.rs
+++ b/crates/distribution/tests/all/serving.rs
@@ -33,7 +33,7 @@
 
 #[test]
 fn peers_do_not_replace_a_platform_that_was_not_asked() {
-    // An instance reads version 5 at the platform, serves by it and crashes before any exchange. It
+    // An instance reads version 5 at the platform, serves with it and crashes before any exchange. It
     // starts again, and two peers that hold version 4 answer before the platform does. Callers
     // would see what 5 removed come back.
     let mut serving = Serving::default();
--- a/crates/rollout/src/judge.rs
+++ b/crates/rollout/src/judge.rs
@@ -3,9 +3,9 @@
 //! The new side is compared with the old one on the same route and over the same time, so that a
 //! burst of calls, a shared dependency that fails, or callers that disconnect affect both sides
 //! alike. The test computes how likely the observed number of failures or slow runs would be if the
-//! new version were no worse than the old one plus an allowance. A bad target is told from a bad
-//! version by the other canaries: without the worst canary, the others must still be worse than the
-//! old side.
+//! new version were no worse than the old one plus an allowance. A bad target is distinguished
+//! from a bad version by the other canaries: without the worst canary, the others must still be
+//! worse than the old side.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/rollout/src/order.rs
+++ b/crates/rollout/src/order.rs
@@ -19,7 +19,8 @@
     pub id: OrderId,
     /// The service.
     pub service: SmolStr,
-    /// The version to which all of the service's calls are moved.
+    /// The new version of the software, to which all of the service's calls are moved. It is
+    /// not a target in the sense of a process that runs calls.
     pub target: Software,
     /// The time from the order to its deadline.
     pub lasts: Duration,
--- a/crates/rollout/src/plan.rs
+++ b/crates/rollout/src/plan.rs
@@ -52,7 +52,7 @@
 
 impl Plan {
     /// Plans a roll-out of duration `lasts`. A bad version may get the part `exposure` of its
-    /// calls, and the canaries are as occupied as the other targets with the part `load` of them.
+    /// calls. `load` is the share of calls at which the canaries are as busy as the old targets.
     #[must_use]
     pub fn new(lasts: Duration, exposure: f64, load: f64) -> Self {
         let budget = lasts.mul_f64(exposure.clamp(0.0, 1.0) * PLANNED_PART);
--- a/crates/rollout/src/tally.rs
+++ b/crates/rollout/src/tally.rs
@@ -13,7 +13,7 @@
 
 /// Number of run-time classes. Each reaches half as far again as the one before it, so the longest
 /// is some 50 s.
-const CLASSES: usize = 24;
+const RUN_TIME_CLASSES: usize = 24;
 
 /// Upper bound of the shortest class.
 const FIRST_BOUND: Duration = Duration::from_millis(5);
@@ -56,7 +56,7 @@
     pub fn add(&mut self, other: &Self) {
         self.runs = self.runs.saturating_add(other.runs);
         self.failures = self.failures.saturating_add(other.failures);
-        let classes = other.times.len().min(CLASSES);
+        let classes = other.times.len().min(RUN_TIME_CLASSES);
         if self.times.len() < classes {
             self.times.resize(classes, 0);
         }
@@ -87,7 +87,7 @@
 fn class_of(run_time: Duration) -> usize {
     let mut bound = FIRST_BOUND;
     let mut class = 0;
-    while run_time > bound && class + 1 < CLASSES {
+    while run_time > bound && class + 1 < RUN_TIME_CLASSES {
         bound = bound.mul_f64(CLASS_RATIO);
         class += 1;
     }
--- a/crates/rollout/tests/all/judge.rs
+++ b/crates/rollout/tests/all/judge.rs
@@ -25,7 +25,7 @@
     target("r", runs, Some(50), 200 * MS)
 }
 
-fn bad(verdict: Verdict) -> (RegressionKind, Option<String>) {
+fn expect_bad(verdict: Verdict) -> (RegressionKind, Option<String>) {
     match verdict {
         Verdict::Bad(regression) => (regression.kind, regression.route.map(|it| it.to_string())),
         other => panic!("{other:?}"),
@@ -36,14 +36,14 @@
 fn a_version_that_fails_every_other_call_is_bad() {
     let new = [(); 3].map(|()| target("r", 8, Some(2), 200 * MS));
     let old = [healthy(100), healthy(100)];
-    assert_eq!(bad(judge(&new, &old)).0, RegressionKind::Failures);
+    assert_eq!(expect_bad(judge(&new, &old)).0, RegressionKind::Failures);
 }
 
 #[test]
 fn a_version_that_takes_several_times_as_long_is_bad() {
     let new = [(); 3].map(|()| target("r", 8, None, 1_000 * MS));
     let old = [healthy(100), healthy(100)];
-    assert_eq!(bad(judge(&new, &old)).0, RegressionKind::Slowness);
+    assert_eq!(expect_bad(judge(&new, &old)).0, RegressionKind::Slowness);
 }
 
 /// Three hundred successful calls of one route would hide that every second call of another fails.
@@ -51,7 +51,7 @@
 fn a_version_that_is_bad_on_one_route_is_bad() {
     let both = || merge(healthy(150), target("rare", 12, Some(2), 200 * MS));
     let old = [merge(healthy(300), target("rare", 30, None, 200 * MS))];
-    let (kind, route) = bad(judge(&[both(), both(), both()], &old));
+    let (kind, route) = expect_bad(judge(&[both(), both(), both()], &old));
     assert_eq!(
         (kind, route.as_deref()),
         (RegressionKind::Failures, Some("rare"))
@@ -90,7 +90,7 @@
         healthy(60),
         healthy(60),
     ];
-    assert_eq!(bad(judge(&new, &old)).0, RegressionKind::Failures);
+    assert_eq!(expect_bad(judge(&new, &old)).0, RegressionKind::Failures);
 }
 
 #[test]
--- a/crates/rollout/tests/all/service.rs
+++ b/crates/rollout/tests/all/service.rs
@@ -49,7 +49,7 @@
     tally: Tally,
     speed: f64,
     is_new: bool,
-    is_grey: bool,
+    fails_often: bool,
     is_slow: bool,
 }
 
@@ -86,7 +86,7 @@
             ms *= 5.0;
         }
         let mut fails = self.rng.random_bool(0.01);
-        fails |= target.is_grey && self.rng.random_bool(0.4);
+        fails |= target.fails_often && self.rng.random_bool(0.4);
         fails |= self.kind == Kind::ShortService && self.rng.random_bool(0.1);
         if is_bad && self.kind == Kind::Slow {
             ms *= 8.0;
@@ -138,7 +138,7 @@
             tally: Tally::default(),
             speed: [0.6, 1.0, 1.4][rng.random_range(0..3)],
             is_new: n < CANARIES,
-            is_grey: kind == Kind::OneGrey && n == 0,
+            fails_often: kind == Kind::OneGrey && n == 0,
             is_slow: kind == Kind::SomeSlow && rng.random_bool(1.0 / 6.0),
         })
         .collect();
@@ -215,7 +215,7 @@
 /// Fewer than one in 1,000 versions that are as good as the old one may be rolled back: none of
 /// these, even if single targets, or a dependency of both sides, fail.
 #[test]
-fn good_versions_are_not_condemned() {
+fn good_versions_are_not_rejected() {
     for kind in [
         Kind::Good,
         Kind::OneGrey,
--- a/crates/versionlog/tests/writer.rs
+++ b/crates/versionlog/tests/writer.rs
@@ -363,7 +363,7 @@
 #[test]
 fn a_state_that_would_not_be_valid_is_refused_with_all_findings() {
     // One change adds two routes to services that don't exist. The error lists both and nothing is
-    // written, so no proxy ever receives a dangling route.
+    // written, so no daemon ever receives a dangling route.
     // Safeguard: the whole resulting state is validated before the commit.
     let platform = MemoryPlatform::new();
     let routes = vec![
@@ -397,7 +397,7 @@
 #[test]
 fn a_platform_that_lost_its_data_is_not_written_over() {
     // The platform was emptied or restored from an old copy. If a writer continued from there, new
-    // versions would have numbers below those in force, and every proxy would have to revert or
+    // versions would have numbers below those in force, and every daemon would have to revert or
     // stop updating.
     // Safeguard: `read_tail` refuses a head below the version held.
     let state = fill(&MemoryPlatform::new(), 5);
