--- a/crates/daemon/src/control/collect.rs
+++ b/crates/daemon/src/control/collect.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use stoatstep_distribution::{CollectReply, CollectRequest, Hold, Holdings};
+use stoatstep_distribution::{CollectReply, CollectRequest, Holdings, VersionInUse};
 use stoatstep_membership::MemberKey;
 
 use super::client::{Message, send_request};
@@ -73,7 +73,7 @@
     let control = &node.control;
     let me = control.me();
     let since = control.replica.borrow().since();
-    let hold = Hold {
+    let hold = VersionInUse {
         member: me,
         since_unix_ms: control.unix_ms(since),
     };
--- a/crates/distribution/src/collect.rs
+++ b/crates/distribution/src/collect.rs
@@ -11,7 +11,7 @@
 
 /// An instance that uses this configuration version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Hold {
+pub struct VersionInUse {
     /// The instance.
     pub member: MemberKey,
     /// The start of the service, in milliseconds since the Unix epoch by the instance's clock.
@@ -33,7 +33,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holdings {
     /// The instances that use each version.
-    pub holds: BTreeMap<Version, Vec<Hold>>,
+    pub holds: BTreeMap<Version, Vec<VersionInUse>>,
     /// Refused versions.
     pub refusals: Vec<Refusal>,
     /// Members that were asked and did not answer.
@@ -43,7 +43,7 @@
 impl Holdings {
     /// Builds the holdings of one daemon.
     #[must_use]
-    pub fn of_one(version: Version, hold: Hold) -> Self {
+    pub fn of_one(version: Version, hold: VersionInUse) -> Self {
         Self {
             holds: BTreeMap::from([(version, vec![hold])]),
             ..Self::default()
@@ -88,7 +88,7 @@
         self.holds.values().flatten().map(|hold| hold.member)
     }
 
-    fn add_hold(&mut self, version: Version, hold: Hold) {
+    fn add_hold(&mut self, version: Version, hold: VersionInUse) {
         let known = self
             .holds
             .iter()
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -27,7 +27,7 @@
 mod wire;
 
 pub use cold_start::{ColdStart, ColdStartAction, ColdStartInput};
-pub use collect::{Hold, Holdings, Refusal};
+pub use collect::{Holdings, Refusal, VersionInUse};
 pub use confirmation::{Confirmation, StoreClock};
 pub use poller::{PollOutcome, PollRole, Poller};
 pub use poller_health::PollerHealth;
--- a/crates/distribution/tests/all/collect.rs
+++ b/crates/distribution/tests/all/collect.rs
@@ -1,12 +1,12 @@
 //! Aggregation of the fleet's status from its parts.
 
-use stoatstep_distribution::{Hold, Holdings};
+use stoatstep_distribution::{Holdings, VersionInUse};
 
 fn one(version: u64, member: u64) -> Holdings {
     let since_unix_ms = version;
     Holdings::of_one(
         version,
-        Hold {
+        VersionInUse {
             member,
             since_unix_ms,
         },
@@ -25,7 +25,7 @@
     assert_eq!(all.holds[&5].len(), 1);
     assert_eq!(
         all.holds[&4],
-        vec![Hold {
+        vec![VersionInUse {
             member: 2,
             since_unix_ms: 4
         }]
