--- a/crates/calls/src/idempotency/home.rs
+++ b/crates/calls/src/idempotency/home.rs
@@ -20,9 +20,9 @@
 pub type KnownMembers = BTreeMap<ServiceName, BTreeSet<UpstreamName>>;
 
 /// Returns the home of an idempotency key, which is the upstream whose executor keeps the
-/// key's record, by rendezvous hashing over the *configured* names.
-/// Liveness is ignored: two entries may disagree about it, and a request whose key
-/// has two homes could run twice.
+/// key's record, by rendezvous hashing over the *configured* names. Liveness is ignored:
+/// two entries may disagree about it, and a request whose key has two homes could run
+/// twice.
 #[must_use]
 pub fn home_of<'a>(
     names: &'a BTreeSet<UpstreamName>,
--- a/crates/membership/src/local_target.rs
+++ b/crates/membership/src/local_target.rs
@@ -207,16 +207,17 @@
         }
     }
 
-    /// Records the target's answer that it is this generation and accepts calls. The answer
-    /// went to this process, so a later drain or departure notice reaches it too.
+    /// Records the target's answer that it is the generation with the id `confirmed` and
+    /// accepts calls. The answer went to this process, so a later drain or departure notice
+    /// reaches it too.
     ///
     /// Without the confirmation, a restarted daemon would accept a late heartbeat and send
     /// calls to a target whose departure the previous process acknowledged. The target's
     /// answer is sufficient: it stops reporting itself ready when it begins to leave, which
     /// is before any acknowledgement.
-    pub fn confirm(&mut self, generation_id: &str) {
+    pub fn confirm(&mut self, confirmed: &str) {
         let generation = self.current.as_mut();
-        if let Some(generation) = generation.filter(|it| it.heartbeat.upstream == generation_id) {
+        if let Some(generation) = generation.filter(|it| it.heartbeat.upstream == confirmed) {
             generation.is_confirmed = true;
         }
     }
