--- a/crates/mesh/src/entry/attempt.rs
+++ b/crates/mesh/src/entry/attempt.rs
@@ -19,7 +19,7 @@
 use crate::node::Node;
 use crate::wire::{Ask, Attempt, End, Ran, Reply, WireSettled};
 
-/// Times that one attempt is sent before it gives up on stale tickets. A refusal for a
+/// Maximum number of sends of one attempt when tickets are stale. A refusal for a
 /// stale ticket carries a new ticket, and a second such refusal in a row is rare.
 const MAX_TICKETS: u32 = 3;
 
--- a/crates/mesh/src/executor/process_exit.rs
+++ b/crates/mesh/src/executor/process_exit.rs
@@ -30,7 +30,7 @@
     if is_recorded(node, upstream) {
         return;
     }
-    let fingerprints = running(node, upstream);
+    let fingerprints = running_requests(node, upstream);
     let listens = timeout(FIRST_CHECK_TIMEOUT, node.executor.target.listens()).await;
     if listens == Ok(false) {
         record(node, upstream, &fingerprints);
@@ -66,7 +66,7 @@
 
 /// Fingerprints of the requests that this generation runs, including those whose answers
 /// were just lost.
-pub(super) fn running(node: &Node, upstream: &str) -> Vec<Fingerprint> {
+pub(super) fn running_requests(node: &Node, upstream: &str) -> Vec<Fingerprint> {
     let tables = node.executor.tables.borrow();
     let runs = tables.runs.values();
     let here = runs.filter(|it| it.upstream.as_ref().is_some_and(|name| name == upstream));
--- a/crates/mesh/src/executor/run.rs
+++ b/crates/mesh/src/executor/run.rs
@@ -139,7 +139,10 @@
         return RunOutcome::not_started(refusal);
     }
     let suspected = quarantine::suspected(node, &attempt.call);
-    if suspected.is_some_and(|it| process_exit::running(node, &attempt.upstream).contains(&it)) {
+    if suspected
+        .is_some_and(|it| process_exit::running_requests(node, &attempt.upstream).contains(&it))
+    {
+        // Counts suspected requests that were refused while another copy of them ran.
         node.journal.count("requests.kept_apart");
         return RunOutcome::not_started(quarantine::refusal_while_running());
     }
--- a/crates/mesh/src/fleet/confirmation.rs
+++ b/crates/mesh/src/fleet/confirmation.rs
@@ -133,7 +133,7 @@
             let mut tries = 0;
             while is_older(&node, bound.mul_f64(ASK_AGE)) && tries < PEERS_PER_ROUND {
                 tries += 1;
-                ask(&node, next).await;
+                ask_follower(&node, next).await;
                 // A peer whose confirmation is no more recent is asked again only after the others.
                 if is_older(&node, accepted_age) {
                     next += 1;
@@ -159,12 +159,12 @@
     all.filter(|(key, _)| *key != me).collect()
 }
 
-async fn ask(node: &Rc<Node>, which: usize) {
+async fn ask_follower(node: &Rc<Node>, index: usize) {
     let followers = followers(node);
     if followers.is_empty() {
         return;
     }
-    let (_, addr) = followers[which % followers.len()];
+    let (_, addr) = followers[index % followers.len()];
     let asked_at = node.clock.now();
     let reply = node.links.ask_within(addr, Ask::Confirmed, ANSWER_TIMEOUT);
     let Ok(Reply::Confirmed(Some(reported))) = reply.await else {
--- a/crates/mesh/src/fleet/contact.rs
+++ b/crates/mesh/src/fleet/contact.rs
@@ -147,10 +147,10 @@
     let me = node.fleet.membership.borrow().me();
     let now = node.clock.now();
     let mut contact = node.fleet.contact.borrow_mut();
-    let is_news = !contact.has_lost_platform(me, now);
+    let is_new_loss = !contact.has_lost_platform(me, now);
     contact.lost_platform(me, now);
     drop(contact);
-    if is_news && role::polls_for_zone(node) {
+    if is_new_loss && role::polls_for_zone(node) {
         gossip::notify_fleet(node, &Ask::LostStore(me));
     }
 }
--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -33,6 +33,7 @@
 /// Where a configuration came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Source {
+    /// The store; logged as `Host`.
     Host,
     Peer,
 }
--- a/crates/mesh/src/link/framing.rs
+++ b/crates/mesh/src/link/framing.rs
@@ -14,13 +14,13 @@
 use crate::wire::AskId;
 
 /// First byte of a frame that holds a complete message.
-const WHOLE: u8 = 0;
+const FRAME_WHOLE: u8 = 0;
 /// First byte of a frame that holds a chunk of a message, but not the last one.
-const CHUNK: u8 = 1;
+const FRAME_CHUNK: u8 = 1;
 /// First byte of a frame that holds the last chunk of a message.
-const LAST_CHUNK: u8 = 2;
+const FRAME_LAST_CHUNK: u8 = 2;
 /// First byte of a frame which says that the rest of a message is not sent any more.
-const ABORTED: u8 = 3;
+const FRAME_ABORTED: u8 = 3;
 
 /// Length of the header of a chunk: the kind of frame and the request's id.
 const CHUNK_HEADER: usize = 1 + size_of::<u64>();
@@ -77,7 +77,7 @@
     fn push_message(&mut self, id: AskId, bytes: Bytes, is_urgent: bool) {
         let chunk_bytes = self.uplink.read(stoatstep_calls::Uplink::chunk_bytes);
         if bytes.len() <= chunk_bytes {
-            self.small.push_back(frame(WHOLE, None, &bytes));
+            self.small.push_back(frame(FRAME_WHOLE, None, &bytes));
             return;
         }
         self.uplink.record_queued(bytes.len());
@@ -103,7 +103,7 @@
         };
         if let Some(large) = self.large.remove(at) {
             self.uplink.record_dequeued(large.rest.len());
-            self.small.push_back(frame(ABORTED, Some(id), &[]));
+            self.small.push_back(frame(FRAME_ABORTED, Some(id), &[]));
         }
     }
 
@@ -133,7 +133,11 @@
         let large = self.large.front_mut()?;
         let chunk = large.rest.split_to(size.min(large.rest.len()));
         let is_last = large.rest.is_empty();
-        let kind = if is_last { LAST_CHUNK } else { CHUNK };
+        let kind = if is_last {
+            FRAME_LAST_CHUNK
+        } else {
+            FRAME_CHUNK
+        };
         let frame = frame(kind, Some(large.id), &chunk);
         if is_last {
             self.large.pop_front();
@@ -181,19 +185,19 @@
     pub(super) fn process(&mut self, frame: BytesMut) -> Result<Option<Bytes>, BadFrame> {
         let mut frame = frame.freeze();
         let kind = *frame.first().ok_or(BadFrame)?;
-        if kind == WHOLE {
+        if kind == FRAME_WHOLE {
             return Ok(Some(frame.split_off(1)));
         }
         let head = frame.get(1..CHUNK_HEADER).and_then(|it| it.try_into().ok());
         let id = AskId::from_be_bytes(head.ok_or(BadFrame)?);
         let bytes = frame.split_off(CHUNK_HEADER);
         match kind {
-            CHUNK => self.append(id, &bytes).map(|()| None),
-            LAST_CHUNK => {
+            FRAME_CHUNK => self.append(id, &bytes).map(|()| None),
+            FRAME_LAST_CHUNK => {
                 self.append(id, &bytes)?;
                 Ok(self.incomplete.remove(&id).map(BytesMut::freeze))
             }
-            ABORTED => {
+            FRAME_ABORTED => {
                 self.incomplete.remove(&id);
                 Ok(None)
             }
--- a/crates/mesh/src/link/server.rs
+++ b/crates/mesh/src/link/server.rs
@@ -104,8 +104,8 @@
         Ask::Settle(attempt, ticket) => reply_later(connection, id, async move {
             Reply::Settled(executor::settle(&node, attempt, ticket).await)
         }),
-        Ask::Gossip(message, news) => reply_later(connection, id, async move {
-            fleet::gossip::apply_piggyback(&node, news);
+        Ask::Gossip(message, piggyback) => reply_later(connection, id, async move {
+            fleet::gossip::apply_piggyback(&node, piggyback);
             let reply = fleet::gossip::answer(&node, message).await;
             Reply::Gossip(reply, fleet::gossip::piggyback(&node))
         }),
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -121,9 +121,9 @@
     /// to a target that drains.
     #[must_use = "a stale heartbeat is acked like any other, but may be worth a log line"]
     pub fn handle_heartbeat(&self, beat: Heartbeat) -> HeartbeatOutcome {
-        let heard = executor::handle_heartbeat(&self.0, beat);
+        let outcome = executor::handle_heartbeat(&self.0, beat);
         gossip::target_changed(&self.0);
-        heard
+        outcome
     }
 
     /// Handles the departure of the target with this id, for the generation that started at `born`
--- a/crates/mesh/src/quarantine.rs
+++ b/crates/mesh/src/quarantine.rs
@@ -94,8 +94,8 @@
 /// together with all its copies.
 pub(crate) fn suspected(node: &Node, call: &CallParts) -> Option<Fingerprint> {
     let content = tracked_fingerprint(node, call)?;
-    let lives = node.quarantine.known.borrow().crash_count(content);
-    (lives > 0).then_some(content)
+    let crash_count = node.quarantine.known.borrow().crash_count(content);
+    (crash_count > 0).then_some(content)
 }
 
 /// A refusal for a suspected request that is already running.
@@ -109,10 +109,10 @@
 /// request that is sent ten times a second ends the remaining targets of its service.
 pub(crate) fn target_ended(node: &Rc<Node>, upstream: &str, requests: &[Fingerprint]) {
     let now = node.clock.now();
-    let lives = vec![generation_hash(upstream)];
+    let generations = vec![generation_hash(upstream)];
     let ended = |request: &Fingerprint| QuarantineFinding::Ended {
         request: *request,
-        lives: lives.clone(),
+        lives: generations.clone(),
         ago: Duration::ZERO,
     };
     node.quarantine.interrupted.borrow_mut().extend(requests);
@@ -152,8 +152,8 @@
 
 /// Records that a target answered a call. If the request is quarantined somewhere, or soon might
 /// be, all daemons are notified at once. In the first second of a fleet no request has been
-/// answered yet, and a common one may have been running at three targets that ended; with regular
-/// exchanges alone it would be refused for seconds.
+/// answered yet, and a common one may have been running at three targets that ended, which is the
+/// threshold for a quarantine; with regular exchanges alone it would be refused for seconds.
 pub(crate) fn answered(node: &Rc<Node>, call: &CallParts) {
     let known = node.quarantine.known.borrow();
     if known.is_empty() {
@@ -192,7 +192,7 @@
     let now = node.clock.now();
     let mut known = node.quarantine.known.borrow_mut();
     let learned = known.apply(finding, now);
-    let lives = known.crash_count(finding.request());
+    let crash_count = known.crash_count(finding.request());
     drop(known);
     match learned {
         FindingEffect::Nothing
@@ -213,7 +213,7 @@
             }
             node.journal.count("requests.quarantined");
             slog::warn!(node.log, "request quarantined"; fields::CONTENT => %finding.request(),
-                fields::LIVES => lives, fields::FOR_MS => left.as_millis());
+                fields::LIVES => crash_count, fields::FOR_MS => left.as_millis());
         }
         FindingEffect::Cleared {
             was_quarantined: true,
--- a/crates/mesh/src/rollout/evaluation.rs
+++ b/crates/mesh/src/rollout/evaluation.rs
@@ -68,8 +68,8 @@
     let Some(own) = node.executor.upstream() else {
         return Vec::new();
     };
-    let book = node.rollouts.book.borrow();
-    let open = book.unfinished(node.clock.now());
+    let table = node.rollouts.progress.borrow();
+    let open = table.unfinished(node.clock.now());
     let due_evaluations = open.filter_map(|(progress, known_for, step_known_for)| {
         let order = &progress.order;
         let view = View::of(node, &order.service, &order.target);
--- a/crates/mesh/src/rollout/mod.rs
+++ b/crates/mesh/src/rollout/mod.rs
@@ -37,8 +37,8 @@
 /// Roll-out state of a daemon, and the resulting division of calls.
 #[derive(Default)]
 pub(crate) struct Rollouts {
-    book: RefCell<ProgressTable>,
-    lanes: RefCell<HashMap<ServiceName, RolloutRouting>>,
+    progress: RefCell<ProgressTable>,
+    routings: RefCell<HashMap<ServiceName, RolloutRouting>>,
     /// Calls by route of the services that have a roll-out on trial.
     mixes: RefCell<HashMap<ServiceName, RouteMix>>,
     /// When an evaluation last reached other targets of the service.
@@ -50,19 +50,19 @@
 impl Rollouts {
     /// Progress to send in the regular exchanges.
     pub(crate) fn updates(&self, now: Time) -> Vec<Progress> {
-        self.book.borrow().gossip(now)
+        self.progress.borrow().gossip(now)
     }
 
     /// Progress to send to a peer that has just started.
     pub(crate) fn all(&self) -> Vec<Progress> {
-        self.book.borrow().all()
+        self.progress.borrow().all()
     }
 
     /// The side that a call goes to if its service has a roll-out, together with the division of
     /// the service's calls.
     pub(crate) fn divide(&self, call: &CallParts, draw: u32) -> Option<(RolloutRouting, Side)> {
-        let lane = self.lanes.borrow().get(&call.service)?.clone();
-        let weight = match lane.step {
+        let routing = self.routings.borrow().get(&call.service)?.clone();
+        let weight = match routing.step {
             Step::Trial => {
                 let mut mixes = self.mixes.borrow_mut();
                 let mix = mixes.entry(call.service.clone()).or_default();
@@ -71,41 +71,42 @@
             _ => 1.0,
         };
         let draw = f64::from(draw) / f64::from(u32::MAX);
-        let side = lane.side(draw, weight, unix_time());
-        Some((lane, side))
+        let side = routing.side(draw, weight, unix_time());
+        Some((routing, side))
     }
 
     /// Whether the daemon's own target may run a call.
     pub(crate) fn admits(&self, service: &str, software: &str, upstream: &str, now: Time) -> bool {
-        let lanes = self.lanes.borrow();
-        let Some(lane) = lanes.get(service) else {
+        let routings = self.routings.borrow();
+        let Some(routing) = routings.get(service) else {
             return true;
         };
-        let is_on_trial = software == lane.target && matches!(lane.step, Step::Trial | Step::Load);
+        let is_on_trial =
+            software == routing.target && matches!(routing.step, Step::Trial | Step::Load);
         let is_isolated = self
             .last_contact
             .get()
             .is_some_and(|at| now.saturating_sub(at) > ISOLATED_AFTER);
-        lane.admits(software, upstream) && !(is_on_trial && is_isolated)
+        routing.admits(software, upstream) && !(is_on_trial && is_isolated)
     }
 
     /// Whether an order for the service is known.
     pub(crate) fn has_order(&self, service: &str) -> bool {
-        self.book.borrow().get(service).is_some()
+        self.progress.borrow().get(service).is_some()
     }
 
     /// Whether the service has an active roll-out, so that answers of its targets are counted.
     pub(crate) fn is_active(&self, service: &str) -> bool {
-        let lanes = self.lanes.borrow();
-        let lane = lanes.get(service);
-        lane.is_some_and(|it| matches!(it.step, Step::Trial | Step::Load | Step::All))
+        let routings = self.routings.borrow();
+        let routing = routings.get(service);
+        routing.is_some_and(|it| matches!(it.step, Step::Trial | Step::Load | Step::All))
     }
 }
 
 /// Where a report of roll-out progress came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Source {
-    /// The store.
+    /// The store; logged as `Host`.
     Host,
     /// A decision of this daemon.
     Own,
@@ -139,7 +140,7 @@
 }
 
 fn apply_withdrawal(node: &Rc<Node>, service: &str) {
-    let known = node.rollouts.book.borrow().get(service).cloned();
+    let known = node.rollouts.progress.borrow().get(service).cloned();
     if let Some(known) = known.filter(|it| !it.step.is_final()) {
         slog::info!(node.log, "roll-out withdrawn"; fields::SERVICE => service,
             fields::ORDER => known.order.id, fields::STEP => known.step.as_str());
@@ -150,7 +151,11 @@
 /// Applies a progress report, and forwards it if it is new.
 pub(crate) fn apply_progress(node: &Rc<Node>, progress: &Progress, source: Source) {
     let now = node.clock.now();
-    let change = node.rollouts.book.borrow_mut().apply(progress.clone(), now);
+    let change = node
+        .rollouts
+        .progress
+        .borrow_mut()
+        .apply(progress.clone(), now);
     let Change::Updated { from } = change else {
         return;
     };
@@ -170,26 +175,30 @@
 /// Recomputes the division of calls from the known orders and the membership.
 pub(crate) fn rebuild(node: &Node) {
     let now = node.clock.now();
-    let book = node.rollouts.book.borrow();
-    let mut lanes = HashMap::new();
-    for progress in book.all() {
+    let table = node.rollouts.progress.borrow();
+    let mut routings = HashMap::new();
+    for progress in table.all() {
         let service = &progress.order.service;
-        let Some((step, target)) = book.effective_step(service, now) else {
+        let Some((step, target)) = table.effective_step(service, now) else {
             continue;
         };
         let view = View::of(node, service, target);
         let names = view.new.iter().map(|it| it.upstream.clone());
-        let lane = RolloutRouting {
+        let routing = RolloutRouting {
             target: target.clone(),
             step,
             canaries: Canaries::choose(progress.order.id, names, view.old.len()),
             old: view.old_known,
             due: progress.due,
         };
-        lanes.insert(service.clone(), lane);
+        routings.insert(service.clone(), routing);
     }
-    drop(book);
+    drop(table);
     let mut mixes = node.rollouts.mixes.borrow_mut();
-    mixes.retain(|service, _| lanes.get(service).is_some_and(|it| it.step == Step::Trial));
-    *node.rollouts.lanes.borrow_mut() = lanes;
+    mixes.retain(|service, _| {
+        routings
+            .get(service)
+            .is_some_and(|it| it.step == Step::Trial)
+    });
+    *node.rollouts.routings.borrow_mut() = routings;
 }
--- a/crates/mesh/src/rollout/new_versions.rs
+++ b/crates/mesh/src/rollout/new_versions.rs
@@ -1,4 +1,4 @@
-//! Tracks software versions that appear beside others without a known order for them.
+//! Tracks software versions that appear beside others without a roll-out order.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 
 impl NewVersions {
     /// Time for which targets of a version that appeared beside another one are held back while no
-    /// order is known. News of targets and of orders spread over different paths, and calls sent in
-    /// between would reach a version that may be bad. An order is known everywhere within a second;
-    /// without one, the targets are used before their capacity is missed.
+    /// order is known. Updates about targets and about orders spread over different paths, and
+    /// calls sent in between would reach a version that may be bad. An order is known everywhere
+    /// within a second; without one, the targets are used before their capacity is missed.
     pub(crate) const HOLD_TIME: Duration = Duration::from_secs(3);
 
     /// Records the version, and returns whether its targets are to be held back for now.
--- a/crates/mesh/src/rollout/propagation.rs
+++ b/crates/mesh/src/rollout/propagation.rs
@@ -17,14 +17,14 @@
 /// notifies them directly, in addition to the messages through the followers of each zone, any of
 /// which may be gone.
 pub(super) fn propagate(node: &Rc<Node>, progress: &Progress, source: Source) {
-    let told = Ask::Rollout(progress.clone());
+    let message = Ask::Rollout(progress.clone());
     match source {
-        Source::Host | Source::Own => gossip::notify_fleet(node, &told),
-        Source::Peer => gossip::relay(node, &told),
+        Source::Host | Source::Own => gossip::notify_fleet(node, &message),
+        Source::Peer => gossip::relay(node, &message),
     }
     if source == Source::Own {
         let view = View::of(node, &progress.order.service, &progress.order.target);
         let new = view.new.into_iter().map(|it| (it.key, it.addr));
-        gossip::notify(node, new.collect(), &told);
+        gossip::notify(node, new.collect(), &message);
     }
 }
--- a/crates/mesh/src/rollout/view.rs
+++ b/crates/mesh/src/rollout/view.rs
@@ -25,6 +25,7 @@
 }
 
 impl View {
+    /// The members of a service, divided by whether they run `target`, the new version.
     pub(super) fn of(node: &Node, service: &str, target: &str) -> Self {
         let mut view = Self::default();
         node.fleet.for_each_member(|key, entry| {
