--- a/crates/spec/src/cases.rs
+++ b/crates/spec/src/cases.rs
@@ -54,13 +54,13 @@
     /// The key's home changes and changes back; versions arrive in order.
     IntentBack,
     /// The key's home changes and changes back, with skipped versions and a restart; the key is
-    /// created later.
+    /// created two ticks after the start.
     IntentBackSkip,
-    /// The key's home changes and changes back; the removed upstream is stopped before, and
-    /// versions are skipped.
+    /// The key's home changes and changes back; the removed upstream is stopped before the version
+    /// that deletes it is accepted, and versions are skipped.
     IntentStopped,
-    /// The key's home changes and changes back; the removed upstream is stopped before, and there
-    /// is a planned restart.
+    /// The key's home changes and changes back; the removed upstream is stopped before the version
+    /// that deletes it is accepted, and there is a planned restart.
     IntentPlanned,
     /// A customer's key is revoked while answers are delayed and a daemon restarts.
     Keys,
--- a/crates/spec/src/distribution/mod.rs
+++ b/crates/spec/src/distribution/mod.rs
@@ -204,7 +204,7 @@
 
     /// The assumption for restarts while the platform is unavailable: every version by which an
     /// instance served is remembered or held by some running daemon.
-    fn is_remembered(&self) -> bool {
+    fn served_versions_are_known(&self) -> bool {
         let knows = |daemon: &Daemon, i, served| {
             daemon.remembers(i) >= served || daemon.version() >= served
         };
--- a/crates/spec/src/distribution/successors.rs
+++ b/crates/spec/src/distribution/successors.rs
@@ -153,7 +153,7 @@
             let mut restarted = state.clone();
             restarted.change(i, Daemon::restart);
             restarted.restarts -= 1;
-            if self.bounds.has_platform || restarted.is_remembered() {
+            if self.bounds.has_platform || restarted.served_versions_are_known() {
                 next.push((DistributionStep::Restart(i), restarted));
             }
         }
--- a/crates/spec/src/idempotency/mod.rs
+++ b/crates/spec/src/idempotency/mod.rs
@@ -120,7 +120,7 @@
     Send(u8),
     /// An attempt arrives at the key's home by the version of its entry.
     Arrive(AttemptId),
-    /// A previous home answers the question of this executor about the attempt.
+    /// A previous home answers this executor's query about the attempt.
     Ask(usize, AttemptId),
     /// The answer of a previous home arrives.
     Hear(usize, AttemptId),
@@ -132,7 +132,7 @@
     Refuse(usize, AttemptId),
     /// The target answers.
     Finish(usize, AttemptId),
-    /// The connection to the target breaks.
+    /// The connection to the target breaks while the attempt runs, so its answer is lost.
     Lose(usize, AttemptId),
     /// The platform accepts the next version.
     Accept,
--- a/crates/spec/src/invariant.rs
+++ b/crates/spec/src/invariant.rs
@@ -5,36 +5,42 @@
 /// A property that must hold in every reachable state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Invariant {
-    /// An operation produces at most one version, however often it is sent.
+    /// An operation takes effect at most once: it produces at most one version, however often it is
+    /// sent.
     OperationOnce,
-    /// A version that is reported to an operator contains that operator's change.
+    /// An accepted change is in the log: the version that is reported to an operator contains that
+    /// operator's change.
     AcceptedIsInLog,
-    /// An operation that was refused does not produce a version, then or later.
+    /// A refused operation is not in the log: it does not produce a version, then or later.
     RefusedIsNotInLog,
     /// A change takes effect only if its resources are at the revisions that its operator read.
     ExpectedRevision,
-    /// A version's row is never changed.
+    /// An accepted configuration is never changed or removed: later reads of the log extend the
+    /// earlier ones.
     LogIsFinal,
     /// Every version in the log can be applied to the previous one.
     LogIsValid,
-    /// No instance serves by an older version than it did before.
+    /// No daemon goes back to an older version than its instance held or served by before.
     NeverBack,
-    /// No route in force refers to a service that the daemon does not hold.
+    /// No route in force at a daemon refers to a service that the daemon does not hold.
     NoDanglingReference,
-    /// The state in force is a whole version as it was accepted.
+    /// A daemon has all of a version or none of it: its state in force is an accepted version,
+    /// unchanged.
     WholeVersion,
-    /// A daemon that can read the platform reaches the newest version with one read, or with two if
-    /// the result of the first has to be refused.
+    /// An accepted configuration comes into force everywhere: a daemon that can read the platform
+    /// reaches the newest version with one read, or with two if the result of the first has to be
+    /// refused.
     CatchesUp,
     /// An attempt that was reported as not run has not run and never will.
     NotRunIsTrue,
-    /// A call that is not idempotent runs at most once, and so does a call with an idempotency key.
+    /// A call that is not idempotent runs at most once, and so does a call with an idempotency key
+    /// (printed as "intent").
     RunsOnce,
     /// A caller receives only the answer to its own request.
     OwnAnswer,
     /// The outcome "unknown" is reported only after a fault, a restart or the passing of time.
     UnknownIsHonest,
-    /// An attempt starts only before its caller's deadline.
+    /// An attempt starts only before its caller's deadline, after which the caller has given up.
     StartsInTime,
     /// A revoked key is not accepted by any daemon after the allowed delay.
     KeyEnds,
--- a/crates/spec/tests/all/calls.rs
+++ b/crates/spec/tests/all/calls.rs
@@ -77,7 +77,7 @@
 }
 
 // A duplicate of a request arrives while the first one runs. Taken for a new request it runs too,
-// and the claim is executed twice.
+// and the request is executed twice.
 #[test]
 fn a_second_copy_that_runs() {
     breaks(
@@ -106,7 +106,7 @@
     );
 }
 
-// The connection to the target breaks while a claim runs. The entry retries as if it had not run,
+// The connection to the target breaks while a request runs. The entry retries as if it had not run,
 // and it runs twice.
 #[test]
 fn a_retry_of_what_may_have_run() {
@@ -133,8 +133,8 @@
     );
 }
 
-// A claim runs at its home. A new version changes the home, and the caller's retry goes to the new
-// home, which does not ask the previous one.
+// A request runs at its home. A new version changes the home, and the caller's retry goes to the
+// new home, which does not ask the previous one.
 #[test]
 fn a_new_home_that_asks_nobody() {
     breaks(
@@ -149,7 +149,7 @@
 // b lags behind, receives the key and asks a, which answers that it never ran it; then a accepts
 // another attempt with the key as well.
 #[test]
-fn a_promise_to_one_who_is_not_the_home() {
+fn never_ran_is_answered_to_an_executor_that_is_not_the_home() {
     breaks(
         Safeguard::AskerCheck,
         Invariant::RunsOnce,
@@ -183,7 +183,7 @@
     );
 }
 
-// A claim runs at its home, which restarts. The retry finds no record of it and is taken for the
+// A request runs at its home, which restarts. The retry finds no record of it and is taken for the
 // first attempt.
 #[test]
 fn a_restarted_home_without_memory() {
@@ -219,7 +219,8 @@
     );
 }
 
-// A claim ran, and its record has expired. A retry that arrives after that is taken for a new key.
+// A request ran, and its record has expired. A retry that arrives after that is taken for a new
+// key.
 #[test]
 fn a_key_older_than_its_record() {
     breaks(
@@ -230,8 +231,8 @@
     );
 }
 
-// The connection to the target breaks while a claim runs. The home releases the key, and the retry
-// runs it again.
+// The connection to the target breaks while a request runs. The home releases the key, and the
+// retry runs it again.
 #[test]
 fn a_key_freed_after_a_lost_answer() {
     breaks(
--- a/crates/spec/tests/all/configuration.rs
+++ b/crates/spec/tests/all/configuration.rs
@@ -41,7 +41,7 @@
 }
 
 // One operator deletes a service while another adds a route to it. Each change is valid by itself;
-// together they produce a version that no proxy can apply.
+// together they produce a version that no daemon can apply.
 #[test]
 fn a_deletion_beside_a_new_route_without_validation() {
     breaks(
