--- a/crates/daemon/src/call/drain.rs
+++ b/crates/daemon/src/call/drain.rs
@@ -66,7 +66,7 @@
 }
 
 async fn leave(node: Rc<Node>) {
-    let handed_over = timeout(HANDOVER_TIMEOUT, handover::leave(&node)).await;
+    let handed_over = timeout(HANDOVER_TIMEOUT, handover::store_snapshot(&node)).await;
     if handed_over.is_err() {
         slog::warn!(node.log, "idempotency keys not handed over in time");
     }
--- a/crates/daemon/src/call/handover.rs
+++ b/crates/daemon/src/call/handover.rs
@@ -107,7 +107,7 @@
 /// Stores the snapshot for the next process. Must only be called when nothing runs and no call is
 /// accepted any more. If it fails, the next process starts with an empty table, and the outcome
 /// of keys made before its start is unknown, as after a crash.
-pub(super) async fn leave(node: &Rc<Node>) {
+pub(super) async fn store_snapshot(node: &Rc<Node>) {
     let Some(revision) = node.calls.home_row.get() else {
         return;
     };
@@ -124,7 +124,7 @@
     let tables = node.calls.executor.borrow();
     Some(SnapshotObject {
         birth,
-        memory: tables.intents.snapshot()?,
+        memory: tables.keys.snapshot()?,
         members: tables.homes.known_members(),
     })
 }
@@ -178,7 +178,7 @@
     let keys = object.memory.intents.len();
     let mut tables = node.calls.executor.borrow_mut();
     tables.homes.restore(object.members);
-    tables.intents.restore(object.memory);
+    tables.keys.restore(object.memory);
     slog::info!(node.log, "idempotency keys restored"; "keys" => keys);
 }
 
--- a/crates/daemon/src/call/homes.rs
+++ b/crates/daemon/src/call/homes.rs
@@ -158,7 +158,7 @@
             answer: WireHomeAnswer::Running,
         };
     }
-    let answer = tables.intents.status_for_new_home(&message.key);
+    let answer = tables.keys.status_for_new_home(&message.key);
     WireHomeReply {
         version,
         answer: WireHomeAnswer::from(answer),
--- a/crates/daemon/src/call/keyed.rs
+++ b/crates/daemon/src/call/keyed.rs
@@ -89,7 +89,7 @@
 
 fn lookup(node: &Rc<Node>, key: &IdempotencyKey, fingerprint: Fingerprint) -> Option<KeyDecision> {
     let tables = node.calls.executor.borrow();
-    tables.intents.lookup(key, fingerprint)
+    tables.keys.lookup(key, fingerprint)
 }
 
 fn begin(
@@ -100,7 +100,7 @@
 ) -> KeyDecision {
     let wall = node.calls.clock.wall();
     let mut tables = node.calls.executor.borrow_mut();
-    tables.intents.begin(key, fingerprint, attempt.id, wall)
+    tables.keys.begin(key, fingerprint, attempt.id, wall)
 }
 
 fn fingerprint(attempt: &Attempt) -> Fingerprint {
--- a/crates/daemon/src/call/run.rs
+++ b/crates/daemon/src/call/run.rs
@@ -187,9 +187,9 @@
         return;
     };
     if answer.memory_size() > MAX_STORED_ANSWER {
-        tables.intents.done_without_answer(key, attempt.id);
+        tables.keys.done_without_answer(key, attempt.id);
     } else {
-        tables.intents.done(key, attempt.id, Arc::clone(answer));
+        tables.keys.done(key, attempt.id, Arc::clone(answer));
     }
 }
 
@@ -205,8 +205,8 @@
         return;
     };
     if not_run {
-        tables.intents.release(key, attempt.id);
+        tables.keys.release(key, attempt.id);
     } else {
-        tables.intents.lost(key, attempt.id);
+        tables.keys.lost(key, attempt.id);
     }
 }
--- a/crates/daemon/src/call/settle.rs
+++ b/crates/daemon/src/call/settle.rs
@@ -84,8 +84,9 @@
         }
     }
 
-    /// Waits until the attempt's connection has to be abandoned. Returns `true` if the ledger still
-    /// answers over new connections, otherwise `false`.
+    /// Waits until the attempt's connection has to be abandoned. Returns `true` if the executor
+    /// still answers queries over new connections, so that the attempt can be settled there, and
+    /// `false` if it does not answer these either.
     pub(super) async fn detect_silence(&self, node: &Rc<Node>, idempotent: bool) -> bool {
         let mut cfg = SilenceConfig::default();
         if idempotent {
--- a/crates/daemon/src/call/tables.rs
+++ b/crates/daemon/src/call/tables.rs
@@ -53,7 +53,7 @@
 pub(super) struct ExecutorTables {
     pub(super) ledger: Ledger,
     pub(super) admission: Admission,
-    pub(super) intents: IdempotencyTable,
+    pub(super) keys: IdempotencyTable,
     pub(super) homes: HomeHistory,
     /// Configuration version whose sets of upstreams `homes` has applied.
     pub(super) applied_version: Option<Version>,
@@ -65,11 +65,11 @@
     pub(super) fn new(cfg: &Config, clock: &Clock) -> Self {
         let incarnation: Incarnation = rand::rng().random();
         let admission = AdmissionConfig::for_slots(INITIAL_SLOTS);
-        let intents = IdempotencyConfig::default().skew(SKEW).retention(RETENTION);
+        let keys = IdempotencyConfig::default().skew(SKEW).retention(RETENTION);
         Self {
             ledger: Ledger::new(incarnation, LedgerConfig::default()),
             admission: Admission::new(admission),
-            intents: IdempotencyTable::new(clock.started_wall(), intents),
+            keys: IdempotencyTable::new(clock.started_wall(), keys),
             homes: HomeHistory::new(cfg.upstream.clone(), SKEW, RETENTION),
             applied_version: None,
             waiting: BTreeMap::new(),
--- a/crates/daemon/src/call/tick.rs
+++ b/crates/daemon/src/call/tick.rs
@@ -65,7 +65,7 @@
     let wall = node.calls.clock.wall();
     let mut tables = node.calls.executor.borrow_mut();
     tables.ledger.tick(now);
-    tables.intents.tick(wall);
+    tables.keys.tick(wall);
     tables.homes.tick(wall);
 }
 
