--- a/crates/resource/src/delta.rs
+++ b/crates/resource/src/delta.rs
@@ -1,4 +1,4 @@
-//! What changes from one version to the next.
+//! The change from one version of the configuration to the next.
 
 use std::fmt;
 
@@ -14,34 +14,35 @@
 pub struct Delta {
     /// The version that this delta leads to.
     pub version: Version,
-    /// Resources that are new or replaced.
+    /// Resources that are created or replaced.
     pub puts: Vec<Resource>,
-    /// Resources that are gone.
+    /// Keys of the resources that are deleted.
     pub deletes: Vec<Key>,
-    /// Digest of the whole state after the change.
+    /// Digest of the whole state after the change, as the writer computed it.
     pub digest: Digest,
 }
 
-/// Why a delta was not applied; the state stays as it was.
+/// Why a [`Delta`] or a [`Difference`](crate::Difference) was not applied. The state that it was
+/// offered to is unchanged.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ApplyError {
-    /// The delta does not follow the held version.
+    /// The offered version does not follow the held version.
     OutOfOrder {
-        /// The version held.
+        /// Version of the current state.
         held: Version,
-        /// The version that the delta leads to.
+        /// Version that the change leads to.
         offered: Version,
     },
-    /// The result's digest is not the one that the writer computed.
+    /// The digest of the result differs from the one that the writer computed.
     DigestMismatch {
-        /// The digest in the delta.
+        /// The digest that the writer computed.
         expected: Digest,
         /// The digest of the result.
         found: Digest,
     },
-    /// The result has a resource that points at one that it lacks.
+    /// A resource of the result refers to one that does not exist in it.
     DanglingReference {
-        /// The resource that points.
+        /// The resource that holds the reference.
         from: Key,
         /// The resource that is missing.
         to: Key,
--- a/crates/resource/src/difference.rs
+++ b/crates/resource/src/difference.rs
@@ -1,4 +1,4 @@
-//! What leads from one state to any later one.
+//! The change from one state to any later one.
 
 use std::sync::Arc;
 
@@ -8,23 +8,24 @@
 use crate::key::Key;
 use crate::state::{Held, State};
 
-/// The resources in which a later state differs. Other than a
-/// [`Delta`](crate::Delta) it may skip versions, so that whoever missed some
-/// fetches one short message and not each of them, or a whole state.
+/// The resources in which a later state differs from an earlier one.
+///
+/// Unlike a [`Delta`](crate::Delta), it may skip versions: a daemon that missed several of them
+/// fetches one short message instead of every delta or a whole state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Difference {
-    /// The version that it leads to.
+    /// The version that this difference leads to.
     pub version: Version,
-    /// Resources that are new or replaced.
+    /// Resources that are created or replaced, with their revisions.
     pub puts: Vec<Held>,
-    /// Resources that are gone.
+    /// Keys of the resources that are deleted.
     pub deletes: Vec<Key>,
-    /// Digest of the whole later state.
+    /// Digest of the whole later state, as its holder computed it.
     pub digest: Digest,
 }
 
 impl State {
-    /// What leads from this state to `later`.
+    /// Computes the difference that leads from this state to `later`.
     #[must_use]
     pub fn difference(&self, later: &Self) -> Difference {
         let is_new = |(key, held): &(&Key, &Held)| self.get(key) != Some(*held);
@@ -39,12 +40,11 @@
         }
     }
 
-    /// The state that `difference` leads to, or why it does not lead on from this
-    /// one.
+    /// Returns the state after `difference`, whose version must be newer than this state's.
     ///
     /// # Errors
     ///
-    /// Whatever [`ApplyError`] names; `self` is unchanged then.
+    /// An [`ApplyError`] where the version is not newer, the digest differs or a reference dangles.
     pub fn advanced(&self, difference: &Difference) -> Result<Self, ApplyError> {
         if difference.version <= self.version() {
             return Err(ApplyError::OutOfOrder {
@@ -56,8 +56,8 @@
         next.checked(difference.digest)
     }
 
-    /// This state, sharing what it has in common with `earlier`. Several states in
-    /// a row then take little more memory than one.
+    /// Replaces each resource that equals one of `earlier` by that state's [`Arc`], so that several
+    /// successive states take little more memory than one.
     #[must_use]
     pub fn sharing(self, earlier: &Self) -> Self {
         let version = self.version();
--- a/crates/resource/src/digest.rs
+++ b/crates/resource/src/digest.rs
@@ -1,17 +1,17 @@
-//! Fingerprint of a whole state.
+//! Digest of a whole state.
 
 use std::fmt;
 
 use serde::de::{self, Visitor};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// First 16 bytes of a BLAKE3 hash over a state's resources and revisions.
-/// Two daemons with the same version and the same digest hold the same bytes.
+/// First 16 bytes of a BLAKE3 hash over a state's version, resources and revisions.
+/// Two daemons with the same version and the same digest hold the same configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Digest(pub [u8; LEN]);
 
-/// Bytes of a digest. Two different states of one version having the same one
-/// by chance is out of the question at this length.
+/// Length of a digest in bytes, long enough to rule out accidental collisions between different
+/// states of one version.
 const LEN: usize = 16;
 
 impl Digest {
@@ -28,8 +28,8 @@
     }
 }
 
-/// Written as one run of bytes; as a list of numbers every byte above 127 would
-/// take two on the wire.
+/// Serializes as a byte string: in a list of numbers, MessagePack encodes each byte above 127 as
+/// two.
 impl Serialize for Digest {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_bytes(&self.0)
--- a/crates/resource/src/finding.rs
+++ b/crates/resource/src/finding.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a configuration, and where.
+//! Problems found in a configuration, and their locations.
 
 use std::fmt;
 
@@ -7,12 +7,12 @@
 
 use crate::key::Key;
 
-/// Where a finding belongs. A part that is not known is absent: the daemon
-/// knows resource and field, and only the operator's side knows file and line.
+/// Location of a finding. Unknown parts are absent: the daemon knows the resource and the field,
+/// and only the operators' tool knows the file and the line.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
-    /// Path of the file as the operator named it.
+    /// Path of the file as the operator gave it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub file: Option<SmolStr>,
     /// Line in the file, counted from 1.
@@ -27,7 +27,7 @@
 }
 
 impl Place {
-    /// A place within a resource.
+    /// Creates the place of a field of a resource.
     #[must_use]
     pub fn field(resource: Key, field: impl Into<SmolStr>) -> Self {
         Self {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// A resource as a whole.
+    /// Creates the place of a resource as a whole.
     #[must_use]
     pub fn resource(resource: Key) -> Self {
         Self {
@@ -68,20 +68,20 @@
     }
 }
 
-/// One thing that is wrong. Findings are collected and reported together, so
-/// that an operator mends a file in one go and not one error at a time.
+/// One problem in a configuration. Findings are collected and reported together, so that an
+/// operator can fix all of them at once.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Finding {
-    /// Where it is.
+    /// Where the problem is.
     #[serde(default)]
     pub place: Place,
-    /// What is wrong and what would be right.
+    /// What is wrong and what is allowed instead.
     pub message: String,
 }
 
 impl Finding {
-    /// A finding at `place`.
+    /// Creates a finding at `place`.
     #[must_use]
     pub fn new(place: Place, message: impl Into<String>) -> Self {
         Self {
--- a/crates/resource/src/ids.rs
+++ b/crates/resource/src/ids.rs
@@ -1,11 +1,11 @@
-//! Names and numbers by which resources, instances and versions are known.
+//! Types of the names and numbers that identify resources, instances and versions.
 
 use smol_str::SmolStr;
 
 /// Position in the version log. The empty configuration is version 0.
 pub type Version = u64;
 
-/// The version at which a resource last changed; 0 stands for "absent".
+/// The version at which a resource last changed; 0 means that it is absent.
 pub type Revision = u64;
 
 /// Name of a [`crate::Service`].
@@ -20,14 +20,14 @@
 /// Name of a [`crate::Policy`].
 pub type PolicyName = SmolStr;
 
-/// Name of a [`crate::Customer`]: one school, one charity.
+/// Name of a [`crate::Customer`], such as one school or one charity.
 pub type CustomerName = SmolStr;
 
-/// Name of an availability zone, unique over all regions.
+/// Name of an availability zone, unique across all regions.
 pub type ZoneName = SmolStr;
 
-/// Name of an instance, which runs one target and its daemon.
+/// Name of an instance, a machine that runs one target and its daemon.
 pub type InstanceId = SmolStr;
 
-/// Id that an operator's request keeps over all its retries.
+/// Id of an operator's request, which stays the same over all its retries.
 pub type OperationId = SmolStr;
--- a/crates/resource/src/key.rs
+++ b/crates/resource/src/key.rs
@@ -1,4 +1,4 @@
-//! What resources are known by.
+//! Kinds and keys of resources.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,24 +8,24 @@
 
 use crate::validate::check_name;
 
-/// The closed set of resource kinds.
+/// The kinds of resource; the set is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// See [`crate::Policy`].
+    /// The kind of a [`crate::Policy`].
     Policy,
-    /// See [`crate::Service`].
+    /// The kind of a [`crate::Service`].
     Service,
-    /// See [`crate::Upstream`].
+    /// The kind of an [`crate::Upstream`].
     Upstream,
-    /// See [`crate::Route`].
+    /// The kind of a [`crate::Route`].
     Route,
-    /// See [`crate::Customer`].
+    /// The kind of a [`crate::Customer`].
     Customer,
 }
 
 impl Kind {
-    /// Every kind, in the order in which references point backwards.
+    /// Every kind, ordered such that a resource refers only to kinds before its own.
     pub const ALL: [Self; 5] = [
         Self::Policy,
         Self::Service,
@@ -34,7 +34,7 @@
         Self::Customer,
     ];
 
-    /// The kind's name in files, URLs and messages.
+    /// Returns the kind's name in files, URLs and messages.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -53,7 +53,7 @@
     }
 }
 
-/// Names one resource: its kind and its name within that kind.
+/// Identifies one resource by its kind and its name within that kind.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The resource's kind.
@@ -68,7 +68,7 @@
     }
 }
 
-/// The text names no kind of resource.
+/// Error of parsing a text that is not the name of a [`Kind`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnknownKind;
 
@@ -89,14 +89,14 @@
     }
 }
 
-/// Why a text names no resource.
+/// Why a text could not be parsed as a [`Key`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum KeyError {
     /// There is no slash between kind and name.
     NoSlash,
-    /// The part before the slash is no kind.
+    /// The part before the slash is not a kind.
     Kind(UnknownKind),
-    /// The part after the slash is no name; the message says why.
+    /// The part after the slash is not a valid name; the message says why.
     Name(String),
 }
 
@@ -112,7 +112,7 @@
 
 impl std::error::Error for KeyError {}
 
-/// Reads what [`Key`]'s `Display` writes, `KIND/NAME`.
+/// Parses `KIND/NAME`, which is what the [`fmt::Display`] implementation writes.
 impl FromStr for Key {
     type Err = KeyError;
 
--- a/crates/resource/src/key_digest.rs
+++ b/crates/resource/src/key_digest.rs
@@ -1,4 +1,4 @@
-//! API keys, in the only form in which they are kept.
+//! Digests of API keys. The keys themselves are never stored.
 
 use std::fmt;
 use std::hash::{Hash, Hasher};
@@ -10,24 +10,24 @@
 
 /// BLAKE3 hash of an API key.
 ///
-/// The key itself is kept nowhere: whoever reads a configuration, a log or a core dump
-/// learns no key from it. Digests are compared in constant time.
+/// The key itself is not stored, so that a configuration, a log or a core dump reveals no key.
+/// Digests are compared in constant time.
 #[derive(Clone, Copy, Eq, PartialOrd, Ord)]
 pub struct KeyDigest([u8; LEN]);
 
 const LEN: usize = 32;
 
-/// Stands for a key where a whole digest would be too long: first bytes of the digest.
+/// First bytes of a [`KeyDigest`], which identify a key where the whole digest would be too long.
 pub type KeyId = u64;
 
 impl KeyDigest {
-    /// The digest of `key`.
+    /// Computes the digest of `key`.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
         Self(*blake3::hash(key).as_bytes())
     }
 
-    /// What the key is called in messages between daemons.
+    /// Returns the id that stands for the key in messages between daemons.
     #[must_use]
     pub fn id(&self) -> KeyId {
         let mut first = [0; size_of::<KeyId>()];
@@ -60,7 +60,8 @@
     }
 }
 
-/// A text that is no digest. What it says is left out: it may be a key.
+/// Error of parsing a text that is not a [`KeyDigest`]. It does not hold the text, which may be a
+/// key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct NoKeyDigest;
 
@@ -85,7 +86,7 @@
     }
 }
 
-/// Text where people read it, and one run of bytes between daemons.
+/// Serializes as hexadecimal text in human-readable formats and as a byte string in others.
 impl Serialize for KeyDigest {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if serializer.is_human_readable() {
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -1,9 +1,9 @@
-//! The configuration that stoatstep distributes: resources, the state that
-//! they add up to, and the deltas that lead from one version to the next.
+//! The configuration that stoatstep distributes: resources, the state that they make up, and the
+//! deltas that lead from one version to the next.
 //!
-//! Everything here is pure data and pure functions, so that the daemon, the
-//! operators' tool, the scripted scenarios and the model checker all share one
-//! meaning of "a valid configuration". See `docs/concepts/configuration.md`.
+//! This crate holds only data and pure functions, so that the daemon, the operators' tool, the
+//! scripted scenarios and the model checker share one definition of a valid configuration. See
+//! `docs/concepts/configuration.md`.
 
 mod delta;
 mod difference;
--- a/crates/resource/src/state.rs
+++ b/crates/resource/src/state.rs
@@ -1,4 +1,4 @@
-//! A whole configuration at one version.
+//! The whole configuration at one version.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,7 +12,7 @@
 use crate::key::{Key, Kind};
 use crate::types::Resource;
 
-/// A resource as a state holds it.
+/// A resource of a [`State`], with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Held {
     /// The version at which the resource last changed.
@@ -21,9 +21,10 @@
     pub resource: Arc<Resource>,
 }
 
-/// A whole, immutable configuration. A new version is a new `State`: whoever
-/// holds the old one keeps a consistent view until it lets go, and no reader
-/// ever sees a version in part.
+/// The whole configuration at one version; it is immutable.
+///
+/// Each version is a new `State`. A reader that still uses an older one keeps a consistent view of
+/// it, and no reader sees a version in part.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
     version: Version,
@@ -31,12 +32,12 @@
 }
 
 impl State {
-    /// The state that a snapshot describes. What comes from elsewhere is
-    /// checked, since a resource that stood there twice would be lost silently.
+    /// Builds a state from the items of a snapshot. Duplicate keys are refused, since all but the
+    /// last resource under a key would be lost silently.
     ///
     /// # Errors
     ///
-    /// Whatever [`SnapshotError`] names.
+    /// A [`SnapshotError`] where a key is duplicated or a revision is newer than `version`.
     pub fn from_snapshot(
         version: Version,
         items: impl IntoIterator<Item = Held>,
@@ -55,35 +56,35 @@
         Ok(Self { version, resources })
     }
 
-    /// The version of this state.
+    /// Returns the version of this state.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The resource under `key`.
+    /// Returns the resource under `key`.
     #[must_use]
     pub fn get(&self, key: &Key) -> Option<&Held> {
         self.resources.get(key)
     }
 
-    /// Every resource, ordered by key.
+    /// Iterates over every resource, ordered by key.
     pub fn iter(&self) -> impl Iterator<Item = (&Key, &Held)> {
         self.resources.iter()
     }
 
-    /// Every resource of one kind, ordered by name.
+    /// Iterates over the resources of one kind, ordered by name.
     pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = &Held> {
         self.iter()
             .filter(move |(key, _)| key.kind == kind)
             .map(|(_, held)| held)
     }
 
-    /// Fingerprint of the version and all that it holds.
+    /// Computes the digest over the version, the resources and their revisions.
     ///
     /// # Panics
     ///
-    /// Never: encoding plain data into memory cannot fail.
+    /// Never, because encoding plain data into memory cannot fail.
     #[must_use]
     pub fn digest(&self) -> Digest {
         let bytes = rmp_serde::to_vec(self).expect("plain data always encodes");
@@ -92,13 +93,14 @@
         Digest::of(&hasher)
     }
 
-    /// The state after `delta`, or why it cannot follow this one. Digest and
-    /// references are checked before anyone can see the result, so that a bad
-    /// version is refused whole.
+    /// Returns the state after `delta`, which must lead to the next version. The digest and the
+    /// references are checked before the result is returned, so that an invalid version is refused
+    /// as a whole.
     ///
     /// # Errors
     ///
-    /// Whatever [`ApplyError`] names; `self` is unchanged then.
+    /// An [`ApplyError`] where the version is not the next one, the digest differs or a reference
+    /// dangles.
     pub fn apply(&self, delta: &Delta) -> Result<Self, ApplyError> {
         if delta.version != self.version + 1 {
             return Err(ApplyError::OutOfOrder {
@@ -110,7 +112,7 @@
         next.checked(delta.digest)
     }
 
-    /// This state, if it is the one that `expected` is the digest of, and whole.
+    /// Returns this state if its digest is `expected` and all its references resolve.
     pub(crate) fn checked(self, expected: Digest) -> Result<Self, ApplyError> {
         let found = self.digest();
         if found != expected {
@@ -120,7 +122,7 @@
         Ok(self)
     }
 
-    /// The delta that puts and deletes these resources on top of this state.
+    /// Builds the delta that puts and deletes these resources on top of this state.
     #[must_use]
     pub fn delta(&self, puts: Vec<Resource>, deletes: Vec<Key>) -> Delta {
         let version = self.version + 1;
@@ -133,7 +135,7 @@
         }
     }
 
-    /// Checks that every reference points at a resource that this state holds.
+    /// Checks that every reference resolves to a resource of this state.
     ///
     /// # Errors
     ///
@@ -179,22 +181,22 @@
     }
 }
 
-/// Why a snapshot does not describe a state.
+/// Why a snapshot is not a valid state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// A resource stands there twice.
+    /// Two resources have the same key.
     DuplicateKey {
-        /// The resource.
+        /// The key of both resources.
         key: Key,
     },
-    /// A resource claims to have changed after the snapshot was taken.
+    /// The revision of a resource is newer than the version of the snapshot.
     RevisionAhead {
-        /// The resource.
+        /// The key of the resource.
         key: Key,
-        /// The revision that it claims.
+        /// The revision in the snapshot.
         revision: Revision,
     },
-    /// The state's digest is not the one that the writer computed.
+    /// The digest of the state differs from the one that the writer computed.
     DigestMismatch {
         /// The digest in the snapshot.
         expected: Digest,
--- a/crates/resource/src/types.rs
+++ b/crates/resource/src/types.rs
@@ -1,4 +1,4 @@
-//! The kinds of resource that operators write.
+//! The resources that operators write, by kind.
 
 use std::time::Duration;
 
@@ -9,142 +9,137 @@
 use crate::key::{Key, Kind};
 use crate::key_digest::KeyDigest;
 
-/// Path at which a target says whether it takes calls, unless its service names
-/// another one.
+/// Path of a target's health check, unless its service sets another one.
 pub const HEALTH_PATH: &str = "/healthz";
 
-/// A service: what callers ask for, carried by its upstreams.
+/// A service, which callers address and its upstreams run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Service {
     /// Name of the service.
     pub name: ServiceName,
-    /// Policy for calls whose route names none.
+    /// Policy of calls whose route sets none.
     pub policy: Option<PolicyName>,
-    /// Path at which a target says whether it takes calls; [`HEALTH_PATH`] where
-    /// absent.
+    /// Path of the targets' health check; [`HEALTH_PATH`] if absent.
     pub health_path: Option<SmolStr>,
 }
 
 impl Service {
-    /// The path at which targets of this service say whether they take calls.
+    /// Returns the path of the targets' health check.
     #[must_use]
     pub fn health_path(&self) -> &str {
         self.health_path.as_deref().unwrap_or(HEALTH_PATH)
     }
 }
 
-/// An upstream: one target's share of a service. Its address is not written
-/// here, since targets announce themselves.
+/// An upstream: one target that serves a service. It has no address here, since targets announce
+/// theirs themselves.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Upstream {
     /// Name of the upstream, which the target's daemon announces.
     pub name: UpstreamName,
     /// The service that it serves.
     pub service: ServiceName,
-    /// Calls that the target runs at a time.
+    /// Calls that the target runs concurrently.
     pub slots: u32,
-    /// Connections that the target accepts at a time.
+    /// Connections that the target accepts concurrently.
     pub connections: u32,
 }
 
-/// A route: which paths belong to which service.
+/// A route, which maps a path prefix to a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Route {
     /// Name of the route.
     pub name: RouteName,
-    /// Host that callers name; any where absent.
+    /// Host that requests must name; any host if absent.
     pub host: Option<SmolStr>,
-    /// Path prefix; the longest that matches whole path segments wins.
+    /// Path prefix, matched by whole path segments; the longest matching prefix wins.
     pub prefix: SmolStr,
-    /// The service that answers.
+    /// The service that runs the calls.
     pub service: ServiceName,
-    /// Shares of calls that go to services by weight, in place of all of them
-    /// to `service`; empty where they are not split.
+    /// Services among which the calls are split by weight, instead of `service` running them all;
+    /// empty if they are not split.
     pub split: Vec<Share>,
-    /// Policy for these calls; the service's where absent.
+    /// Policy of these calls; the service's if absent.
     pub policy: Option<PolicyName>,
-    /// Whether a POST here may run more than once without harm.
+    /// Whether a POST to this route may run more than once without harm.
     pub idempotent: bool,
-    /// Whether callers need no key here. Where no customer is configured, nobody needs
+    /// Whether callers need no API key on this route. If no customer is configured, no route needs
     /// one.
     pub public: bool,
 }
 
-/// One service's part of a route's calls.
+/// One service's share of a route's calls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Share {
     /// The service.
     pub service: ServiceName,
-    /// Its part, relative to the sum of all weights of the route.
+    /// The service's share, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// A policy: how long calls may take, how they are retried, and what each
-/// tenant may use.
+/// A policy: timeout, priority and retries of calls, and the limits of tenants.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Policy {
     /// Name of the policy.
     pub name: PolicyName,
-    /// Longest time of a call whose caller states no deadline.
+    /// Timeout of a call whose caller sets no deadline.
     pub timeout: Duration,
-    /// Time within which an answer is worth its full price to the caller; the
-    /// timeout where absent.
+    /// Time within which an answer has its full value to the caller; the timeout if absent.
     pub latency_objective: Option<Duration>,
-    /// Rank of the calls among others, 0 the most urgent; where absent, each
-    /// caller states its own class.
+    /// Priority of the calls, 0 being the most urgent; if absent, each caller states its class.
     pub priority: Option<u8>,
-    /// How attempts that did not run are tried again.
+    /// How attempts that did not run are retried.
     pub retry: Retry,
-    /// Limits of single tenants; a tenant not named here has weight 1.
+    /// Limits of single tenants; a tenant without an entry has weight 1.
     pub limits: Vec<TenantLimit>,
 }
 
-/// How attempts are tried again.
+/// Limits of retries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Retry {
-    /// Attempts for one call, the first one included.
+    /// Maximum number of attempts of one call, including the first.
     pub attempts: u32,
-    /// Retries allowed for each hundred first attempts.
+    /// Retries allowed for every hundred first attempts.
     pub budget_percent: u32,
 }
 
-/// What one tenant may use of a service.
+/// Limits of one tenant's calls to a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TenantLimit {
     /// The tenant.
     pub tenant: CustomerName,
-    /// Share under overload, relative to the other tenants' weights.
+    /// The tenant's share under overload, relative to the weights of the other tenants.
     pub weight: u32,
-    /// Calls of this tenant that one upstream runs at a time; no bound of its
-    /// own where absent.
+    /// Calls of this tenant that one upstream runs concurrently; without a separate limit if
+    /// absent.
     pub concurrency: Option<u32>,
 }
 
-/// A customer: who its callers are is known by their keys.
+/// A customer, whose callers are identified by their API keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Customer {
-    /// Name of the customer, which targets are told.
+    /// Name of the customer, which is passed on to targets.
     pub name: CustomerName,
-    /// Digests of its keys. A customer without any can make no calls.
+    /// Digests of its API keys. A customer without keys cannot make calls.
     pub keys: Vec<KeyDigest>,
-    /// What it may use of the whole fleet; as much as it likes where absent.
+    /// Limit of its calls over the whole fleet; unlimited if absent.
     pub quota: Option<Quota>,
-    /// Rank of its calls among others, in place of that of the route's policy.
+    /// Priority of its calls, which overrides that of the route's policy.
     pub priority: Option<u8>,
 }
 
-/// Bound of a customer's calls, over all daemons together. In any span of time there are
-/// at most as many as the rate allows in it, and a burst on top.
+/// Limit of a customer's calls, over all daemons together. Within any period, at most as many calls
+/// are allowed as the rate yields in it, plus the burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Quota {
-    /// Calls a minute.
+    /// Calls per minute.
     pub per_minute: u32,
-    /// Calls that may come at once after a pause.
+    /// Calls that are allowed at once after an idle period.
     pub burst: u32,
 }
 
 impl Quota {
-    /// Calls a second.
+    /// Returns the rate in calls per second.
     #[must_use]
     pub fn per_second(&self) -> f64 {
         f64::from(self.per_minute) / 60.0
@@ -168,7 +163,7 @@
 }
 
 impl Resource {
-    /// The kind of this resource.
+    /// Returns the kind of this resource.
     #[must_use]
     pub fn kind(&self) -> Kind {
         match self {
@@ -180,7 +175,7 @@
         }
     }
 
-    /// The key under which the state holds this resource.
+    /// Returns the key of this resource in a state.
     #[must_use]
     pub fn key(&self) -> Key {
         let name = match self {
@@ -196,7 +191,7 @@
         }
     }
 
-    /// The keys that must exist for this resource to mean anything.
+    /// Returns the keys of the resources that this one refers to, all of which must exist.
     #[must_use]
     pub fn references(&self) -> Vec<Key> {
         let policy = |name: &PolicyName| Key {
