--- a/crates/resource/src/difference.rs
+++ b/crates/resource/src/difference.rs
@@ -30,8 +30,8 @@
     pub fn difference(&self, later: &Self) -> Difference {
         let is_new = |(key, held): &(&Key, &Held)| self.get(key) != Some(*held);
         let puts = later.iter().filter(is_new);
-        let is_gone = |(key, _): &(&Key, &Held)| later.get(key).is_none();
-        let deletes = self.iter().filter(is_gone);
+        let is_deleted = |(key, _): &(&Key, &Held)| later.get(key).is_none();
+        let deletes = self.iter().filter(is_deleted);
         Difference {
             version: later.version(),
             puts: puts.map(|(_, held)| held.clone()).collect(),
@@ -52,8 +52,8 @@
                 offered: difference.version,
             });
         }
-        let next = self.with(difference.version, &difference.puts, &difference.deletes);
-        next.checked(difference.digest)
+        let next = self.with_items(difference.version, &difference.puts, &difference.deletes);
+        next.verify(difference.digest)
     }
 
     /// Replaces each resource that equals one of `earlier` by that state's [`Arc`], so that several
@@ -69,6 +69,6 @@
                 resource: Arc::clone(&same.unwrap_or(held).resource),
             }
         });
-        Self::of(version, shared.collect())
+        Self::from_items(version, shared.collect())
     }
 }
--- a/crates/resource/src/files/kinds.rs
+++ b/crates/resource/src/files/kinds.rs
@@ -1,4 +1,4 @@
-//! What the tables of each kind hold.
+//! Reads the tables of each kind of resource.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use toml::de::{DeTable, DeValue};
 
 use super::lines::{FieldLines, LineIndex};
-use super::table::{Reader, Record, Source};
+use super::table::{ResourceContext, Source, TableReader};
 use super::{FileSet, SourceFile};
 use crate::finding::{Finding, Place};
 use crate::key::{Key, Kind};
@@ -18,10 +18,10 @@
 };
 use crate::wire::{RetryWire, default_weight, parse_duration};
 
-/// Longest piece of a file that a message repeats.
+/// Length in bytes of the longest part of a file that a message quotes.
 const MAX_QUOTED: usize = 40;
 
-/// Adds all resources and findings of one file to `set`.
+/// Adds the resources and the findings of one file to `set`.
 pub(super) fn read_file(file: &SourceFile, set: &mut FileSet) {
     let index = LineIndex::new(&file.text);
     let source = Source {
@@ -47,7 +47,8 @@
     }
 }
 
-/// The library's message, with the text that it is about where that is short.
+/// Returns the message of the TOML library, followed by the text that it refers to if that is
+/// short.
 fn syntax_message(error: &toml::de::Error, text: &str) -> String {
     let found = error.span().and_then(|span| text.get(span));
     match found {
@@ -77,7 +78,7 @@
 
 fn read_kind(source: &Source<'_>, kind: Kind, value: &Spanned<DeValue<'_>>, set: &mut FileSet) {
     let DeValue::Array(entries) = value.get_ref() else {
-        set.findings.push(no_table(source, kind, value));
+        set.findings.push(not_a_table(source, kind, value));
         return;
     };
     for entry in entries {
@@ -85,12 +86,12 @@
             let line = source.line(&entry.span());
             read_resource(source, kind, table, line, set);
         } else {
-            set.findings.push(no_table(source, kind, entry));
+            set.findings.push(not_a_table(source, kind, entry));
         }
     }
 }
 
-fn no_table(source: &Source<'_>, kind: Kind, value: &Spanned<DeValue<'_>>) -> Finding {
+fn not_a_table(source: &Source<'_>, kind: Kind, value: &Spanned<DeValue<'_>>) -> Finding {
     let line = source.line(&value.span());
     let message = format!("write [[{kind}]], once for each {kind}");
     finding_at(source, Some(line), message)
@@ -104,7 +105,7 @@
     set: &mut FileSet,
 ) {
     let key = name_of(table).map(|name| Key { kind, name });
-    let mut cx = Record {
+    let mut cx = ResourceContext {
         source,
         key: key.clone(),
         lines: FieldLines {
@@ -114,7 +115,7 @@
         },
         findings: Vec::new(),
     };
-    let reader = Reader::new(table, SmolStr::default(), line);
+    let reader = TableReader::new(table, SmolStr::default(), line);
     let resource = match kind {
         Kind::Policy => Resource::Policy(read_policy(&mut cx, reader)),
         Kind::Service => Resource::Service(read_service(&mut cx, reader)),
@@ -135,7 +136,7 @@
     }
 }
 
-fn read_service(cx: &mut Record<'_>, mut reader: Reader<'_>) -> Service {
+fn read_service(cx: &mut ResourceContext<'_>, mut reader: TableReader<'_>) -> Service {
     let service = Service {
         name: reader.text(cx, "name"),
         policy: reader.optional_text(cx, "policy"),
@@ -145,7 +146,7 @@
     service
 }
 
-fn read_upstream(cx: &mut Record<'_>, mut reader: Reader<'_>) -> Upstream {
+fn read_upstream(cx: &mut ResourceContext<'_>, mut reader: TableReader<'_>) -> Upstream {
     let upstream = Upstream {
         name: reader.text(cx, "name"),
         service: reader.text(cx, "service"),
@@ -156,7 +157,7 @@
     upstream
 }
 
-fn read_route(cx: &mut Record<'_>, mut reader: Reader<'_>) -> Route {
+fn read_route(cx: &mut ResourceContext<'_>, mut reader: TableReader<'_>) -> Route {
     let route = Route {
         name: reader.text(cx, "name"),
         host: reader.optional_text(cx, "host"),
@@ -171,14 +172,14 @@
     route
 }
 
-fn read_customer(cx: &mut Record<'_>, mut reader: Reader<'_>) -> Customer {
+fn read_customer(cx: &mut ResourceContext<'_>, mut reader: TableReader<'_>) -> Customer {
     let customer = Customer {
         name: reader.text(cx, "name"),
         keys: read_keys(cx, &mut reader),
         quota: reader
             .table(cx, "quota")
             .map(|reader| read_quota(cx, reader)),
-        // Too large a number is a finding of validation, not a small one here.
+        // Validation reports a priority that is too large, so it must not wrap to a valid one here.
         priority: reader
             .optional_number(cx, "priority")
             .map(|it| u8::try_from(it).unwrap_or(u8::MAX)),
@@ -187,9 +188,9 @@
     customer
 }
 
-/// The digests that could be read. What stands in the place of another one is not
-/// repeated in its finding: it may be a key.
-fn read_keys(cx: &mut Record<'_>, reader: &mut Reader<'_>) -> Vec<KeyDigest> {
+/// Reads the valid key digests. The finding of an invalid one does not quote the text, which may be
+/// a key.
+fn read_keys(cx: &mut ResourceContext<'_>, reader: &mut TableReader<'_>) -> Vec<KeyDigest> {
     let mut keys = Vec::new();
     for (place, line, text) in reader.texts(cx, "keys") {
         match text.parse() {
@@ -200,7 +201,7 @@
     keys
 }
 
-fn read_quota(cx: &mut Record<'_>, mut reader: Reader<'_>) -> Quota {
+fn read_quota(cx: &mut ResourceContext<'_>, mut reader: TableReader<'_>) -> Quota {
     let quota = Quota {
         per_minute: reader.number(cx, "per_minute"),
         burst: reader.number(cx, "burst"),
@@ -209,7 +210,7 @@
     quota
 }
 
-fn read_policy(cx: &mut Record<'_>, mut reader: Reader<'_>) -> Policy {
+fn read_policy(cx: &mut ResourceContext<'_>, mut reader: TableReader<'_>) -> Policy {
     let name = reader.text(cx, "name");
     let timeout = reader.text(cx, "timeout");
     let timeout = read_duration(cx, "timeout", &timeout);
@@ -225,14 +226,14 @@
         name,
         timeout,
         latency_objective: objective,
-        // Too large a number is a finding of validation, not a small one here.
+        // Validation reports a priority that is too large, so it must not wrap to a valid one here.
         priority: priority.map(|it| u8::try_from(it).unwrap_or(u8::MAX)),
         retry: retry.unwrap_or_else(|| RetryWire::default().into()),
         limits,
     }
 }
 
-fn read_split(cx: &mut Record<'_>, reader: &mut Reader<'_>) -> Vec<Share> {
+fn read_split(cx: &mut ResourceContext<'_>, reader: &mut TableReader<'_>) -> Vec<Share> {
     let shares = reader.tables(cx, "split").into_iter().flatten();
     let shares = shares.map(|mut reader| {
         let share = Share {
@@ -245,7 +246,7 @@
     shares.collect()
 }
 
-fn read_duration(cx: &mut Record<'_>, field: &'static str, text: &str) -> Duration {
+fn read_duration(cx: &mut ResourceContext<'_>, field: &'static str, text: &str) -> Duration {
     parse_duration(text).unwrap_or_else(|message| {
         let field = SmolStr::new_static(field);
         if !cx.has_finding(&field) {
@@ -256,7 +257,7 @@
     })
 }
 
-fn read_retry(cx: &mut Record<'_>, mut reader: Reader<'_>) -> Retry {
+fn read_retry(cx: &mut ResourceContext<'_>, mut reader: TableReader<'_>) -> Retry {
     let retry = Retry {
         attempts: reader.number(cx, "attempts"),
         budget_percent: reader.number(cx, "budget_percent"),
@@ -265,7 +266,7 @@
     retry
 }
 
-fn read_limit(cx: &mut Record<'_>, reader: Option<Reader<'_>>) -> TenantLimit {
+fn read_limit(cx: &mut ResourceContext<'_>, reader: Option<TableReader<'_>>) -> TenantLimit {
     let Some(mut reader) = reader else {
         return TenantLimit {
             tenant: SmolStr::default(),
--- a/crates/resource/src/files/lines.rs
+++ b/crates/resource/src/files/lines.rs
@@ -1,10 +1,10 @@
-//! Line numbers: from a byte's offset, and of a resource's fields.
+//! Line numbers of byte offsets and of the fields of a resource.
 
 use std::collections::BTreeMap;
 
 use smol_str::SmolStr;
 
-/// Where the lines of a text begin.
+/// Offsets of the line ends of a text.
 pub(super) struct LineIndex {
     line_ends: Vec<usize>,
 }
@@ -17,14 +17,14 @@
         }
     }
 
-    /// The line of a byte, counted from 1.
+    /// Returns the line of the byte at `offset`, counted from 1.
     pub(super) fn line(&self, offset: usize) -> u32 {
         let before = self.line_ends.partition_point(|end| *end < offset);
         u32::try_from(before + 1).unwrap_or(u32::MAX)
     }
 }
 
-/// Where one resource and each of its fields stand.
+/// File and line of one resource, and the line of each of its fields by field path.
 #[derive(Clone, Debug)]
 pub(super) struct FieldLines {
     pub(super) file: SmolStr,
@@ -33,8 +33,8 @@
 }
 
 impl FieldLines {
-    /// The line of a field; of what it belongs to where the field itself is
-    /// absent.
+    /// Returns the line of a field or, if it is absent, of the innermost field that would contain
+    /// it.
     pub(super) fn line_of(&self, field: Option<&str>) -> u32 {
         let mut path = field.unwrap_or_default();
         while !path.is_empty() {
--- a/crates/resource/src/files/mod.rs
+++ b/crates/resource/src/files/mod.rs
@@ -1,9 +1,9 @@
 //! Resource files: TOML with `[[service]]`, `[[upstream]]`, `[[route]]`,
 //! `[[policy]]` and `[[customer]]` tables.
 //!
-//! Several files make up one set. Everything that is wrong in any of them is
-//! collected with its file, line, resource and field, and reported together.
-//! See `docs/operators/resources.md` for the format.
+//! Several files make up one set. The problems of all files are collected, each with its file,
+//! line, resource and field, and reported together. See `docs/operators/resources.md` for the
+//! format.
 
 mod kinds;
 mod lines;
@@ -21,16 +21,16 @@
 use crate::validate::validate;
 use lines::FieldLines;
 
-/// One file's name, as findings give it, and its text.
+/// Name and text of one resource file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SourceFile {
-    /// Path as the operator named it.
+    /// Path as the operator gave it; findings repeat it.
     pub name: SmolStr,
-    /// The whole text.
+    /// Content of the file.
     pub text: String,
 }
 
-/// The resources of a set of files and where each field of them stands.
+/// The resources of a set of files, with the line of each of their fields.
 #[derive(Clone, Debug, Default)]
 pub struct FileSet {
     resources: BTreeMap<Key, Resource>,
@@ -39,8 +39,8 @@
 }
 
 impl FileSet {
-    /// Reads the files. A field that cannot be read becomes a finding and the
-    /// rest of its resource is kept, so that one slip does not hide the next.
+    /// Reads the files. A field that cannot be read becomes a finding, and the rest of its resource
+    /// is kept, so that one mistake does not hide others.
     #[must_use]
     pub fn read(files: &[SourceFile]) -> Self {
         let mut set = Self::default();
@@ -50,40 +50,39 @@
         set
     }
 
-    /// Every resource, ordered by key. Those with findings of their own hold
-    /// defaults in place of what could not be read.
+    /// Iterates over every resource, ordered by key. Fields that could not be read hold default
+    /// values.
     pub fn resources(&self) -> impl Iterator<Item = &Resource> {
         self.resources.values()
     }
 
-    /// What was wrong with the files themselves, in the order of the files.
+    /// Returns the findings of reading the files, in the order of the files.
     #[must_use]
     pub fn findings(&self) -> &[Finding] {
         &self.findings
     }
 
-    /// Every finding of the files and of the state that they would make of
-    /// `base`, each with its file and line where it has one, ordered by file
-    /// and line.
+    /// Returns the findings of the files and of the state that results from adding their resources
+    /// to `base`. Each has its file and line, if known, and they are ordered by file and line.
     #[must_use]
     pub fn validate_over(&self, base: &State) -> Vec<Finding> {
-        let of_state = validate(&self.over(base)).into_iter();
-        let of_state = of_state.filter(|finding| !self.is_reported(&finding.place));
+        let from_state = validate(&self.merged_with(base)).into_iter();
+        let from_state = from_state.filter(|finding| !self.is_reported(&finding.place));
         let mut findings = self.findings.clone();
-        findings.extend(of_state.map(|finding| self.locate(finding)));
+        findings.extend(from_state.map(|finding| self.locate(finding)));
         findings.sort();
         findings.dedup();
         findings
     }
 
-    /// Every finding where the files are the whole configuration.
+    /// Returns the findings if the files are the whole configuration.
     #[must_use]
     pub fn validate(&self) -> Vec<Finding> {
         self.validate_over(&State::default())
     }
 
-    /// Adds file and line to a finding that names a resource of these files;
-    /// the daemon that found it never saw the files.
+    /// Adds the file and the line to a finding about a resource of these files. A finding from a
+    /// daemon lacks them, because daemons do not have the files.
     #[must_use]
     pub fn locate(&self, mut finding: Finding) -> Finding {
         let place = &mut finding.place;
@@ -95,14 +94,15 @@
         finding
     }
 
-    /// Whether a field, or what it belongs to, could not be read. What stands
-    /// there is a default then, and a finding about it would only confuse.
+    /// Returns whether the field at `place`, or one that contains it, could not be read. The field
+    /// then holds a default value, and a finding about that value would be confusing.
     fn is_reported(&self, place: &Place) -> bool {
         let mut places = self.findings.iter().map(|finding| &finding.place);
         places.any(|reported| reported.resource == place.resource && covers(reported, place))
     }
 
-    fn over(&self, base: &State) -> State {
+    /// Returns the state that results from adding the resources of the files to `base`.
+    fn merged_with(&self, base: &State) -> State {
         let version = base.version() + 1;
         let kept = base
             .iter()
@@ -112,7 +112,7 @@
             revision: version,
             resource: Arc::new(resource.clone()),
         });
-        // No key stands twice and no revision is ahead, by the lines above.
+        // Cannot fail: the lines above admit no duplicate keys and no newer revisions.
         State::from_snapshot(version, kept.chain(own)).unwrap_or_default()
     }
 
@@ -134,6 +134,7 @@
     }
 }
 
+/// Returns whether the field of `inner` is that of `outer` or part of it.
 fn covers(outer: &Place, inner: &Place) -> bool {
     let (Some(outer), Some(inner)) = (&outer.field, &inner.field) else {
         return false;
--- a/crates/resource/src/files/table.rs
+++ b/crates/resource/src/files/table.rs
@@ -1,4 +1,4 @@
-//! Typed access to one TOML table that reports everything wrong with it.
+//! Typed access to the fields of one TOML table, which reports every problem found.
 
 use std::collections::BTreeSet;
 use std::ops::Range;
@@ -11,7 +11,7 @@
 use crate::finding::{Finding, Place};
 use crate::key::Key;
 
-/// The text behind a table.
+/// The file that a table is from.
 pub(super) struct Source<'a> {
     pub(super) file: &'a SmolStr,
     pub(super) index: &'a LineIndex,
@@ -23,15 +23,15 @@
     }
 }
 
-/// What the tables of one resource share.
-pub(super) struct Record<'a> {
+/// Data shared by all tables of one resource.
+pub(super) struct ResourceContext<'a> {
     pub(super) source: &'a Source<'a>,
     pub(super) key: Option<Key>,
     pub(super) lines: FieldLines,
     pub(super) findings: Vec<Finding>,
 }
 
-impl Record<'_> {
+impl ResourceContext<'_> {
     pub(super) fn report(&mut self, line: u32, field: &SmolStr, message: String) {
         let place = Place {
             file: Some(self.source.file.clone()),
@@ -48,17 +48,16 @@
     }
 }
 
-/// One table of a resource, whose fields are taken one by one. A field that
-/// could not be read is reported and gets the type's default, so that the
-/// other fields are still checked in the same go.
-pub(super) struct Reader<'a> {
+/// Reads the fields of one table of a resource, one by one. A field that cannot be read is reported
+/// and gets the default value of its type, so that the other fields are checked too.
+pub(super) struct TableReader<'a> {
     table: &'a DeTable<'a>,
     path: SmolStr,
     line: u32,
     taken: BTreeSet<&'static str>,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> TableReader<'a> {
     pub(super) fn new(table: &'a DeTable<'a>, path: SmolStr, line: u32) -> Self {
         Self {
             table,
@@ -68,7 +67,7 @@
         }
     }
 
-    pub(super) fn text(&mut self, cx: &mut Record<'_>, name: &'static str) -> SmolStr {
+    pub(super) fn text(&mut self, cx: &mut ResourceContext<'_>, name: &'static str) -> SmolStr {
         if !self.table.contains_key(name) {
             self.missing(cx, name);
         }
@@ -77,7 +76,7 @@
 
     pub(super) fn optional_text(
         &mut self,
-        cx: &mut Record<'_>,
+        cx: &mut ResourceContext<'_>,
         name: &'static str,
     ) -> Option<SmolStr> {
         let value = self.take(cx, name)?;
@@ -88,7 +87,7 @@
         None
     }
 
-    pub(super) fn number(&mut self, cx: &mut Record<'_>, name: &'static str) -> u32 {
+    pub(super) fn number(&mut self, cx: &mut ResourceContext<'_>, name: &'static str) -> u32 {
         if !self.table.contains_key(name) {
             self.missing(cx, name);
         }
@@ -97,7 +96,7 @@
 
     pub(super) fn optional_number(
         &mut self,
-        cx: &mut Record<'_>,
+        cx: &mut ResourceContext<'_>,
         name: &'static str,
     ) -> Option<u32> {
         let value = self.take(cx, name)?;
@@ -113,7 +112,11 @@
         number.ok()
     }
 
-    pub(super) fn flag(&mut self, cx: &mut Record<'_>, name: &'static str) -> Option<bool> {
+    pub(super) fn flag(
+        &mut self,
+        cx: &mut ResourceContext<'_>,
+        name: &'static str,
+    ) -> Option<bool> {
         let value = self.take(cx, name)?;
         if let DeValue::Boolean(flag) = value.get_ref() {
             return Some(*flag);
@@ -122,24 +125,28 @@
         None
     }
 
-    /// A table within this one.
-    pub(super) fn table(&mut self, cx: &mut Record<'_>, name: &'static str) -> Option<Reader<'a>> {
+    /// Reads a nested table.
+    pub(super) fn table(
+        &mut self,
+        cx: &mut ResourceContext<'_>,
+        name: &'static str,
+    ) -> Option<TableReader<'a>> {
         let value = self.take(cx, name)?;
         if let DeValue::Table(table) = value.get_ref() {
             let line = cx.source.line(&value.span());
-            return Some(Reader::new(table, self.path_of(name), line));
+            return Some(TableReader::new(table, self.path_of(name), line));
         }
         self.wrong_type(cx, name, value, "a table");
         None
     }
 
-    /// A list of tables within this one; `None` stands for an entry that is no
-    /// table, so that the others keep their places in the list.
+    /// Reads a list of tables. An entry that is not a table is `None`, so that the others keep
+    /// their indexes.
     pub(super) fn tables(
         &mut self,
-        cx: &mut Record<'_>,
+        cx: &mut ResourceContext<'_>,
         name: &'static str,
-    ) -> Vec<Option<Reader<'a>>> {
+    ) -> Vec<Option<TableReader<'a>>> {
         let Some(value) = self.take(cx, name) else {
             return Vec::new();
         };
@@ -154,10 +161,10 @@
             .collect()
     }
 
-    /// A list of texts within this table, each with its place and line.
+    /// Reads a list of strings, each with its field path and line.
     pub(super) fn texts(
         &mut self,
-        cx: &mut Record<'_>,
+        cx: &mut ResourceContext<'_>,
         name: &'static str,
     ) -> Vec<(SmolStr, u32, &'a str)> {
         let Some(value) = self.take(cx, name) else {
@@ -169,21 +176,21 @@
         };
         let mut texts = Vec::new();
         for (i, entry) in entries.iter().enumerate() {
-            let place = format_smolstr!("{}[{i}]", self.path_of(name));
+            let path = format_smolstr!("{}[{i}]", self.path_of(name));
             let line = cx.source.line(&entry.span());
             if let DeValue::String(text) = entry.get_ref() {
-                texts.push((place, line, text.as_ref()));
+                texts.push((path, line, text.as_ref()));
             } else {
                 let found = entry.get_ref().type_str();
-                cx.report(line, &place, format!("must be text in quotes, not {found}"));
+                cx.report(line, &path, format!("must be text in quotes, not {found}"));
             }
         }
         texts
     }
 
-    /// Reports every field that nobody took. A misspelt optional field would
-    /// otherwise be silently without effect.
-    pub(super) fn finish(self, cx: &mut Record<'_>) {
+    /// Reports every field that was not read. A misspelt optional field would otherwise be ignored
+    /// silently.
+    pub(super) fn finish(self, cx: &mut ResourceContext<'_>) {
         for (name, _) in self.table {
             if !self.taken.contains(name.get_ref().as_ref()) {
                 let line = cx.source.line(&name.span());
@@ -196,7 +203,7 @@
 
     fn take(
         &mut self,
-        cx: &mut Record<'_>,
+        cx: &mut ResourceContext<'_>,
         name: &'static str,
     ) -> Option<&'a Spanned<DeValue<'a>>> {
         self.taken.insert(name);
@@ -214,13 +221,13 @@
         }
     }
 
-    fn missing(&self, cx: &mut Record<'_>, name: &str) {
+    fn missing(&self, cx: &mut ResourceContext<'_>, name: &str) {
         cx.report(self.line, &self.path_of(name), "is missing".to_owned());
     }
 
     fn wrong_type(
         &self,
-        cx: &mut Record<'_>,
+        cx: &mut ResourceContext<'_>,
         name: &str,
         value: &Spanned<DeValue<'_>>,
         wanted: &str,
@@ -231,7 +238,7 @@
 
     fn report(
         &self,
-        cx: &mut Record<'_>,
+        cx: &mut ResourceContext<'_>,
         name: &str,
         value: &Spanned<DeValue<'_>>,
         message: String,
@@ -242,14 +249,14 @@
 }
 
 fn entry_reader<'a>(
-    cx: &mut Record<'_>,
+    cx: &mut ResourceContext<'_>,
     path: SmolStr,
     entry: &'a Spanned<DeValue<'a>>,
-) -> Option<Reader<'a>> {
+) -> Option<TableReader<'a>> {
     let line = cx.source.line(&entry.span());
     cx.lines.fields.insert(path.clone(), line);
     if let DeValue::Table(table) = entry.get_ref() {
-        return Some(Reader::new(table, path, line));
+        return Some(TableReader::new(table, path, line));
     }
     let message = format!("must be a table, not {}", entry.get_ref().type_str());
     cx.report(line, &path, message);
--- a/crates/resource/src/ids.rs
+++ b/crates/resource/src/ids.rs
@@ -26,7 +26,7 @@
 /// Name of an availability zone, unique across all regions.
 pub type ZoneName = SmolStr;
 
-/// Name of an instance, a machine that runs one target and its daemon.
+/// Name of an instance, which runs one target and its daemon.
 pub type InstanceId = SmolStr;
 
 /// Id of an operator's request, which stays the same over all its retries.
--- a/crates/resource/src/state.rs
+++ b/crates/resource/src/state.rs
@@ -108,12 +108,12 @@
                 offered: delta.version,
             });
         }
-        let next = self.changed(delta.version, &delta.puts, &delta.deletes);
-        next.checked(delta.digest)
+        let next = self.with_changes(delta.version, &delta.puts, &delta.deletes);
+        next.verify(delta.digest)
     }
 
     /// Returns this state if its digest is `expected` and all its references resolve.
-    pub(crate) fn checked(self, expected: Digest) -> Result<Self, ApplyError> {
+    pub(crate) fn verify(self, expected: Digest) -> Result<Self, ApplyError> {
         let found = self.digest();
         if found != expected {
             return Err(ApplyError::DigestMismatch { expected, found });
@@ -126,7 +126,7 @@
     #[must_use]
     pub fn delta(&self, puts: Vec<Resource>, deletes: Vec<Key>) -> Delta {
         let version = self.version + 1;
-        let digest = self.changed(version, &puts, &deletes).digest();
+        let digest = self.with_changes(version, &puts, &deletes).digest();
         Delta {
             version,
             puts,
@@ -152,7 +152,8 @@
         Ok(())
     }
 
-    pub(crate) fn of(version: Version, items: Vec<Held>) -> Self {
+    /// Builds a state from items whose keys are distinct.
+    pub(crate) fn from_items(version: Version, items: Vec<Held>) -> Self {
         let keyed = items.into_iter().map(|held| (held.resource.key(), held));
         Self {
             version,
@@ -160,7 +161,8 @@
         }
     }
 
-    pub(crate) fn with(&self, version: Version, puts: &[Held], deletes: &[Key]) -> Self {
+    /// Returns the state after these changes; each put has its own revision.
+    pub(crate) fn with_items(&self, version: Version, puts: &[Held], deletes: &[Key]) -> Self {
         let mut resources = self.resources.clone();
         for key in deletes {
             resources.remove(key);
@@ -171,13 +173,14 @@
         Self { version, resources }
     }
 
-    fn changed(&self, version: Version, puts: &[Resource], deletes: &[Key]) -> Self {
+    /// Returns the state after these changes; the revision of each put is `version`.
+    fn with_changes(&self, version: Version, puts: &[Resource], deletes: &[Key]) -> Self {
         let put = |resource: &Resource| Held {
             revision: version,
             resource: Arc::new(resource.clone()),
         };
         let puts: Vec<Held> = puts.iter().map(put).collect();
-        self.with(version, &puts, deletes)
+        self.with_items(version, &puts, deletes)
     }
 }
 
--- a/crates/resource/src/types.rs
+++ b/crates/resource/src/types.rs
@@ -12,7 +12,7 @@
 /// Path of a target's health check, unless its service sets another one.
 pub const HEALTH_PATH: &str = "/healthz";
 
-/// A service, which callers address and its upstreams run.
+/// A service, which callers address and its upstreams provide.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Service {
     /// Name of the service.
--- a/crates/resource/src/validate/mod.rs
+++ b/crates/resource/src/validate/mod.rs
@@ -1,8 +1,7 @@
-//! Whether a whole state makes sense.
+//! Validation of a whole state.
 //!
-//! A version is accepted only when its whole resulting state passes, so that no
-//! daemon ever has to decide what to do with half a configuration. See
-//! `docs/operators/resources.md` for every rule as an operator sees it.
+//! A version is accepted only if the whole resulting state is valid, so that no daemon has to deal
+//! with a partly valid configuration. `docs/operators/resources.md` lists the rules for operators.
 
 mod limits;
 mod names;
@@ -25,7 +24,7 @@
 };
 pub use names::check_name;
 
-/// Every finding of a whole state, ordered by resource; none where it is valid.
+/// Validates a whole state and returns the findings, ordered by resource; none if it is valid.
 #[must_use]
 pub fn validate(state: &State) -> Vec<Finding> {
     let mut findings = Vec::new();
@@ -49,8 +48,8 @@
     }
 }
 
-/// A decoded snapshot could file a resource under another's key. Whoever looks
-/// up the key would then act on the wrong resource, so it is refused here.
+/// Checks that a resource is stored under its own key. A decoded state may violate this, and a
+/// lookup of the key would then return the wrong resource.
 fn check_key(key: &Key, resource: &Resource, findings: &mut Vec<Finding>) {
     let own = resource.key();
     if *key != own {
@@ -68,8 +67,8 @@
     }
 }
 
-/// Two routes with one host and prefix would leave open which of them a call takes, and
-/// two daemons could choose differently.
+/// Checks that no two routes have the same host and prefix. It would be undefined which of them a
+/// call takes, and daemons could choose differently.
 fn check_prefixes(state: &State, findings: &mut Vec<Finding>) {
     let mut first_with: BTreeMap<(&Option<SmolStr>, &SmolStr), Key> = BTreeMap::new();
     for held in state.of_kind(Kind::Route) {
@@ -86,8 +85,8 @@
     }
 }
 
-/// A key that two customers hold would leave open whose call it is. The finding names the
-/// holders and not the key.
+/// Checks that no two customers have the same API key, which could not identify the customer of a
+/// call. The finding names the customers but not the key.
 fn check_keys(state: &State, findings: &mut Vec<Finding>) {
     let mut holders: BTreeMap<KeyDigest, Key> = BTreeMap::new();
     for held in state.of_kind(Kind::Customer) {
--- a/crates/resource/src/validate/names.rs
+++ b/crates/resource/src/validate/names.rs
@@ -1,10 +1,10 @@
-//! Syntax of names and of route prefixes.
+//! Syntax of names and of path prefixes.
 
 use super::limits::{MAX_NAME_LEN, MAX_PREFIX_LEN};
 
-/// Checks a name: lower-case letters and digits, with hyphens between them.
-/// The same syntax holds for all names because they all turn up in URLs, row
-/// keys and metric names, none of which needs escaping then.
+/// Checks that a name consists of lower-case letters and digits, with hyphens between them.
+///
+/// All names have the same syntax, so that none needs escaping in URLs, row keys and metric names.
 ///
 /// # Errors
 ///
@@ -27,8 +27,8 @@
     Ok(())
 }
 
-/// Checks a route's prefix. Only one spelling of a path is allowed, since two
-/// spellings of one path could lead to two services.
+/// Checks the prefix of a route or the path of a health check. Only one spelling of each path is
+/// allowed, since two spellings of the same path could lead to different services.
 pub(super) fn check_prefix(prefix: &str) -> Result<(), String> {
     if !prefix.starts_with('/') {
         return Err("must start with \"/\"".to_owned());
