--- a/crates/resource/src/digest.rs
+++ b/crates/resource/src/digest.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Serializes as a byte string: in a list of numbers, MessagePack encodes each byte above 127 as
+/// Serializes as a byte string: in a list of numbers, `MessagePack` encodes each byte above 127 as
 /// two.
 impl Serialize for Digest {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
--- a/crates/resource/src/wire/change.rs
+++ b/crates/resource/src/wire/change.rs
@@ -1,4 +1,4 @@
-//! Bodies of the operator API that read and change configuration.
+//! Bodies of the operator API for reading and changing the configuration.
 
 use std::sync::Arc;
 
@@ -12,12 +12,12 @@
 use crate::state::{Held, State};
 use crate::types::Resource;
 
-/// Body of `POST /v1/changes`: one change, all of it or none.
+/// Body of `POST /v1/changes`: one change, which takes effect as a whole or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ChangeRequest {
-    /// Kept over all retries, so that a change whose answer was lost takes
-    /// effect once.
+    /// Id of the operation, the same for all retries, so that a change whose answer was lost takes
+    /// effect only once.
     pub operation: OperationId,
     /// Resources to create or replace.
     #[serde(default)]
@@ -33,7 +33,7 @@
 pub struct PutWire {
     /// The resource.
     pub resource: ResourceWire,
-    /// Revision that must be there; 0: absent; none: whatever is there.
+    /// Revision that the resource must have now: 0 if it must be absent, `None` if any is allowed.
     #[serde(default)]
     pub expected: Option<Revision>,
 }
@@ -44,24 +44,24 @@
 pub struct DeleteWire {
     /// The resource's key.
     pub key: Key,
-    /// Revision that must be there; none: whatever is there.
+    /// Revision that the resource must have now; `None` if any is allowed.
     #[serde(default)]
     pub expected: Option<Revision>,
 }
 
-/// What a [`ChangeRequest`] asks for, in domain types.
+/// The content of a [`ChangeRequest`] in domain types.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// Id of the operation.
     pub operation: OperationId,
-    /// Resources to create or replace, with the revision expected there.
+    /// Resources to create or replace, with the revisions that they must have now.
     pub puts: Vec<(Resource, Option<Revision>)>,
-    /// Keys to delete, with the revision expected there.
+    /// Keys to delete, with the revisions that the resources must have now.
     pub deletes: Vec<(Key, Option<Revision>)>,
 }
 
-/// All findings of the request together; what only the whole state can tell is
-/// left to [`crate::validate`].
+/// Fails with all findings of the request. Checks that need the whole state are left to
+/// [`crate::validate`].
 impl TryFrom<ChangeRequest> for Change {
     type Error = Vec<Finding>;
 
@@ -90,21 +90,21 @@
 /// Answer to a change that took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangeAnswer {
-    /// The version that the change became.
+    /// The version that the change created.
     pub version: Version,
 }
 
-/// Answer to a change that was refused or lost a race.
+/// Answer to a change that was refused, as invalid or because of a conflicting change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FindingsAnswer {
-    /// Everything that stood against it.
+    /// The reasons for the refusal.
     pub findings: Vec<Finding>,
 }
 
-/// One resource as a state holds it.
+/// One resource of a state, with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ItemWire {
-    /// The version at which it last changed.
+    /// The version at which the resource last changed.
     pub revision: Revision,
     /// The resource.
     pub resource: ResourceWire,
@@ -119,17 +119,17 @@
     }
 }
 
-/// Answer to a list of resources, all from one version.
+/// Answer to a request for a list of resources, all of the same version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListAnswer {
-    /// The version that the items belong to; a watch goes on from it.
+    /// The version of the items, from which a watch can continue.
     pub version: Version,
     /// The resources, ordered by key.
     pub items: Vec<ItemWire>,
 }
 
 impl ListAnswer {
-    /// Every resource of `state`, or those of one kind.
+    /// Lists the resources of `state`, or only those of `kind`.
     #[must_use]
     pub fn of(state: &State, kind: Option<Kind>) -> Self {
         let wanted = |key: &Key| kind.is_none_or(|kind| key.kind == kind);
@@ -141,8 +141,8 @@
     }
 }
 
-/// The state that a list of every resource describes, with all findings of
-/// items that make no sense.
+/// Builds the state from a list of all its resources, or fails with the findings of all invalid
+/// items.
 impl TryFrom<ListAnswer> for State {
     type Error = Vec<Finding>;
 
@@ -166,23 +166,23 @@
     }
 }
 
-/// Answer to a watch: the changes after the version asked from, oldest first.
+/// Answer to a watch: the changes after the requested version, oldest first.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WatchAnswer {
-    /// The version to watch from next.
+    /// The version from which to continue the watch.
     pub version: Version,
-    /// One event for each version; none where nothing changed in time.
+    /// One event for each version; empty if nothing changed before the watch timed out.
     pub events: Vec<EventWire>,
 }
 
-/// What one version changed.
+/// The changes of one version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EventWire {
     /// The version.
     pub version: Version,
-    /// Resources that are new or replaced.
+    /// Resources that are created or replaced.
     pub puts: Vec<ResourceWire>,
-    /// Resources that are gone.
+    /// Keys of the resources that are deleted.
     pub deletes: Vec<Key>,
 }
 
--- a/crates/resource/src/wire/checks.rs
+++ b/crates/resource/src/wire/checks.rs
@@ -1,4 +1,4 @@
-//! Rules for a change as a whole.
+//! Checks of a change request as a whole.
 
 use std::collections::BTreeSet;
 
@@ -6,10 +6,11 @@
 use crate::finding::{Finding, Place};
 use crate::key::Key;
 
-/// Longest operation id; it is part of a row's key at the platform.
+/// Maximum length of an operation id, which is part of the key of a row of the platform.
 const MAX_OPERATION_LEN: usize = 64;
 
-/// Operation ids name rows, so only characters that need no escaping pass.
+/// Checks an operation id. Since it is part of a row key, it may have only characters that need no
+/// escaping.
 pub(super) fn check_operation(operation: &str) -> Vec<Finding> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     let fits = (1..=MAX_OPERATION_LEN).contains(&operation.len());
@@ -26,7 +27,8 @@
     vec![Finding::new(place, message)]
 }
 
-/// A key that stands twice in one change has no order in which to apply it.
+/// Checks that the change is not empty and that no key appears twice in it, since the order of its
+/// puts and deletes is undefined.
 pub(super) fn check_keys(req: &ChangeRequest) -> Vec<Finding> {
     let puts = req.puts.iter().map(|put| put.resource.key());
     let deletes = req.deletes.iter().map(|delete| delete.key.clone());
--- a/crates/resource/src/wire/delta.rs
+++ b/crates/resource/src/wire/delta.rs
@@ -1,4 +1,4 @@
-//! Deltas and snapshots as daemons and the platform's rows carry them.
+//! Deltas, differences and snapshots as daemons exchange them and the platform stores them.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use crate::state::{Held, SnapshotError, State};
 use crate::types::Resource;
 
-/// See [`Delta`].
+/// Serialized form of a [`Delta`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DeltaWire {
     version: Version,
@@ -44,7 +44,7 @@
     }
 }
 
-/// A whole state. Keys are left out, since every resource knows its own.
+/// Serialized form of a [`State`]. Keys are omitted, since each follows from its resource.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotWire {
     version: Version,
@@ -86,7 +86,7 @@
     }
 }
 
-/// See [`Difference`].
+/// Serialized form of a [`Difference`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DifferenceWire {
     version: Version,
--- a/crates/resource/src/wire/duration.rs
+++ b/crates/resource/src/wire/duration.rs
@@ -1,7 +1,8 @@
-//! Durations as people write them.
+//! Durations as text, in resource files and in JSON.
 
 use std::time::Duration;
 
+/// Units of a duration and their lengths in nanoseconds, in ascending order.
 const UNITS: [(&str, u128); 5] = [
     ("ns", 1),
     ("us", 1_000),
@@ -10,7 +11,7 @@
     ("m", 60_000_000_000),
 ];
 
-/// Reads a whole number and a unit: `ns`, `us`, `ms`, `s` or `m`.
+/// Parses a duration that is written as a whole number and a unit: `ns`, `us`, `ms`, `s` or `m`.
 ///
 /// # Errors
 ///
@@ -31,8 +32,8 @@
         .map_err(|_| format!("{text:?} is too long a duration"))
 }
 
-/// The duration in the largest unit that is exact; [`parse_duration`] reads it
-/// back.
+/// Formats a duration in the largest unit that represents it exactly, as [`parse_duration`] reads
+/// it.
 #[must_use]
 pub fn duration_text(duration: Duration) -> String {
     let nanos = duration.as_nanos();
--- a/crates/resource/src/wire/mod.rs
+++ b/crates/resource/src/wire/mod.rs
@@ -1,16 +1,14 @@
-//! Forms in which configuration travels, apart from the domain types, so that
-//! either can change without the other.
+//! Serialized forms of the configuration, separate from the domain types, so that either can
+//! change without the other.
 //!
-//! - [`ResourceWire`] and the operator API's bodies: JSON, written and read by
-//!   people too, so durations are text such as `"250ms"`.
-//! - [`DeltaWire`] and [`SnapshotWire`]: `rmp` between daemons and in the
-//!   platform's rows and objects, where every byte counts.
+//! - [`ResourceWire`] and the bodies of the operator API are JSON, which people write and read too,
+//!   so durations are text such as `"250ms"`.
+//! - [`DeltaWire`], [`DifferenceWire`] and [`SnapshotWire`] are compact `MessagePack`, used between
+//!   daemons and in the platform's rows and objects, where every byte counts.
 //!
-//! What comes in from elsewhere refuses unknown fields, since a misspelt
-//! optional field would otherwise be silently without effect. Answers that the
-//! operators' tool reads ([`StatusAnswer`] above all) let them pass, so that an
-//! older tool still reads a newer daemon. See
-//! `docs/contributing/interfaces.md`.
+//! Types of input refuse unknown fields, since a misspelt optional field would otherwise be ignored
+//! silently. Answers that the operators' tool reads, such as [`StatusAnswer`], allow them, so that
+//! an older tool can read the answers of a newer daemon. See `docs/contributing/interfaces.md`.
 
 mod change;
 mod checks;
--- a/crates/resource/src/wire/packed.rs
+++ b/crates/resource/src/wire/packed.rs
@@ -1,7 +1,7 @@
-//! Resources and keys in the fewest bytes that `rmp` can give them.
+//! Compact `MessagePack` forms of resources and keys.
 //!
-//! `rmp` writes structs as arrays but enum variants by name, so the names here
-//! are single letters. They are part of the wire format: never reuse one.
+//! `rmp_serde` encodes structs as arrays but enum variants by name, so the variants are renamed to
+//! single letters. These are part of the wire format: never reuse one.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
     Customer, Policy, Quota, Resource, Retry, Route, Service, Share, TenantLimit, Upstream,
 };
 
-/// See [`Resource`].
+/// Compact form of a [`Resource`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum PackedResource {
     #[serde(rename = "p")]
@@ -56,13 +56,13 @@
     Customer {
         name: CustomerName,
         keys: Vec<KeyDigest>,
-        /// Calls a minute, and the burst.
+        /// Calls per minute and the burst.
         quota: Option<(u32, u32)>,
         priority: Option<u8>,
     },
 }
 
-/// See [`TenantLimit`].
+/// Compact form of a [`TenantLimit`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct PackedLimit {
     tenant: CustomerName,
@@ -70,7 +70,7 @@
     concurrency: Option<u32>,
 }
 
-/// See [`Key`].
+/// Compact form of a [`Key`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) enum PackedKey {
     #[serde(rename = "p")]
--- a/crates/resource/src/wire/resource.rs
+++ b/crates/resource/src/wire/resource.rs
@@ -1,4 +1,4 @@
-//! A resource as operators read and write it in JSON.
+//! JSON forms of resources, which operators read and write.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -12,7 +12,7 @@
     Customer, Policy, Quota, Resource, Retry, Route, Service, Share, TenantLimit, Upstream,
 };
 
-/// Any resource: `{"kind": "upstream", "name": ...}`.
+/// JSON form of a resource of any kind, such as `{"kind": "upstream", "name": ...}`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "lowercase")]
 pub enum ResourceWire {
@@ -28,21 +28,21 @@
     Customer(CustomerWire),
 }
 
-/// See [`Service`].
+/// JSON form of a [`Service`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceWire {
     /// Name of the service.
     pub name: ServiceName,
-    /// Policy for calls whose route names none.
+    /// Policy of calls whose route sets none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub policy: Option<PolicyName>,
-    /// Path at which targets say whether they take calls.
+    /// Path of the targets' health check.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub health_path: Option<SmolStr>,
 }
 
-/// See [`Upstream`].
+/// JSON form of an [`Upstream`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct UpstreamWire {
@@ -50,64 +50,64 @@
     pub name: UpstreamName,
     /// The service that it serves.
     pub service: ServiceName,
-    /// Calls that the target runs at a time.
+    /// Calls that the target runs concurrently.
     pub slots: u32,
-    /// Connections that the target accepts at a time.
+    /// Connections that the target accepts concurrently.
     pub connections: u32,
 }
 
-/// See [`Route`].
+/// JSON form of a [`Route`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RouteWire {
     /// Name of the route.
     pub name: RouteName,
-    /// Host that callers name; any where absent.
+    /// Host that requests must name; any host if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub host: Option<SmolStr>,
     /// Path prefix.
     pub prefix: SmolStr,
-    /// The service that answers.
+    /// The service that runs the calls.
     pub service: ServiceName,
-    /// Shares of calls by service; all go to `service` where empty.
+    /// Services among which the calls are split by weight; `service` runs them all if empty.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub split: Vec<ShareWire>,
-    /// Policy for these calls; the service's where absent.
+    /// Policy of these calls; the service's if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub policy: Option<PolicyName>,
-    /// Whether a POST here may run more than once without harm; `false` where
-    /// absent, since the wrong guess there costs a retry and here a duplicate.
+    /// Whether a POST to this route may run more than once without harm. It is `false` if absent: a
+    /// wrong `false` costs a retry, and a wrong `true` causes a duplicate run.
     #[serde(default)]
     pub idempotent: bool,
-    /// Whether callers need no key here; `false` where absent.
+    /// Whether callers need no API key on this route; `false` if absent.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub public: bool,
 }
 
-/// See [`Customer`].
+/// JSON form of a [`Customer`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CustomerWire {
     /// Name of the customer.
     pub name: CustomerName,
-    /// BLAKE3 digests of its keys, in hexadecimal digits.
+    /// BLAKE3 digests of its API keys, in hexadecimal.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub keys: Vec<KeyDigest>,
-    /// What it may use; as much as it likes where absent.
+    /// Limit of its calls; unlimited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub quota: Option<QuotaWire>,
-    /// Rank of its calls, 0 the most urgent; that of the route's policy where absent.
+    /// Priority of its calls, 0 being the most urgent; that of the route's policy if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u8>,
 }
 
-/// See [`Quota`].
+/// JSON form of a [`Quota`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaWire {
-    /// Calls a minute.
+    /// Calls per minute.
     pub per_minute: u32,
-    /// Calls that may come at once after a pause.
+    /// Calls that are allowed at once after an idle period.
     pub burst: u32,
 }
 
@@ -129,31 +129,31 @@
     }
 }
 
-/// See [`Share`].
+/// JSON form of a [`Share`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShareWire {
     /// The service.
     pub service: ServiceName,
-    /// Its part, relative to the sum of all weights of the route.
+    /// The service's share, relative to the sum of all weights of the route.
     pub weight: u32,
 }
 
-/// See [`Policy`].
+/// JSON form of a [`Policy`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PolicyWire {
     /// Name of the policy.
     pub name: PolicyName,
-    /// Longest time of a call, as text such as `"250ms"`.
+    /// Timeout of a call whose caller sets no deadline, as text such as `"250ms"`.
     pub timeout: SmolStr,
-    /// Time within which an answer is worth its full price, as text.
+    /// Time within which an answer has its full value to the caller, as text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub latency_objective: Option<SmolStr>,
-    /// Rank among other calls, 0 the most urgent.
+    /// Priority of the calls, 0 being the most urgent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub priority: Option<u8>,
-    /// How attempts that did not run are tried again.
+    /// How attempts that did not run are retried.
     #[serde(default)]
     pub retry: RetryWire,
     /// Limits of single tenants.
@@ -161,18 +161,18 @@
     pub limits: Vec<TenantLimitWire>,
 }
 
-/// See [`Retry`].
+/// JSON form of [`Retry`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RetryWire {
-    /// Attempts for one call, the first one included.
+    /// Maximum number of attempts of one call, including the first.
     pub attempts: u32,
-    /// Retries allowed for each hundred first attempts.
+    /// Retries allowed for every hundred first attempts.
     pub budget_percent: u32,
 }
 
-/// What a policy that says nothing gets: one retry, within a budget that adds
-/// a fifth to the load at the very most.
+/// The default of a policy without `retry`: one retry, within a budget that adds at most a fifth to
+/// the load.
 impl Default for RetryWire {
     fn default() -> Self {
         Self {
@@ -182,16 +182,17 @@
     }
 }
 
-/// See [`TenantLimit`].
+/// JSON form of a [`TenantLimit`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantLimitWire {
     /// The tenant.
     pub tenant: CustomerName,
-    /// Share under overload; 1 where absent.
+    /// The tenant's weight under overload; 1 if absent.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Calls of this tenant that one upstream runs at a time.
+    /// Calls of this tenant that one upstream runs concurrently; without a separate limit if
+    /// absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub concurrency: Option<u32>,
 }
@@ -201,7 +202,7 @@
 }
 
 impl ResourceWire {
-    /// The key of the resource.
+    /// Returns the key of the resource.
     #[must_use]
     pub fn key(&self) -> Key {
         let (kind, name) = match self {
--- a/crates/resource/src/wire/status.rs
+++ b/crates/resource/src/wire/status.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows about itself and the others: answer of `GET /v1/status`.
+//! Answer to `GET /v1/status`: what a daemon knows about itself and the other daemons.
 
 use std::fmt;
 
@@ -7,35 +7,35 @@
 
 use crate::ids::{CustomerName, InstanceId, UpstreamName, Version, ZoneName};
 
-/// A daemon's view of where each version holds and where it does not.
+/// State of a daemon, and its view of the fleet and of the versions in force there.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusAnswer {
-    /// The daemon that answers.
+    /// The instance whose daemon answers.
     pub instance: InstanceId,
-    /// Its region.
+    /// The instance's region.
     pub region: SmolStr,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: ZoneName,
     /// The newest version that this daemon has received.
     pub version_held: Version,
-    /// The version by which this daemon serves calls; behind `version_held`
+    /// The version according to which this daemon serves calls. It is older than `version_held`
     /// only while a version is quarantined or being built.
     pub version_in_force: Version,
     /// Digest of the state in force, in hexadecimal.
     pub digest: SmolStr,
-    /// Whether this daemon is in its graceful stop.
+    /// Whether this daemon is shutting down gracefully.
     #[serde(default)]
     pub draining: bool,
-    /// Every instance that this daemon knows, itself included.
+    /// Every instance that this daemon knows, including its own.
     #[serde(default)]
     pub members: Vec<MemberStatus>,
-    /// For each version in force anywhere, newest first, where it holds.
+    /// For each version that is in force anywhere, the instances where it is; newest first.
     #[serde(default)]
     pub holds: Vec<VersionHold>,
-    /// Versions that instances refused, and why.
+    /// Versions that instances refused, with the reasons.
     #[serde(default)]
     pub quarantine: Vec<QuarantineStatus>,
-    /// Time spent by calls, for each tenant, class and stage.
+    /// Times that calls spent, by tenant, class and stage.
     #[serde(default)]
     pub histograms: Vec<HistogramStatus>,
     /// Control traffic of the answering daemon since its start.
@@ -48,34 +48,35 @@
 pub struct MemberStatus {
     /// The instance.
     pub instance: InstanceId,
-    /// Its region.
+    /// The instance's region.
     #[serde(default)]
     pub region: SmolStr,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: ZoneName,
     /// The upstream that its target serves.
     pub upstream: UpstreamName,
-    /// Counts the instance's restarts; words of an older one are ignored.
+    /// Number of the daemon's run, which grows with each restart; updates from older runs are
+    /// ignored.
     pub incarnation: u64,
-    /// What is believed of it.
+    /// Presumed state of the instance.
     pub state: MemberState,
-    /// The version last reported in force there.
+    /// The version last reported to be in force there.
     pub version: Version,
-    /// Since when the state is so, in milliseconds since the Unix epoch.
+    /// When the state last changed, in milliseconds since the Unix epoch.
     pub since_unix_ms: u64,
 }
 
-/// What is believed of an instance.
+/// Presumed state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberState {
-    /// It was heard of lately.
+    /// It was recently known to be running.
     Alive,
-    /// It was silent; it gets no new calls but is not yet given up.
+    /// It did not respond; it gets no new calls, but is not presumed to have failed yet.
     Suspect,
-    /// It announced a graceful stop.
+    /// It announced a graceful shutdown.
     Leaving,
-    /// It is taken to be gone.
+    /// It has left or is presumed to have failed.
     Gone,
 }
 
@@ -90,39 +91,39 @@
     }
 }
 
-/// Where one version is in force.
+/// The instances where one version is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionHold {
     /// The version.
     pub version: Version,
-    /// The instances that serve calls by it.
+    /// The instances that serve calls according to this version.
     pub instances: Vec<InstanceId>,
-    /// When the answering daemon first saw it in force, in milliseconds since
-    /// the Unix epoch.
+    /// When the answering daemon first saw the version in force, in milliseconds since the Unix
+    /// epoch.
     pub since_unix_ms: u64,
 }
 
-/// A version that instances received and refused to serve by.
+/// A version that instances received but refused to put in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuarantineStatus {
     /// The version.
     pub version: Version,
-    /// Why it was refused.
+    /// Why the version was refused.
     pub reason: String,
-    /// The instances that refused it.
+    /// The instances that refused the version.
     pub instances: Vec<InstanceId>,
 }
 
-/// Summary of one histogram of times, in microseconds.
+/// Summary of one histogram of times in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistogramStatus {
     /// The tenant.
     pub tenant: CustomerName,
-    /// The class: `urgent`, `standard` or `batch`.
+    /// The class of the calls: `urgent`, `standard` or `batch`.
     pub class: SmolStr,
-    /// Where the time was spent: `daemon`, `queue` or `target`.
+    /// The stage in which the time was spent: `daemon`, `queue` or `target`.
     pub stage: SmolStr,
-    /// Calls counted.
+    /// Number of calls.
     pub count: u64,
     /// Median.
     pub p50_us: u64,
@@ -130,14 +131,14 @@
     pub p90_us: u64,
     /// 99th percentile.
     pub p99_us: u64,
-    /// Largest.
+    /// Maximum.
     pub max_us: u64,
 }
 
-/// Bytes of one class of control traffic, heads of HTTP included.
+/// Bytes of one class of control traffic, including HTTP headers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TrafficStatus {
-    /// What it is about: `membership` or `configuration`.
+    /// The class of the traffic: `membership` or `configuration`.
     pub class: SmolStr,
     /// Bytes sent to other daemons.
     pub sent_bytes: u64,
