--- a/crates/settings/src/command_line.rs
+++ b/crates/settings/src/command_line.rs
@@ -1,4 +1,4 @@
-//! Splits the command line into flags and operands.
+//! Parses the command line into flags and operands.
 
 use std::collections::BTreeMap;
 use std::ffi::{OsStr, OsString};
@@ -8,98 +8,97 @@
 use crate::finding::{Finding, Place, Stop};
 use crate::program::{Program, Setting};
 
-/// What the command line says.
+/// Result of parsing the command line.
 #[derive(Debug, Default)]
-pub(crate) struct Given {
-    /// Texts of the flags; a switch has an empty text.
+pub(crate) struct CommandLine {
+    /// Values of the flags by name; the value of a switch is empty.
     pub(crate) flags: BTreeMap<&'static str, String>,
     pub(crate) operands: Vec<String>,
     pub(crate) findings: Vec<Finding>,
 }
 
-/// An argument without the borrow of the parser that gave it.
-enum Word {
+/// A flag or an operand that does not borrow from the parser, unlike [`Arg`].
+enum Argument {
     Flag(String),
     Operand(OsString),
 }
 
-/// Reads all arguments, so that one wrong flag doesn't hide the next.
+/// Parses all arguments, so that one wrong flag does not hide others.
 pub(crate) fn read(
     program: &Program,
     args: impl IntoIterator<Item = OsString>,
-) -> Result<Given, Stop> {
+) -> Result<CommandLine, Stop> {
     let args: Vec<OsString> = args.into_iter().collect();
     let mut parser = Parser::from_args(args);
-    let mut given = Given::default();
-    while let Some(word) = next(&mut parser, &mut given) {
-        match word {
-            Word::Flag(name) if name == "help" || name == "h" => {
+    let mut parsed = CommandLine::default();
+    while let Some(argument) = next_argument(&mut parser, &mut parsed) {
+        match argument {
+            Argument::Flag(name) if name == "help" || name == "h" => {
                 return Err(Stop::Help(program.help_text()));
             }
-            Word::Flag(name) if name == "version" || name == "V" => {
+            Argument::Flag(name) if name == "version" || name == "V" => {
                 return Err(Stop::Version(program.version_text()));
             }
-            Word::Flag(name) => match program.find(&name) {
-                Some(setting) if setting.is_switch() => given.switch(setting, &mut parser),
-                Some(setting) => given.value(setting, &mut parser),
-                None => given.unknown(program, &name, &mut parser),
+            Argument::Flag(name) => match program.find(&name) {
+                Some(setting) if setting.is_switch() => parsed.add_switch(setting, &mut parser),
+                Some(setting) => parsed.add_value(setting, &mut parser),
+                None => parsed.report_unknown(program, &name, &mut parser),
             },
-            Word::Operand(text) => given.operand(program, &text),
+            Argument::Operand(text) => parsed.add_operand(program, &text),
         }
     }
-    Ok(given)
+    Ok(parsed)
 }
 
-fn next(parser: &mut Parser, given: &mut Given) -> Option<Word> {
+fn next_argument(parser: &mut Parser, parsed: &mut CommandLine) -> Option<Argument> {
     loop {
         let error = match parser.next() {
             Ok(None) => return None,
-            Ok(Some(Arg::Long(name))) => return Some(Word::Flag(name.to_owned())),
-            Ok(Some(Arg::Short(name))) => return Some(Word::Flag(name.to_string())),
-            Ok(Some(Arg::Value(text))) => return Some(Word::Operand(text)),
+            Ok(Some(Arg::Long(name))) => return Some(Argument::Flag(name.to_owned())),
+            Ok(Some(Arg::Short(name))) => return Some(Argument::Flag(name.to_string())),
+            Ok(Some(Arg::Value(text))) => return Some(Argument::Operand(text)),
             Err(error) => error.to_string(),
         };
-        given.add(Place::Argument("arguments".to_owned()), error);
+        parsed.report(Place::Argument("arguments".to_owned()), error);
     }
 }
 
-impl Given {
-    fn add(&mut self, place: Place, message: impl Into<String>) {
+impl CommandLine {
+    fn report(&mut self, place: Place, message: impl Into<String>) {
         let message = message.into();
         self.findings.push(Finding { place, message });
     }
 
-    fn switch(&mut self, setting: &'static Setting, parser: &mut Parser) {
+    fn add_switch(&mut self, setting: &'static Setting, parser: &mut Parser) {
         if parser.optional_value().is_some() {
-            self.add(setting.place(), "takes no value");
+            self.report(setting.place(), "takes no value");
         }
-        self.keep(setting, String::new());
+        self.insert(setting, String::new());
     }
 
-    fn value(&mut self, setting: &'static Setting, parser: &mut Parser) {
+    fn add_value(&mut self, setting: &'static Setting, parser: &mut Parser) {
         let value = parser.values().ok().and_then(|mut values| values.next());
         match value {
             Some(text) => match text.into_string() {
-                Ok(text) => self.keep(setting, text),
-                Err(_) => self.add(setting.place(), "is not valid UTF-8"),
+                Ok(text) => self.insert(setting, text),
+                Err(_) => self.report(setting.place(), "is not valid UTF-8"),
             },
-            None => self.add(setting.place(), "needs a value"),
+            None => self.report(setting.place(), "needs a value"),
         }
     }
 
-    fn keep(&mut self, setting: &'static Setting, text: String) {
+    fn insert(&mut self, setting: &'static Setting, text: String) {
         if self.flags.insert(setting.flag, text).is_some() {
-            self.add(setting.place(), "is given more than once");
+            self.report(setting.place(), "is given more than once");
         }
     }
 
-    /// A misspelled `--operator-tokn SECRET` leaves its value behind as an
-    /// operand. Where the program takes none, reporting that operand would
-    /// print a secret, so what follows an unknown flag is passed over; the
-    /// flag's own finding is enough to mend the line.
-    fn unknown(&mut self, program: &Program, name: &str, parser: &mut Parser) {
+    /// Reports an unknown flag. If the program takes no operands, the argument that follows is
+    /// skipped: after a misspelt `--operator-tokn SECRET` it would be reported as an unexpected
+    /// operand, which would print the secret. The finding about the flag suffices to correct it.
+    fn report_unknown(&mut self, program: &Program, name: &str, parser: &mut Parser) {
         let dashes = if name.chars().count() == 1 { "-" } else { "--" };
-        self.add(
+        self.report(
             Place::Argument(format!("{dashes}{name}")),
             "is no setting of this program",
         );
@@ -109,11 +108,11 @@
         }
     }
 
-    fn operand(&mut self, program: &Program, text: &OsStr) {
+    fn add_operand(&mut self, program: &Program, text: &OsStr) {
         match text.to_str() {
             Some(text) if !program.operands.is_empty() => self.operands.push(text.to_owned()),
-            Some(text) => self.add(Place::Argument(text.to_owned()), "is not expected"),
-            None => self.add(
+            Some(text) => self.report(Place::Argument(text.to_owned()), "is not expected"),
+            None => self.report(
                 Place::Argument(text.to_string_lossy().into_owned()),
                 "is not valid UTF-8",
             ),
@@ -122,7 +121,7 @@
 }
 
 impl Setting {
-    /// The place of a finding about this setting.
+    /// Returns the place of a finding about this setting.
     pub(crate) fn place(&self) -> Place {
         Place::Setting {
             flag: self.flag,
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -1,23 +1,23 @@
-//! What is wrong with the settings, and how a program ends over it.
+//! Findings about settings, and the reasons for which a program ends before it starts its work.
 
 use std::fmt;
 use std::io::{self, Write};
 use std::process::ExitCode;
 
-/// Exit code of a program whose settings are wrong.
-const WRONG_SETTINGS: u8 = 2;
+/// Exit code of a program whose settings are invalid.
+const INVALID_SETTINGS: u8 = 2;
 
-/// Where a finding belongs.
+/// The setting or argument that a finding is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// A setting, named by both of the ways in which it can be given.
+    /// A setting, by both its flag and its variable.
     Setting {
         /// The flag, without leading dashes.
         flag: &'static str,
         /// The environment variable.
         variable: String,
     },
-    /// An argument that belongs to no setting.
+    /// An argument that does not belong to a setting.
     Argument(String),
 }
 
@@ -30,12 +30,12 @@
     }
 }
 
-/// One thing that is wrong, and where.
+/// One problem with the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Where it is wrong.
+    /// What the finding is about.
     pub place: Place,
-    /// What is wrong there.
+    /// What is wrong.
     pub message: String,
 }
 
@@ -45,25 +45,24 @@
     }
 }
 
-/// Why a program ends before it has begun.
+/// Why a program ends before it starts its work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Stop {
-    /// Help was asked for; this is the text.
+    /// The help text was requested.
     Help(String),
-    /// The version was asked for; this is the text.
+    /// The version text was requested.
     Version(String),
-    /// Settings are wrong; here is every finding.
+    /// Settings are invalid; these are all findings.
     Findings(Vec<Finding>),
 }
 
 impl Stop {
-    /// Prints the text to standard output, or the findings to standard error,
-    /// and gives the exit code that `main` returns.
+    /// Prints the text to standard output or the findings to standard error, and returns the exit
+    /// code for `main`.
     #[must_use]
     pub fn report(&self) -> ExitCode {
-        // A reader that closed its end of a pipe early (`--help | head -1`)
-        // makes these writes fail. There is nobody left to tell, and the exit
-        // code still holds, so the error is dropped.
+        // These writes fail if the reader of a pipe has closed it, as in `--help | head -1`. The
+        // error cannot be reported and does not change the exit code, so it is ignored.
         match self {
             Self::Help(_) | Self::Version(_) => {
                 let _ = writeln!(io::stdout().lock(), "{self}");
@@ -71,7 +70,7 @@
             }
             Self::Findings(_) => {
                 let _ = writeln!(io::stderr().lock(), "{self}");
-                ExitCode::from(WRONG_SETTINGS)
+                ExitCode::from(INVALID_SETTINGS)
             }
         }
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,10 @@
-//! Settings of every stoatstep program: flags, environment variables and
-//! defaults, checked together before anything starts.
+//! Settings of all stoatstep programs: flags, environment variables and defaults, all checked
+//! before a program starts its work.
 //!
-//! A program lists its settings in one constant table, [`Program`]. Reading it
-//! gives [`Values`], from which typed settings are taken one by one. Each one
-//! that is wrong or missing becomes a [`Finding`], and [`Values::finish`]
-//! reports them all in one go, so that an operator mends a unit file once and
-//! not once for each mistake. See `docs/operators/settings.md`.
+//! A program declares its settings in a constant [`Program`]. [`Program::read`] returns [`Values`],
+//! from which the program takes typed values one by one. Each invalid or missing one becomes a
+//! [`Finding`], and [`Values::finish`] returns all of them, so that an operator can fix a unit file
+//! in one pass. See `docs/operators/settings.md`.
 
 mod command_line;
 mod finding;
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -1,4 +1,4 @@
-//! What a program can be told, and the help text made from it.
+//! Declaration of a program's settings, and the help text generated from it.
 
 use std::ffi::OsString;
 use std::fmt::Write;
@@ -7,28 +7,27 @@
 use crate::finding::Stop;
 use crate::values::Values;
 
-/// What every environment variable of a setting begins with.
+/// Prefix of the environment variables of all settings.
 const VARIABLE_PREFIX: &str = "STOATSTEP_";
 
-/// Settings whose name has this part hold a secret; see [`Setting::is_secret`].
-const SECRET_PART: &str = "token";
+/// Settings whose flag contains this text are secret; see [`Setting::is_secret`].
+const SECRET_MARKER: &str = "token";
 
-/// One setting, which is a flag and an environment variable at once.
+/// One setting, which can be given as a flag or as an environment variable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Setting {
     /// Name of the flag, without the leading dashes.
     pub flag: &'static str,
-    /// Placeholder of the value in the help text; empty for a switch, which
-    /// takes no value.
+    /// Placeholder of the value in the help text; empty for a switch, which takes no value.
     pub value: &'static str,
-    /// Value used where neither flag nor variable is given.
+    /// Value that is used if neither the flag nor the variable is given.
     pub default: Option<&'static str>,
     /// One sentence for the help text.
     pub help: &'static str,
 }
 
 impl Setting {
-    /// A setting that takes a value and has no default.
+    /// Creates a setting that takes a value and has no default.
     #[must_use]
     pub const fn new(flag: &'static str, value: &'static str, help: &'static str) -> Self {
         Self {
@@ -39,44 +38,43 @@
         }
     }
 
-    /// A switch: off unless its flag is given, or its variable says so.
+    /// Creates a switch, which is off unless its flag is given or its variable turns it on.
     #[must_use]
     pub const fn switch(flag: &'static str, help: &'static str) -> Self {
         Self::new(flag, "", help)
     }
 
-    /// Sets the value used where none is given. Without this call an absent
-    /// setting is missing, which [`Values::required`] reports.
+    /// Sets the value that is used if none is given. [`Values::required`] reports an absent setting
+    /// without a default as missing.
     #[must_use]
     pub const fn default(mut self, default: &'static str) -> Self {
         self.default = Some(default);
         self
     }
 
-    /// Name of the environment variable: `--peer-addr` is
-    /// `STOATSTEP_PEER_ADDR`.
+    /// Returns the name of the environment variable, such as `STOATSTEP_PEER_ADDR` for
+    /// `--peer-addr`.
     #[must_use]
     pub fn variable(&self) -> String {
         let name = self.flag.to_ascii_uppercase().replace('-', "_");
         format!("{VARIABLE_PREFIX}{name}")
     }
 
-    /// Whether the setting takes no value.
+    /// Returns whether the setting is a switch, which takes no value.
     #[must_use]
     pub const fn is_switch(&self) -> bool {
         self.value.is_empty()
     }
 
-    /// Whether the value must never be printed. A token in a finding would
-    /// end up in the logs of whatever started the program, readable by people
-    /// who may not act as operators.
+    /// Returns whether the value must never be printed. A token in a finding would end up in the
+    /// log of whatever started the program, which people can read who may not act as operators.
     #[must_use]
     pub fn is_secret(&self) -> bool {
-        self.flag.contains(SECRET_PART)
+        self.flag.contains(SECRET_MARKER)
     }
 }
 
-/// A program's name and all that it can be told.
+/// A program and its settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Program {
     /// Name of the binary.
@@ -85,18 +83,18 @@
     pub about: &'static str,
     /// Every setting of the program.
     pub settings: &'static [Setting],
-    /// Usage text of the operands, which are the arguments that are no flags;
-    /// empty where the program takes none.
+    /// Usage text of the operands, which are the arguments that are not flags; empty if the program
+    /// takes none.
     pub operands: &'static str,
 }
 
 impl Program {
-    /// Reads this process's arguments and environment.
+    /// Reads the settings from the arguments and the environment of this process.
     ///
     /// # Errors
     ///
-    /// [`Stop::Help`] or [`Stop::Version`] where that was asked for. Wrong
-    /// settings are kept for [`Values::finish`].
+    /// [`Stop::Help`] or [`Stop::Version`] if that was requested. Findings about wrong settings are
+    /// returned by [`Values::finish`].
     pub fn read(&self) -> Result<Values, Stop> {
         let lookup = |name: &str| {
             let text = std::env::var_os(name)?;
@@ -105,20 +103,19 @@
         self.read_from(std::env::args_os().skip(1), lookup)
     }
 
-    /// Reads the given arguments, the program's own name not among them, and
-    /// the given environment. An empty variable counts as absent, which is
-    /// how scripts commonly clear one.
+    /// Reads the settings from the given arguments, without the program's name, and environment. An
+    /// empty variable counts as absent, because scripts commonly clear a variable that way.
     ///
     /// # Errors
     ///
-    /// As for [`Program::read`].
+    /// [`Stop::Help`] or [`Stop::Version`] if that was requested.
     pub fn read_from(
         &self,
         args: impl IntoIterator<Item = OsString>,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Values, Stop> {
-        let given = command_line::read(self, args)?;
-        Ok(Values::new(self, given, env))
+        let command_line = command_line::read(self, args)?;
+        Ok(Values::new(self, command_line, env))
     }
 
     pub(crate) fn find(&self, flag: &str) -> Option<&'static Setting> {
--- a/crates/settings/src/secret.rs
+++ b/crates/settings/src/secret.rs
@@ -1,37 +1,38 @@
-//! Tokens that tell operators and daemons from everybody else.
+//! Tokens that authenticate operators and daemons.
 
 use std::fmt;
 use std::str::FromStr;
 
 use subtle::ConstantTimeEq;
 
-/// Shortest token that is accepted.
+/// Minimum length of a token.
 const MIN_BYTES: usize = 16;
 
-/// A token from the settings. It cannot be printed, and it is compared in
-/// constant time: a comparison that ends at the first wrong byte would let a
-/// caller on the same network find the token byte by byte from answer times.
+/// A token from the settings.
+///
+/// Its `Debug` output does not show it, and it is compared in constant time: from the response
+/// times of a comparison that ends at the first wrong byte, a caller on the same network could find
+/// out the token byte by byte.
 #[derive(Clone)]
 pub struct Secret(String);
 
-/// Why a text is no [`Secret`].
+/// Why a text is not accepted as a [`Secret`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SecretError {
-    /// It could be guessed.
+    /// The text is so short that it could be guessed.
     TooShort,
-    /// It could not be sent in an HTTP header.
+    /// The text could not be sent in an HTTP header.
     NotPrintable,
 }
 
 impl Secret {
-    /// Whether `offered` is this secret. Only the length can show in the time
-    /// that it takes.
+    /// Returns whether `offered` equals this secret. The time taken reveals at most the length.
     #[must_use]
     pub fn matches(&self, offered: &[u8]) -> bool {
         self.0.as_bytes().ct_eq(offered).into()
     }
 
-    /// The token itself, for the header of an outgoing request.
+    /// Returns the token itself, for the header of an outgoing request.
     #[must_use]
     pub fn expose(&self) -> &str {
         &self.0
--- a/crates/settings/src/span.rs
+++ b/crates/settings/src/span.rs
@@ -1,23 +1,24 @@
-//! Lengths of time as operators write them.
+//! Durations as text in settings.
 
 use std::fmt;
 use std::str::FromStr;
 use std::time::Duration;
 
-/// A length of time written as a whole number and a unit: `250ms`, `2s`, `5m`
-/// or `1h`. A bare number is refused: whether `--timeout 5` meant seconds or
-/// milliseconds would only show under load.
+/// A duration written as a whole number and a unit, such as `250ms`, `2s`, `5m` or `1h`.
+///
+/// The unit is required: if `--timeout 5` were read as seconds but meant as milliseconds, or the
+/// reverse, that would only be noticed under load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Span(pub Duration);
 
-/// Why a text is no [`Span`].
+/// Why a text could not be parsed as a [`Span`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SpanError {
-    /// What comes before the unit is not a whole number.
+    /// The text does not start with a whole number.
     NotANumber,
     /// The unit is missing or unknown.
     NotAUnit,
-    /// The length does not fit.
+    /// The duration is too long to be represented.
     TooLong,
 }
 
@@ -51,7 +52,7 @@
             "h" => 3_600_000,
             _ => return Err(SpanError::NotAUnit),
         };
-        // All digits by now, so that only the size can be wrong.
+        // All characters are digits, so parsing can fail only on overflow.
         let count: u64 = digits.parse().map_err(|_| SpanError::TooLong)?;
         count
             .checked_mul(millis_per_unit)
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -1,17 +1,17 @@
-//! Typed access to the settings that were given.
+//! Typed access to the values of settings.
 
 use std::collections::BTreeMap;
 use std::fmt::Display;
 use std::str::FromStr;
 
-use crate::command_line::Given;
+use crate::command_line::CommandLine;
 use crate::finding::{Finding, Stop};
 use crate::program::{Program, Setting};
 
-/// What takes the place of bytes that are not UTF-8.
+/// Replaces bytes that are not valid UTF-8 in the values of variables.
 const REPLACEMENT: char = char::REPLACEMENT_CHARACTER;
 
-/// The settings as given, and what was found wrong so far.
+/// The values of a program's settings, and the findings about them so far.
 #[derive(Debug)]
 pub struct Values {
     settings: &'static [Setting],
@@ -24,17 +24,17 @@
 impl Values {
     pub(crate) fn new(
         program: &Program,
-        given: Given,
+        command_line: CommandLine,
         env: impl Fn(&str) -> Option<String>,
     ) -> Self {
         let mut values = Self {
             settings: program.settings,
             texts: BTreeMap::new(),
             switches: BTreeMap::new(),
-            operands: given.operands,
-            findings: given.findings,
+            operands: command_line.operands,
+            findings: command_line.findings,
         };
-        let mut flags = given.flags;
+        let mut flags = command_line.flags;
         for setting in program.settings {
             let variable = env(&setting.variable()).filter(|text| !text.is_empty());
             let flag = flags.remove(setting.flag);
@@ -47,12 +47,12 @@
         values
     }
 
-    /// The value of a setting that must be there. `None` where it is missing
-    /// or wrong, which [`Values::finish`] then reports.
+    /// Returns the value of a required setting. If it is missing or invalid, the result is `None`
+    /// and [`Values::finish`] reports it.
     ///
     /// # Panics
     ///
-    /// Where the program doesn't list the setting, a mistake in the program.
+    /// If the program's table lacks the setting, which is a mistake in the program.
     pub fn required<T>(&mut self, flag: &str) -> Option<T>
     where
         T: FromStr,
@@ -61,19 +61,19 @@
         let setting = self.setting(flag);
         if !self.texts.contains_key(setting.flag) {
             if !self.has_finding(setting) {
-                self.add(setting, "is required");
+                self.report(setting, "is required");
             }
             return None;
         }
         self.optional(flag)
     }
 
-    /// The value of a setting that may be absent. A value that is there but
-    /// wrong is `None` too, and [`Values::finish`] reports it.
+    /// Returns the value of an optional setting, or `None` if it is absent. If it is invalid, the
+    /// result is `None` too and [`Values::finish`] reports it.
     ///
     /// # Panics
     ///
-    /// Where the program doesn't list the setting, a mistake in the program.
+    /// If the program's table lacks the setting, which is a mistake in the program.
     pub fn optional<T>(&mut self, flag: &str) -> Option<T>
     where
         T: FromStr,
@@ -85,45 +85,44 @@
             Ok(value) => Some(value),
             Err(error) => {
                 let message = parse_message(setting, text, &error);
-                self.add(setting, message);
+                self.report(setting, message);
                 None
             }
         }
     }
 
-    /// Whether a switch is on.
+    /// Returns whether a switch is on.
     ///
     /// # Panics
     ///
-    /// Where the program doesn't list the setting, a mistake in the program.
+    /// If the program's table lacks the setting, which is a mistake in the program.
     #[must_use]
     pub fn switch(&self, flag: &str) -> bool {
         let setting = self.setting(flag);
         self.switches.get(setting.flag).copied().unwrap_or(false)
     }
 
-    /// The arguments that are no flags, in their order.
+    /// Returns the arguments that are not flags, in their order.
     #[must_use]
     pub fn operands(&self) -> &[String] {
         &self.operands
     }
 
-    /// Adds a finding that only shows when several settings are seen
-    /// together.
+    /// Adds a finding about a setting, for checks that concern several settings.
     ///
     /// # Panics
     ///
-    /// Where the program doesn't list the setting, a mistake in the program.
+    /// If the program's table lacks the setting, which is a mistake in the program.
     pub fn reject(&mut self, flag: &str, message: impl Into<String>) {
         let setting = self.setting(flag);
-        self.add(setting, message);
+        self.report(setting, message);
     }
 
-    /// Ends the reading.
+    /// Returns whether all settings were valid.
     ///
     /// # Errors
     ///
-    /// [`Stop::Findings`] with every finding so far, where there is one.
+    /// [`Stop::Findings`] with all findings, if there are any.
     pub fn finish(self) -> Result<(), Stop> {
         if self.findings.is_empty() {
             Ok(())
@@ -139,7 +138,7 @@
             .unwrap_or_else(|| panic!("setting --{flag} is not in the program's table"))
     }
 
-    fn add(&mut self, setting: &Setting, message: impl Into<String>) {
+    fn report(&mut self, setting: &Setting, message: impl Into<String>) {
         self.findings.push(Finding {
             place: setting.place(),
             message: message.into(),
@@ -157,7 +156,7 @@
             None | Some("0" | "false" | "no" | "off") => false,
             Some("1" | "true" | "yes" | "on") => true,
             Some(_) => {
-                self.add(setting, "must be true or false");
+                self.report(setting, "must be true or false");
                 false
             }
         };
@@ -175,17 +174,17 @@
             return;
         };
         if text.is_empty() {
-            self.add(setting, "is empty");
+            self.report(setting, "is empty");
         } else if text.contains(REPLACEMENT) {
-            self.add(setting, "is not valid UTF-8");
+            self.report(setting, "is not valid UTF-8");
         } else {
             self.texts.insert(setting.flag, text);
         }
     }
 }
 
-/// Many parse errors quote what they were given. For a secret that would put
-/// it on the screen, so an error that repeats the value is not shown.
+/// Returns the message of a finding about an invalid value. Many parse errors quote their input, so
+/// the error of a secret setting is omitted if it contains the value.
 fn parse_message(setting: &Setting, text: &str, error: &impl Display) -> String {
     let reason = error.to_string();
     if !setting.is_secret() {
--- a/crates/settings/tests/all/arbitrary.rs
+++ b/crates/settings/tests/all/arbitrary.rs
@@ -1,5 +1,5 @@
-//! Any bytes on the command line or in the environment give values or
-//! findings, and never a panic.
+//! Arbitrary bytes on the command line or in the environment result in values or findings, and
+//! never in a panic.
 
 use std::ffi::OsString;
 use std::os::unix::ffi::OsStringExt;
@@ -19,7 +19,7 @@
     operands: "",
 };
 
-/// Arguments near to valid ones, since random bytes alone never reach far.
+/// Arguments of which many are almost valid, since random bytes alone reach little of the code.
 fn argument() -> impl Strategy<Value = Vec<u8>> {
     prop_oneof![
         vec(any::<u8>(), 0..12),
--- a/crates/settings/tests/all/reading.rs
+++ b/crates/settings/tests/all/reading.rs
@@ -1,4 +1,4 @@
-//! Flags, variables, defaults, and findings that come all together.
+//! Flags, variables, defaults, and the findings about them.
 
 use std::ffi::OsString;
 use std::net::SocketAddr;
@@ -72,9 +72,8 @@
     assert_eq!(found, ["--json (STOATSTEP_JSON): must be true or false"]);
 }
 
-/// An operator starts a daemon with several mistakes at once: an address that
-/// is none, a zone that is missing, a flag that doesn't exist, one given
-/// twice. Stopping at the first would cost one restart for each mistake.
+/// Reports all mistakes of an operator at once: an invalid address, a missing zone, an unknown flag
+/// and a flag that is given twice. Stopping at the first would cost a restart for each mistake.
 #[test]
 fn every_mistake_is_reported_at_once_with_flag_and_variable() {
     let args = [
--- a/crates/settings/tests/all/secrets.rs
+++ b/crates/settings/tests/all/secrets.rs
@@ -1,4 +1,4 @@
-//! Tokens are never printed.
+//! Secret settings, which are never printed.
 
 use std::ffi::OsString;
 
@@ -11,17 +11,18 @@
     operands: "",
 };
 
-/// The arguments, and all that is printed over them.
+/// Returns the findings that are printed for these arguments.
 fn printed(args: &[&str]) -> String {
     let args: Vec<OsString> = args.iter().map(OsString::from).collect();
     let mut values = PROGRAM.read_from(args, |_| None).expect("no help");
-    // The parse error of a `char` or a number may one day quote its input.
+    // Reads the token also as a type whose parse error quotes its input, as those of `char` or of
+    // numbers may in the future.
     let _ = values.optional::<Secret>("peer-token");
     let _ = values.optional::<Quoting>("peer-token");
     values.finish().expect_err("a wrong token").to_string()
 }
 
-/// A type whose parse error quotes the text, as many do.
+/// A type whose parse error quotes its input, as many do.
 struct Quoting;
 
 impl std::str::FromStr for Quoting {
@@ -32,8 +33,8 @@
     }
 }
 
-/// An operator mistypes a token, or the flag before it. Findings go to the
-/// service manager's log, which more people can read than may hold the token.
+/// An operator mistypes a token or its flag. The findings go to the log of the service manager,
+/// which is readable by people who must not know the token.
 #[test]
 fn wrong_token_is_reported_without_its_value() {
     for args in [
--- a/crates/settings/tests/all/spans.rs
+++ b/crates/settings/tests/all/spans.rs
@@ -1,4 +1,4 @@
-//! Lengths of time.
+//! Parsing of durations.
 
 use std::time::Duration;
 
