--- a/crates/resource/benches/state.rs
+++ b/crates/resource/benches/state.rs
@@ -1,6 +1,6 @@
-//! Times what a daemon does with states of several sizes, up to twice the one
-//! that the next two years need: 48 services and 610 upstreams. Prints one JSON
-//! line for each figure; the number at the end of a name is that of upstreams.
+//! Measures a daemon's operations on states of several sizes, up to twice the number of upstreams
+//! that is planned for: 48 services and 610 upstreams within two years. Prints one JSON line for
+//! each figure, whose name ends with the number of upstreams.
 
 use std::hint::black_box;
 use std::time::{Duration, Instant};
@@ -41,7 +41,7 @@
     );
 }
 
-/// Mean size of a change of one upstream.
+/// Returns the mean encoded size of a change of one upstream.
 fn mean_change(state: &State, upstreams: usize) -> usize {
     let sizes = (0..upstreams).map(|i| {
         let delta = state.delta(vec![upstream(i, 12)], Vec::new());
@@ -87,7 +87,7 @@
     })
 }
 
-/// Prints the median, which the machine's other work moves less than a mean.
+/// Prints the median time of `work`, which other load on the machine affects less than the mean.
 fn print_time(name: &str, upstreams: usize, mut work: impl FnMut()) {
     let mut times: Vec<Duration> = (0..ROUNDS)
         .map(|_| {
--- a/crates/resource/tests/all/change.rs
+++ b/crates/resource/tests/all/change.rs
@@ -1,4 +1,4 @@
-//! A change is read with all of its findings.
+//! Conversion of change requests, which collects all findings.
 
 use stoatstep_resource::wire::{Change, ChangeRequest};
 
--- a/crates/resource/tests/all/decoders.rs
+++ b/crates/resource/tests/all/decoders.rs
@@ -1,4 +1,4 @@
-//! Whatever bytes come in, decoding gives a value or an error.
+//! Decoding arbitrary bytes results in a value or an error, and never in a panic.
 
 use proptest::prelude::*;
 use stoatstep_resource::wire::{
--- a/crates/resource/tests/all/difference.rs
+++ b/crates/resource/tests/all/difference.rs
@@ -15,8 +15,8 @@
     State::from_snapshot(version, held).expect("names differ")
 }
 
-/// A daemon missed some versions. What it fetches holds only what it lacks, goes
-/// over the wire, and leads to the same state.
+/// A daemon that missed some versions fetches a difference. It holds only the changed resources,
+/// survives encoding, and leads to the later state.
 #[test]
 fn a_difference_over_several_versions_leads_to_the_later_state() {
     let old = state(3, &[("a", None), ("b", None), ("c", None)]);
--- a/crates/resource/tests/all/examples.rs
+++ b/crates/resource/tests/all/examples.rs
@@ -1,4 +1,4 @@
-//! The examples that the documentation refers to are valid and whole.
+//! The examples that the documentation refers to are valid and complete.
 
 use std::path::Path;
 
--- a/crates/resource/tests/all/files.rs
+++ b/crates/resource/tests/all/files.rs
@@ -1,4 +1,4 @@
-//! Sets of several files.
+//! Reading sets of resource files.
 
 use std::collections::BTreeMap;
 
@@ -68,7 +68,7 @@
 }
 
 proptest! {
-    // The files and the API's JSON have the same fields with the same meaning.
+    // Resource files and the JSON of the API must have the same fields with the same meaning.
     #[test]
     fn files_read_every_field_of_the_api(resource in any_resource()) {
         let mut json = serde_json::to_value(ResourceWire::from(&resource)).unwrap();
--- a/crates/resource/tests/all/state.rs
+++ b/crates/resource/tests/all/state.rs
@@ -1,4 +1,4 @@
-//! A state moves on by whole, checked deltas only.
+//! A state changes only by whole deltas that pass all checks.
 
 use std::sync::Arc;
 
@@ -11,8 +11,8 @@
     Key { kind, name }
 }
 
-// Two updates cross in flight and a daemon receives the older one last. If it
-// applied it, the daemon would go back; it must refuse it and stay as it was.
+// Two updates are reordered on the way, so that a daemon receives the older one last. Applying it
+// would take the daemon back to an older version, so it must be refused.
 #[test]
 fn older_or_skipping_delta_is_refused() {
     let first = state_of(vec![service("a")]);
@@ -36,9 +36,8 @@
     ));
 }
 
-// A delta is written on top of another state than the one held here, as after
-// a lost push that was mistaken for applied. The digest tells, before anyone
-// can be served by a mixture.
+// A delta is based on a state that differs from the local one, as after a lost push that was
+// mistaken for applied. The digest must reveal this before a mixture of both is used for calls.
 #[test]
 fn delta_on_another_base_is_refused() {
     let ours = state_of(vec![service("a")]);
@@ -48,8 +47,8 @@
     assert!(matches!(refused, Err(ApplyError::DigestMismatch { .. })));
 }
 
-// A delta deletes a service that an upstream still points at. Were it applied,
-// calls would be routed to nothing; it must be refused whole.
+// A delta deletes a service to which an upstream still refers. It must be refused as a whole, since
+// calls would be routed to a service that does not exist.
 #[test]
 fn delta_that_leaves_a_reference_dangling_is_refused() {
     let state = state_of(vec![service("a"), upstream("a-1", "a")]);
@@ -89,8 +88,8 @@
     assert!(matches!(ahead, Err(SnapshotError::RevisionAhead { .. })));
 }
 
-// A state is decoded in which a resource is filed under another's key. Whoever
-// looks up the key would act on the wrong resource.
+// A decoded state has a resource under the key of another one, so that a lookup of that key would
+// return the wrong resource.
 #[test]
 fn resource_under_another_key_is_a_finding() {
     let state = state_of(vec![service("a")]);
--- a/crates/resource/tests/all/support.rs
+++ b/crates/resource/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! States of any size and resources of any content.
+//! Helpers that build states and resources, and a strategy for arbitrary resources.
 
 use std::time::Duration;
 
--- a/crates/resource/tests/all/wire.rs
+++ b/crates/resource/tests/all/wire.rs
@@ -1,4 +1,4 @@
-//! Wire types carry all that the domain types hold.
+//! Wire types preserve everything that the domain types hold.
 
 use proptest::prelude::*;
 use stoatstep_resource::wire::{
@@ -31,9 +31,9 @@
     }
 }
 
-// Daemons of two builds run side by side during an upgrade, and the platform
-// keeps deltas for long. If the bytes changed unnoticed, a daemon would refuse
-// every version that the other build wrote.
+// During an upgrade, daemons of two builds run side by side, and the platform stores deltas for a
+// long time. After an unnoticed change of the encoding, a daemon would refuse every version that
+// the other build wrote.
 #[test]
 fn delta_bytes_stay_as_they_are() {
     let key = Key {
@@ -61,8 +61,8 @@
     assert_eq!(State::try_from(wire), Ok(state));
 }
 
-// A daemon that starts cold reads a snapshot with a bit flipped on the way. It
-// must refuse it rather than serve by a state that no operator wrote.
+// A daemon that starts without a state reads a snapshot in which a bit was flipped. It must refuse
+// it, since the state is not one that an operator wrote.
 #[test]
 fn damaged_snapshot_is_refused() {
     let state = state_of(vec![
--- a/crates/resource/tests/cases.rs
+++ b/crates/resource/tests/cases.rs
@@ -1,4 +1,4 @@
-//! Runs the files in `tests/resources`; see the README there.
+//! Runs the test cases in `tests/resources`, which the README there describes.
 
 use std::path::Path;
 
