--- a/crates/resource/src/validate/resources.rs
+++ b/crates/resource/src/validate/resources.rs
@@ -22,7 +22,7 @@
         key: resource.key(),
         findings,
     };
-    checker.check_name();
+    checker.check_resource_name();
     match resource {
         Resource::Policy(policy) => checker.check_policy(policy),
         Resource::Service(service) => checker.check_service(service),
@@ -43,7 +43,7 @@
         self.findings.push(Finding::new(place, message));
     }
 
-    fn check_name(&mut self) {
+    fn check_resource_name(&mut self) {
         if let Err(message) = check_name(&self.key.name) {
             self.report("name", message);
         }
--- a/crates/settings/src/command_line.rs
+++ b/crates/settings/src/command_line.rs
@@ -18,7 +18,7 @@
 }
 
 /// A flag or an operand that does not borrow from the parser, unlike [`Arg`].
-enum Argument {
+enum OwnedArg {
     Flag(String),
     Operand(OsString),
 }
@@ -33,30 +33,30 @@
     let mut parsed = CommandLine::default();
     while let Some(argument) = next_argument(&mut parser, &mut parsed) {
         match argument {
-            Argument::Flag(name) if name == "help" || name == "h" => {
+            OwnedArg::Flag(name) if name == "help" || name == "h" => {
                 return Err(Stop::Help(program.help_text()));
             }
-            Argument::Flag(name) if name == "version" || name == "V" => {
+            OwnedArg::Flag(name) if name == "version" || name == "V" => {
                 return Err(Stop::Version(program.version_text()));
             }
-            Argument::Flag(name) => match program.find(&name) {
+            OwnedArg::Flag(name) => match program.find(&name) {
                 Some(setting) if setting.is_switch() => parsed.add_switch(setting, &mut parser),
                 Some(setting) => parsed.add_value(setting, &mut parser),
                 None => parsed.report_unknown(program, &name, &mut parser),
             },
-            Argument::Operand(text) => parsed.add_operand(program, &text),
+            OwnedArg::Operand(text) => parsed.add_operand(program, &text),
         }
     }
     Ok(parsed)
 }
 
-fn next_argument(parser: &mut Parser, parsed: &mut CommandLine) -> Option<Argument> {
+fn next_argument(parser: &mut Parser, parsed: &mut CommandLine) -> Option<OwnedArg> {
     loop {
         let error = match parser.next() {
             Ok(None) => return None,
-            Ok(Some(Arg::Long(name))) => return Some(Argument::Flag(name.to_owned())),
-            Ok(Some(Arg::Short(name))) => return Some(Argument::Flag(name.to_string())),
-            Ok(Some(Arg::Value(text))) => return Some(Argument::Operand(text)),
+            Ok(Some(Arg::Long(name))) => return Some(OwnedArg::Flag(name.to_owned())),
+            Ok(Some(Arg::Short(name))) => return Some(OwnedArg::Flag(name.to_string())),
+            Ok(Some(Arg::Value(text))) => return Some(OwnedArg::Operand(text)),
             Err(error) => error.to_string(),
         };
         parsed.report(Place::Argument("arguments".to_owned()), error);
@@ -73,21 +73,21 @@
         if parser.optional_value().is_some() {
             self.report(setting.place(), "takes no value");
         }
-        self.insert(setting, String::new());
+        self.insert_flag(setting, String::new());
     }
 
     fn add_value(&mut self, setting: &'static Setting, parser: &mut Parser) {
         let value = parser.values().ok().and_then(|mut values| values.next());
         match value {
             Some(text) => match text.into_string() {
-                Ok(text) => self.insert(setting, text),
+                Ok(text) => self.insert_flag(setting, text),
                 Err(_) => self.report(setting.place(), "is not valid UTF-8"),
             },
             None => self.report(setting.place(), "needs a value"),
         }
     }
 
-    fn insert(&mut self, setting: &'static Setting, text: String) {
+    fn insert_flag(&mut self, setting: &'static Setting, text: String) {
         if self.flags.insert(setting.flag, text).is_some() {
             self.report(setting.place(), "is given more than once");
         }
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -114,8 +114,8 @@
         args: impl IntoIterator<Item = OsString>,
         env: impl Fn(&str) -> Option<String>,
     ) -> Result<Values, Stop> {
-        let command_line = command_line::read(self, args)?;
-        Ok(Values::new(self, command_line, env))
+        let parsed = command_line::read(self, args)?;
+        Ok(Values::new(self, parsed, env))
     }
 
     pub(crate) fn find(&self, flag: &str) -> Option<&'static Setting> {
