--- a/crates/calls/tests/all/identity.rs
+++ b/crates/calls/tests/all/identity.rs
@@ -3,13 +3,13 @@
 use std::sync::Arc;
 
 use stoatstep_calls::{CredentialError, KeyRing, bearer_key};
-use stoatstep_resource::{Customer, Held, KeyDigest, Resource, State};
+use stoatstep_resource::{Customer, KeyDigest, Resource, State, VersionedResource};
 
 /// Credentials of a request, and the expected result.
 type Case<'a> = (&'a [&'a [u8]], Result<KeyDigest, CredentialError>);
 
 fn ring(customers: &[(&str, &[&str])]) -> KeyRing {
-    let held = customers.iter().map(|(name, keys)| Held {
+    let held = customers.iter().map(|(name, keys)| VersionedResource {
         revision: 1,
         resource: Arc::new(Resource::Customer(Customer {
             name: (*name).into(),
--- a/crates/calls/tests/all/routes.rs
+++ b/crates/calls/tests/all/routes.rs
@@ -2,7 +2,7 @@
 use std::sync::Arc;
 
 use stoatstep_calls::RouteTable;
-use stoatstep_resource::{Held, Resource, Route, Share, State};
+use stoatstep_resource::{Resource, Route, Share, State, VersionedResource};
 
 fn route(name: &str, host: Option<&str>, prefix: &str) -> Route {
     Route {
@@ -18,7 +18,7 @@
 }
 
 fn table(routes: &[Route]) -> RouteTable {
-    let held = routes.iter().map(|route| Held {
+    let held = routes.iter().map(|route| VersionedResource {
         revision: 1,
         resource: Arc::new(Resource::Route(route.clone())),
     });
--- a/crates/resource/src/difference.rs
+++ b/crates/resource/src/difference.rs
@@ -6,7 +6,7 @@
 use crate::digest::Digest;
 use crate::ids::Version;
 use crate::key::Key;
-use crate::state::{Held, State};
+use crate::state::{State, VersionedResource};
 
 /// The resources in which a later state differs from an earlier one.
 ///
@@ -17,7 +17,7 @@
     /// The version that this difference leads to.
     pub version: Version,
     /// Resources that are created or replaced, with their revisions.
-    pub puts: Vec<Held>,
+    pub puts: Vec<VersionedResource>,
     /// Keys of the resources that are deleted.
     pub deletes: Vec<Key>,
     /// Digest of the whole later state, as its holder computed it.
@@ -28,9 +28,9 @@
     /// Computes the difference that leads from this state to `later`.
     #[must_use]
     pub fn difference(&self, later: &Self) -> Difference {
-        let is_new = |(key, held): &(&Key, &Held)| self.get(key) != Some(*held);
+        let is_new = |(key, held): &(&Key, &VersionedResource)| self.get(key) != Some(*held);
         let puts = later.iter().filter(is_new);
-        let is_deleted = |(key, _): &(&Key, &Held)| later.get(key).is_none();
+        let is_deleted = |(key, _): &(&Key, &VersionedResource)| later.get(key).is_none();
         let deletes = self.iter().filter(is_deleted);
         Difference {
             version: later.version(),
@@ -64,7 +64,7 @@
         let shared = self.iter().map(|(key, held)| {
             let known = earlier.get(key);
             let same = known.filter(|it| it.resource == held.resource);
-            Held {
+            VersionedResource {
                 revision: held.revision,
                 resource: Arc::clone(&same.unwrap_or(held).resource),
             }
--- a/crates/resource/src/files/mod.rs
+++ b/crates/resource/src/files/mod.rs
@@ -16,7 +16,7 @@
 
 use crate::finding::{Finding, Place};
 use crate::key::Key;
-use crate::state::{Held, State};
+use crate::state::{State, VersionedResource};
 use crate::types::Resource;
 use crate::validate::validate;
 use lines::FieldLines;
@@ -108,7 +108,7 @@
             .iter()
             .filter(|(key, _)| !self.resources.contains_key(key));
         let kept = kept.map(|(_, held)| held.clone());
-        let own = self.resources.values().map(|resource| Held {
+        let own = self.resources.values().map(|resource| VersionedResource {
             revision: version,
             resource: Arc::new(resource.clone()),
         });
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -29,7 +29,7 @@
 };
 pub use key::{Key, KeyError, Kind, UnknownKind};
 pub use key_digest::{KeyDigest, KeyId, NoKeyDigest};
-pub use state::{Held, SnapshotError, State};
+pub use state::{SnapshotError, State, VersionedResource};
 pub use types::{
     Customer, HEALTH_PATH, Policy, Quota, Resource, Retry, Route, Service, Share, TenantLimit,
     Upstream,
--- a/crates/resource/src/state.rs
+++ b/crates/resource/src/state.rs
@@ -14,7 +14,7 @@
 
 /// A resource of a [`State`], with its revision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Held {
+pub struct VersionedResource {
     /// The version at which the resource last changed.
     pub revision: Revision,
     /// The resource.
@@ -28,7 +28,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct State {
     version: Version,
-    resources: BTreeMap<Key, Held>,
+    resources: BTreeMap<Key, VersionedResource>,
 }
 
 impl State {
@@ -40,7 +40,7 @@
     /// A [`SnapshotError`] where a key is duplicated or a revision is newer than `version`.
     pub fn from_snapshot(
         version: Version,
-        items: impl IntoIterator<Item = Held>,
+        items: impl IntoIterator<Item = VersionedResource>,
     ) -> Result<Self, SnapshotError> {
         let mut resources = BTreeMap::new();
         for held in items {
@@ -64,17 +64,17 @@
 
     /// Returns the resource under `key`.
     #[must_use]
-    pub fn get(&self, key: &Key) -> Option<&Held> {
+    pub fn get(&self, key: &Key) -> Option<&VersionedResource> {
         self.resources.get(key)
     }
 
     /// Iterates over every resource, ordered by key.
-    pub fn iter(&self) -> impl Iterator<Item = (&Key, &Held)> {
+    pub fn iter(&self) -> impl Iterator<Item = (&Key, &VersionedResource)> {
         self.resources.iter()
     }
 
     /// Iterates over the resources of one kind, ordered by name.
-    pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = &Held> {
+    pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = &VersionedResource> {
         self.iter()
             .filter(move |(key, _)| key.kind == kind)
             .map(|(_, held)| held)
@@ -153,7 +153,7 @@
     }
 
     /// Builds a state from items whose keys are distinct.
-    pub(crate) fn from_items(version: Version, items: Vec<Held>) -> Self {
+    pub(crate) fn from_items(version: Version, items: Vec<VersionedResource>) -> Self {
         let keyed = items.into_iter().map(|held| (held.resource.key(), held));
         Self {
             version,
@@ -162,7 +162,12 @@
     }
 
     /// Returns the state after these changes; each put has its own revision.
-    pub(crate) fn with_items(&self, version: Version, puts: &[Held], deletes: &[Key]) -> Self {
+    pub(crate) fn with_items(
+        &self,
+        version: Version,
+        puts: &[VersionedResource],
+        deletes: &[Key],
+    ) -> Self {
         let mut resources = self.resources.clone();
         for key in deletes {
             resources.remove(key);
@@ -175,11 +180,11 @@
 
     /// Returns the state after these changes; the revision of each put is `version`.
     fn with_changes(&self, version: Version, puts: &[Resource], deletes: &[Key]) -> Self {
-        let put = |resource: &Resource| Held {
+        let put = |resource: &Resource| VersionedResource {
             revision: version,
             resource: Arc::new(resource.clone()),
         };
-        let puts: Vec<Held> = puts.iter().map(put).collect();
+        let puts: Vec<VersionedResource> = puts.iter().map(put).collect();
         self.with_items(version, &puts, deletes)
     }
 }
--- a/crates/resource/src/wire/change.rs
+++ b/crates/resource/src/wire/change.rs
@@ -9,7 +9,7 @@
 use crate::finding::{Finding, Place};
 use crate::ids::{OperationId, Revision, Version};
 use crate::key::{Key, Kind};
-use crate::state::{Held, State};
+use crate::state::{State, VersionedResource};
 use crate::types::Resource;
 
 /// Body of `POST /v1/changes`: one change, which takes effect as a whole or not at all.
@@ -110,8 +110,8 @@
     pub resource: ResourceWire,
 }
 
-impl From<&Held> for ItemWire {
-    fn from(held: &Held) -> Self {
+impl From<&VersionedResource> for ItemWire {
+    fn from(held: &VersionedResource) -> Self {
         Self {
             revision: held.revision,
             resource: ResourceWire::from(&*held.resource),
@@ -151,7 +151,7 @@
         let mut items = Vec::with_capacity(list.items.len());
         for item in list.items {
             match Resource::try_from(item.resource) {
-                Ok(resource) => items.push(Held {
+                Ok(resource) => items.push(VersionedResource {
                     revision: item.revision,
                     resource: Arc::new(resource),
                 }),
--- a/crates/resource/src/wire/delta.rs
+++ b/crates/resource/src/wire/delta.rs
@@ -10,7 +10,7 @@
 use crate::digest::Digest;
 use crate::ids::{Revision, Version};
 use crate::key::Key;
-use crate::state::{Held, SnapshotError, State};
+use crate::state::{SnapshotError, State, VersionedResource};
 use crate::types::Resource;
 
 /// Serialized form of a [`Delta`].
@@ -70,7 +70,7 @@
 
     fn try_from(wire: SnapshotWire) -> Result<Self, SnapshotError> {
         let items = wire.items.into_iter();
-        let items = items.map(|(revision, packed)| Held {
+        let items = items.map(|(revision, packed)| VersionedResource {
             revision,
             resource: Arc::new(packed.into()),
         });
@@ -115,7 +115,7 @@
         Self {
             version: wire.version,
             puts: puts
-                .map(|(revision, packed)| Held {
+                .map(|(revision, packed)| VersionedResource {
                     revision,
                     resource: Arc::new(packed.into()),
                 })
--- a/crates/resource/tests/all/difference.rs
+++ b/crates/resource/tests/all/difference.rs
@@ -1,10 +1,10 @@
 use std::sync::Arc;
 
 use stoatstep_resource::wire::DifferenceWire;
-use stoatstep_resource::{ApplyError, Difference, Held, Resource, Service, State};
+use stoatstep_resource::{ApplyError, Difference, Resource, Service, State, VersionedResource};
 
 fn state(version: u64, services: &[(&str, Option<&str>)]) -> State {
-    let held = services.iter().map(|(name, policy)| Held {
+    let held = services.iter().map(|(name, policy)| VersionedResource {
         revision: 1,
         resource: Arc::new(Resource::Service(Service {
             name: (*name).into(),
--- a/crates/resource/tests/all/state.rs
+++ b/crates/resource/tests/all/state.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use stoatstep_resource::{ApplyError, Held, Key, Kind, SnapshotError, State, validate};
+use stoatstep_resource::{
+    ApplyError, Key, Kind, SnapshotError, State, VersionedResource, validate,
+};
 
 use crate::support::{service, state_of, upstream};
 
@@ -78,7 +80,7 @@
 
 #[test]
 fn snapshot_items_are_checked() {
-    let item = |revision| Held {
+    let item = |revision| VersionedResource {
         revision,
         resource: Arc::new(service("a")),
     };
--- a/crates/spec/src/distribution/daemon.rs
+++ b/crates/spec/src/distribution/daemon.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use stoatstep_distribution::{OfferOutcome, Replica, Serving};
-use stoatstep_resource::{Delta, Digest, Held, State, Version};
+use stoatstep_resource::{Delta, Digest, State, Version, VersionedResource};
 
 use super::DaemonIndex;
 use crate::safeguard::{Safeguard, Safeguards};
@@ -185,7 +185,7 @@
             .map(|(_, held)| held.clone())
             .collect();
         items.retain(|held| !delta.deletes.contains(&held.resource.key()));
-        items.extend(delta.puts.iter().map(|resource| Held {
+        items.extend(delta.puts.iter().map(|resource| VersionedResource {
             revision: delta.version,
             resource: Arc::new(resource.clone()),
         }));
--- a/crates/versionlog/src/writer/prepare.rs
+++ b/crates/versionlog/src/writer/prepare.rs
@@ -5,7 +5,7 @@
 
 use stoatstep_resource::wire::Change;
 use stoatstep_resource::{
-    Delta, Digest, Finding, Held, Key, Place, Resource, Revision, State, validate,
+    Delta, Digest, Finding, Key, Place, Resource, Revision, State, VersionedResource, validate,
 };
 
 use super::error::{RevisionConflict, WriteError};
@@ -66,7 +66,7 @@
 /// The resulting state, not yet validated.
 fn apply_change(change: &Change, state: &State) -> Result<State, WriteError> {
     let version = state.version() + 1;
-    let mut items: BTreeMap<Key, Held> = state
+    let mut items: BTreeMap<Key, VersionedResource> = state
         .iter()
         .map(|(key, held)| (key.clone(), held.clone()))
         .collect();
@@ -74,7 +74,7 @@
         items.remove(key);
     }
     for resource in changed_puts(change, state) {
-        let held = Held {
+        let held = VersionedResource {
             revision: version,
             resource: Arc::new(resource.clone()),
         };
