--- a/crates/mesh/src/fleet/versions.rs
+++ b/crates/mesh/src/fleet/versions.rs
@@ -77,7 +77,7 @@
 fn activate(node: &Node, state: State) -> ConfigId {
     let before = node.fleet.in_force();
     let state = match &before {
-        Some(before) => state.sharing(&before.state),
+        Some(before) => state.share_resources_with(&before.state),
         None => state,
     };
     let in_force = InForce::new(state);
@@ -206,7 +206,7 @@
             let Some(held) = node.fleet.in_force() else {
                 return Ok(None);
             };
-            let advanced = held.state.advanced(&difference.into());
+            let advanced = held.state.apply_difference(&difference.into());
             advanced.map_err(|err| err.to_string())?
         }
     };
--- a/crates/resource/src/difference.rs
+++ b/crates/resource/src/difference.rs
@@ -45,7 +45,7 @@
     /// # Errors
     ///
     /// An [`ApplyError`] where the version is not newer, the digest differs or a reference dangles.
-    pub fn advanced(&self, difference: &Difference) -> Result<Self, ApplyError> {
+    pub fn apply_difference(&self, difference: &Difference) -> Result<Self, ApplyError> {
         if difference.version <= self.version() {
             return Err(ApplyError::OutOfOrder {
                 held: self.version(),
@@ -59,7 +59,7 @@
     /// Replaces each resource that equals one of `earlier` by that state's [`Arc`], so that several
     /// successive states take little more memory than one.
     #[must_use]
-    pub fn sharing(self, earlier: &Self) -> Self {
+    pub fn share_resources_with(self, earlier: &Self) -> Self {
         let version = self.version();
         let shared = self.iter().map(|(key, held)| {
             let known = earlier.get(key);
--- a/crates/resource/tests/all/difference.rs
+++ b/crates/resource/tests/all/difference.rs
@@ -28,7 +28,7 @@
     let read: DifferenceWire = rmp_serde::from_slice(&bytes).expect("it decodes");
     let read = Difference::from(read);
     assert_eq!(read, difference);
-    assert_eq!(old.advanced(&read), Ok(new));
+    assert_eq!(old.apply_difference(&read), Ok(new));
 }
 
 #[test]
@@ -37,7 +37,7 @@
     let new = state(9, &[("a", None), ("d", None)]);
     let difference = old.difference(&new);
     let other = state(3, &[("z", None)]);
-    let refused = other.advanced(&difference);
+    let refused = other.apply_difference(&difference);
     assert!(matches!(refused, Err(ApplyError::DigestMismatch { .. })));
 }
 
@@ -45,7 +45,7 @@
 fn a_difference_never_leads_back() {
     let old = state(3, &[("a", None)]);
     let new = state(9, &[("a", None), ("d", None)]);
-    let refused = new.advanced(&new.difference(&old));
+    let refused = new.apply_difference(&new.difference(&old));
     assert!(matches!(refused, Err(ApplyError::OutOfOrder { .. })));
 }
 
@@ -53,7 +53,7 @@
 fn a_dangling_reference_is_refused() {
     let old = state(3, &[("a", None)]);
     let new = state(9, &[("a", Some("gone"))]);
-    let refused = old.advanced(&old.difference(&new));
+    let refused = old.apply_difference(&old.difference(&new));
     assert!(matches!(refused, Err(ApplyError::DanglingReference { .. })));
 }
 
@@ -61,7 +61,7 @@
 fn states_share_what_is_the_same() {
     let old = state(3, &[("a", None), ("b", None)]);
     let new = state(9, &[("a", None), ("c", None)]);
-    let shared = new.clone().sharing(&old);
+    let shared = new.clone().share_resources_with(&old);
     assert_eq!(shared, new);
     let resource = |state: &State| Arc::clone(&state.iter().next().expect("one").1.resource);
     assert!(Arc::ptr_eq(&resource(&shared), &resource(&old)));
