--- a/crates/resource/src/key_digest.rs
+++ b/crates/resource/src/key_digest.rs
@@ -63,9 +63,9 @@
 /// Error of parsing a text that is not a [`KeyDigest`]. It does not hold the text, which may be a
 /// key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NoKeyDigest;
+pub struct InvalidKeyDigest;
 
-impl fmt::Display for NoKeyDigest {
+impl fmt::Display for InvalidKeyDigest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -75,13 +75,13 @@
     }
 }
 
-impl std::error::Error for NoKeyDigest {}
+impl std::error::Error for InvalidKeyDigest {}
 
 impl FromStr for KeyDigest {
-    type Err = NoKeyDigest;
+    type Err = InvalidKeyDigest;
 
-    fn from_str(text: &str) -> Result<Self, NoKeyDigest> {
-        let hash = blake3::Hash::from_hex(text).map_err(|_| NoKeyDigest)?;
+    fn from_str(text: &str) -> Result<Self, InvalidKeyDigest> {
+        let hash = blake3::Hash::from_hex(text).map_err(|_| InvalidKeyDigest)?;
         Ok(Self(*hash.as_bytes()))
     }
 }
--- a/crates/resource/src/lib.rs
+++ b/crates/resource/src/lib.rs
@@ -28,7 +28,7 @@
     UpstreamName, Version, ZoneName,
 };
 pub use key::{Key, KeyError, Kind, UnknownKind};
-pub use key_digest::{KeyDigest, KeyId, NoKeyDigest};
+pub use key_digest::{InvalidKeyDigest, KeyDigest, KeyId};
 pub use state::{SnapshotError, State, VersionedResource};
 pub use types::{
     Customer, HEALTH_PATH, Policy, Quota, Resource, Retry, Route, Service, Share, TenantLimit,
