--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use stoatstep_resource::wire::{
-    HistogramStatus, MemberStatus, QuarantineStatus, StatusAnswer, VersionHold,
+    HistogramStatus, InForceStatus, MemberStatus, QuarantineStatus, StatusAnswer,
 };
 use stoatstep_resource::{InstanceId, Version};
 use stoatstep_settings::{Program, Setting, Stop, Values};
@@ -109,7 +109,7 @@
     )
 }
 
-fn hold_table(holds: &[VersionHold]) -> Table {
+fn hold_table(holds: &[InForceStatus]) -> Table {
     let mut table = Table::new(&["VERSION", "INSTANCES", "SINCE", "WHERE"]);
     for hold in holds {
         table.row([
--- a/crates/daemon/src/control/status.rs
+++ b/crates/daemon/src/control/status.rs
@@ -6,7 +6,7 @@
 use stoatstep_distribution::Holdings;
 use stoatstep_membership::{Entry, MemberKey, MemberState, Table};
 use stoatstep_resource::InstanceId;
-use stoatstep_resource::wire::{self, MemberStatus, QuarantineStatus, VersionHold};
+use stoatstep_resource::wire::{self, InForceStatus, MemberStatus, QuarantineStatus};
 
 use super::collect;
 use super::tables::Control;
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetStatus {
     pub(crate) members: Vec<MemberStatus>,
-    pub(crate) holds: Vec<VersionHold>,
+    pub(crate) holds: Vec<InForceStatus>,
     pub(crate) quarantine: Vec<QuarantineStatus>,
 }
 
@@ -78,7 +78,7 @@
     }
 }
 
-fn holds(holdings: &Holdings, names: &Names) -> Vec<VersionHold> {
+fn holds(holdings: &Holdings, names: &Names) -> Vec<InForceStatus> {
     let newest_first = holdings.holds.iter().rev();
     newest_first
         .map(|(version, holds)| {
@@ -88,7 +88,7 @@
                 .collect();
             instances.sort();
             let since = holds.iter().map(|hold| hold.since_unix_ms);
-            VersionHold {
+            InForceStatus {
                 version: *version,
                 instances,
                 since_unix_ms: since.min().unwrap_or(0),
--- a/crates/resource/src/wire/mod.rs
+++ b/crates/resource/src/wire/mod.rs
@@ -31,6 +31,6 @@
     ShareWire, TenantLimitWire, UpstreamWire,
 };
 pub use status::{
-    HistogramStatus, MemberState, MemberStatus, QuarantineStatus, StatusAnswer, TrafficStatus,
-    VersionHold,
+    HistogramStatus, InForceStatus, MemberState, MemberStatus, QuarantineStatus, StatusAnswer,
+    TrafficStatus,
 };
--- a/crates/resource/src/wire/status.rs
+++ b/crates/resource/src/wire/status.rs
@@ -31,7 +31,7 @@
     pub members: Vec<MemberStatus>,
     /// For each version that is in force anywhere, the instances where it is; newest first.
     #[serde(default)]
-    pub holds: Vec<VersionHold>,
+    pub holds: Vec<InForceStatus>,
     /// Versions that instances refused, with the reasons.
     #[serde(default)]
     pub quarantine: Vec<QuarantineStatus>,
@@ -93,7 +93,7 @@
 
 /// The instances where one version is in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct VersionHold {
+pub struct InForceStatus {
     /// The version.
     pub version: Version,
     /// The instances that serve calls according to this version.
