--- a/crates/ctl/src/commands/apply.rs
+++ b/crates/ctl/src/commands/apply.rs
@@ -2,7 +2,7 @@
 
 use stoatstep_resource::wire::{ChangeRequest, PutWire, ResourceWire};
 use stoatstep_resource::{FileSet, Key, Resource};
-use stoatstep_settings::{Program, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Values};
 
 use super::operands;
 use super::submit::{Submit, submit};
@@ -38,7 +38,7 @@
     submit: Submit,
 }
 
-pub(super) fn options(mut values: Values) -> Result<Options, Stop> {
+pub(super) fn options(mut values: Values) -> Result<Options, EarlyExit> {
     let remote = Remote::required(&mut values);
     let submit = Submit::from_values(&mut values);
     let paths = operands::some(&values, "a file or folder is needed");
--- a/crates/ctl/src/commands/calls.rs
+++ b/crates/ctl/src/commands/calls.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use serde::Serialize;
-use stoatstep_settings::{Program, Setting, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Setting, Values};
 use stoatstep_telemetry::fields;
 
 use super::log_line::Line;
@@ -37,7 +37,7 @@
     span: Duration,
 }
 
-pub(super) fn options(mut values: Values) -> Result<Options, Stop> {
+pub(super) fn options(mut values: Values) -> Result<Options, EarlyExit> {
     let span = settings::span(&mut values, SPAN.flag);
     values.finish()?;
     Ok(Options { span })
--- a/crates/ctl/src/commands/delete.rs
+++ b/crates/ctl/src/commands/delete.rs
@@ -3,7 +3,7 @@
 use ntex::http::StatusCode;
 use stoatstep_resource::wire::{ChangeRequest, DeleteWire};
 use stoatstep_resource::{FileSet, Finding, Key, Place};
-use stoatstep_settings::{Program, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Values};
 
 use super::operands;
 use super::submit::{Submit, submit};
@@ -39,7 +39,7 @@
     may_repeat: bool,
 }
 
-pub(super) fn options(mut values: Values) -> Result<Options, Stop> {
+pub(super) fn options(mut values: Values) -> Result<Options, EarlyExit> {
     let remote = Remote::required(&mut values);
     let may_repeat = values.optional::<String>(OPERATION.flag).is_some();
     let submit = Submit::from_values(&mut values);
--- a/crates/ctl/src/commands/drain.rs
+++ b/crates/ctl/src/commands/drain.rs
@@ -4,7 +4,7 @@
 
 use ntex::time::{Millis, sleep};
 use serde::Serialize;
-use stoatstep_settings::{Program, Setting, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Setting, Values};
 
 use crate::client::{Client, Request};
 use crate::console::Console;
@@ -29,7 +29,7 @@
     wait: Option<Duration>,
 }
 
-pub(super) fn options(mut values: Values) -> Result<Options, Stop> {
+pub(super) fn options(mut values: Values) -> Result<Options, EarlyExit> {
     let remote = Remote::required(&mut values);
     let limit = span(&mut values, WAIT_TIMEOUT.flag);
     let wait = values.switch(WAIT.flag).then_some(limit);
--- a/crates/ctl/src/commands/explain.rs
+++ b/crates/ctl/src/commands/explain.rs
@@ -4,7 +4,7 @@
 use std::io::{BufRead, stdin};
 
 use serde::Serialize;
-use stoatstep_settings::{Program, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Values};
 use stoatstep_telemetry::fields;
 
 use super::log_line::Line;
@@ -25,7 +25,7 @@
     request: String,
 }
 
-pub(super) fn options(values: Values) -> Result<Options, Stop> {
+pub(super) fn options(values: Values) -> Result<Options, EarlyExit> {
     let request = operands::one(&values, "the id of a request is needed");
     let request = operands::finish(values, request)?;
     Ok(Options { request })
--- a/crates/ctl/src/commands/get.rs
+++ b/crates/ctl/src/commands/get.rs
@@ -4,7 +4,7 @@
 
 use stoatstep_resource::wire::{ItemWire, ListAnswer, ResourceWire};
 use stoatstep_resource::{Key, Kind};
-use stoatstep_settings::{Program, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Values};
 
 use super::operands::{self, Operands};
 use crate::client::{Client, Request};
@@ -32,7 +32,7 @@
     One(Key),
 }
 
-pub(super) fn options(mut values: Values) -> Result<Options, Stop> {
+pub(super) fn options(mut values: Values) -> Result<Options, EarlyExit> {
     let remote = Remote::required(&mut values);
     let what = what(values.operands());
     let what = operands::finish(values, what)?;
--- a/crates/ctl/src/commands/mod.rs
+++ b/crates/ctl/src/commands/mod.rs
@@ -17,7 +17,7 @@
 use std::io::Write;
 
 use ntex::rt::{DefaultRuntime, System};
-use stoatstep_settings::{Program, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Values};
 
 use crate::console::{Console, Output};
 use crate::exit::{EXIT_CODES, Exit};
@@ -57,7 +57,7 @@
 ) -> Exit {
     match parse(args, env) {
         Ok((command, output)) => execute(command, Console { out, err, output }),
-        Err(Stop::Findings(findings)) => {
+        Err(EarlyExit::Findings(findings)) => {
             for finding in findings {
                 let _ = writeln!(err, "stoatctl: {finding}");
             }
@@ -73,14 +73,14 @@
 fn parse(
     mut args: Vec<OsString>,
     env: &dyn Fn(&str) -> Option<String>,
-) -> Result<(Command, Output), Stop> {
+) -> Result<(Command, Output), EarlyExit> {
     if args.is_empty() {
         return Err(usage("", "a command is needed"));
     }
     let name = args.remove(0).to_string_lossy().into_owned();
     match name.as_str() {
-        "--help" | "-h" | "help" => return Err(Stop::Help(overview())),
-        "--version" | "-V" => return Err(Stop::Version(version())),
+        "--help" | "-h" | "help" => return Err(EarlyExit::Help(overview())),
+        "--version" | "-V" => return Err(EarlyExit::Version(version())),
         _ => {}
     }
     let read = |program: &Program| program.read_from(args, env).map_err(with_exit_codes);
@@ -104,26 +104,26 @@
 
 fn with_output<T>(
     mut values: Values,
-    options: impl FnOnce(Values) -> Result<T, Stop>,
+    options: impl FnOnce(Values) -> Result<T, EarlyExit>,
     command: impl FnOnce(T) -> Command,
-) -> Result<(Command, Output), Stop> {
+) -> Result<(Command, Output), EarlyExit> {
     let output = crate::settings::output(&mut values);
     Ok((command(options(values)?), output))
 }
 
 /// For settings that are missing although nothing was found wrong; `finish`
 /// has reported before whatever leads here.
-fn unfinished() -> Stop {
-    Stop::Findings(Vec::new())
+fn unfinished() -> EarlyExit {
+    EarlyExit::Findings(Vec::new())
 }
 
-fn usage(argument: &str, message: &str) -> Stop {
-    Stop::Findings(vec![operands::finding(argument, message)])
+fn usage(argument: &str, message: &str) -> EarlyExit {
+    EarlyExit::Findings(vec![operands::finding(argument, message)])
 }
 
-fn with_exit_codes(stop: Stop) -> Stop {
+fn with_exit_codes(stop: EarlyExit) -> EarlyExit {
     match stop {
-        Stop::Help(text) => Stop::Help(format!("{text}\n\n{EXIT_CODES}")),
+        EarlyExit::Help(text) => EarlyExit::Help(format!("{text}\n\n{EXIT_CODES}")),
         other => other,
     }
 }
--- a/crates/ctl/src/commands/operands.rs
+++ b/crates/ctl/src/commands/operands.rs
@@ -3,7 +3,7 @@
 use std::fmt::Display;
 
 use stoatstep_resource::Key;
-use stoatstep_settings::{Finding, Place, Stop, Values};
+use stoatstep_settings::{EarlyExit, Finding, Place, Values};
 
 /// A command's operands, or everything wrong with them.
 pub(super) type Operands<T> = Result<T, Vec<Finding>>;
@@ -62,19 +62,19 @@
 }
 
 /// Ends the reading of settings and operands, with the findings of both.
-pub(super) fn finish<T>(values: Values, operands: Operands<T>) -> Result<T, Stop> {
+pub(super) fn finish<T>(values: Values, operands: Operands<T>) -> Result<T, EarlyExit> {
     let (operands, wrong) = match operands {
         Ok(operands) => (Some(operands), Vec::new()),
         Err(findings) => (None, findings),
     };
     let mut findings = match values.finish() {
         Ok(()) => Vec::new(),
-        Err(Stop::Findings(findings)) => findings,
+        Err(EarlyExit::Findings(findings)) => findings,
         Err(other) => return Err(other),
     };
     findings.extend(wrong);
     match operands {
         Some(operands) if findings.is_empty() => Ok(operands),
-        _ => Err(Stop::Findings(findings)),
+        _ => Err(EarlyExit::Findings(findings)),
     }
 }
--- a/crates/ctl/src/commands/status.rs
+++ b/crates/ctl/src/commands/status.rs
@@ -7,7 +7,7 @@
     HistogramStatus, InForceStatus, MemberStatus, QuarantineStatus, StatusAnswer,
 };
 use stoatstep_resource::{InstanceId, Version};
-use stoatstep_settings::{Program, Setting, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Setting, Values};
 
 use crate::client::{Client, Request};
 use crate::console::Console;
@@ -38,7 +38,7 @@
     wait: Option<(Version, Duration)>,
 }
 
-pub(super) fn options(mut values: Values) -> Result<Options, Stop> {
+pub(super) fn options(mut values: Values) -> Result<Options, EarlyExit> {
     let remote = Remote::required(&mut values);
     let version = values.optional::<Version>(WAIT_VERSION.flag);
     let limit = span(&mut values, WAIT_TIMEOUT.flag);
--- a/crates/ctl/src/commands/validate.rs
+++ b/crates/ctl/src/commands/validate.rs
@@ -3,7 +3,7 @@
 use serde::Serialize;
 use stoatstep_resource::wire::ListAnswer;
 use stoatstep_resource::{FileSet, Finding, State};
-use stoatstep_settings::{Program, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Values};
 
 use super::operands;
 use crate::client::{Client, Request};
@@ -25,7 +25,7 @@
     remote: Option<Remote>,
 }
 
-pub(super) fn options(mut values: Values) -> Result<Options, Stop> {
+pub(super) fn options(mut values: Values) -> Result<Options, EarlyExit> {
     let remote = Remote::optional(&mut values);
     let paths = operands::some(&values, "a file or folder is needed");
     let paths = operands::finish(values, paths)?;
--- a/crates/ctl/src/commands/watch.rs
+++ b/crates/ctl/src/commands/watch.rs
@@ -6,7 +6,7 @@
 use ntex::time::{Millis, sleep};
 use stoatstep_resource::Version;
 use stoatstep_resource::wire::{EventWire, ListAnswer, ResourceWire, WatchAnswer};
-use stoatstep_settings::{Program, Setting, Span, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Setting, Span, Values};
 
 use crate::client::{Client, Request};
 use crate::console::Console;
@@ -43,7 +43,7 @@
     length: Option<Duration>,
 }
 
-pub(super) fn options(mut values: Values) -> Result<Options, Stop> {
+pub(super) fn options(mut values: Values) -> Result<Options, EarlyExit> {
     let remote = Remote::required(&mut values);
     let from = values.optional(FROM.flag);
     let until = values.optional(UNTIL.flag);
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -4,7 +4,7 @@
 
 use smol_str::SmolStr;
 use stoatstep_resource::{InstanceId, UpstreamName, ZoneName};
-use stoatstep_settings::{Program, Secret, Setting, Stop};
+use stoatstep_settings::{EarlyExit, Program, Secret, Setting};
 use stoatstep_telemetry::Level;
 
 const PROGRAM: Program = Program {
@@ -66,7 +66,7 @@
 
 impl Config {
     /// Reads the settings of this process. All invalid ones are reported, not only the first.
-    pub(crate) fn read() -> Result<Self, Stop> {
+    pub(crate) fn read() -> Result<Self, EarlyExit> {
         let mut values = PROGRAM.read()?;
         let instance = values.required("instance");
         let region = values.required("region");
--- a/crates/load/src/baseline/program.rs
+++ b/crates/load/src/baseline/program.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
-use stoatstep_settings::{Program, Setting, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Setting, Values};
 
 use crate::baseline::router::{PlainRoute, serve};
 
@@ -73,7 +73,7 @@
     }
 }
 
-fn settings(mut values: Values) -> Result<(SocketAddr, Vec<PlainRoute>), Stop> {
+fn settings(mut values: Values) -> Result<(SocketAddr, Vec<PlainRoute>), EarlyExit> {
     let addr = values.required::<SocketAddr>("addr");
     let routes = values.required::<Routes>("routes");
     values.finish()?;
--- a/crates/load/src/load/program.rs
+++ b/crates/load/src/load/program.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
-use stoatstep_settings::{Program, Setting, Span, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Setting, Span, Values};
 use stoatstep_standin_target::Entry;
 
 use crate::load::audit::{Audit, fetch};
@@ -93,7 +93,7 @@
     }
 }
 
-fn settings(mut values: Values) -> Result<Settings, Stop> {
+fn settings(mut values: Values) -> Result<Settings, EarlyExit> {
     let targets = values.required::<Addresses>("targets");
     let ledgers = values.optional::<Addresses>("ledgers");
     let rate = values.required::<f64>("rate");
--- a/crates/load/src/measure/program.rs
+++ b/crates/load/src/measure/program.rs
@@ -2,7 +2,7 @@
 
 use std::process::ExitCode;
 
-use stoatstep_settings::{Finding, Place, Program, Setting, Stop, Values};
+use stoatstep_settings::{EarlyExit, Finding, Place, Program, Setting, Values};
 
 use crate::fleet::FleetError;
 use crate::measure::slopes::Group;
@@ -121,7 +121,7 @@
     Ok(())
 }
 
-fn settings(values: Values) -> Result<(Vec<Experiment>, Scale), Stop> {
+fn settings(values: Values) -> Result<(Vec<Experiment>, Scale), EarlyExit> {
     let scale = if values.switch("quick") {
         Scale::Quick
     } else {
@@ -138,7 +138,7 @@
     if findings.is_empty() {
         Ok((names.iter().filter_map(|name| known(name)).collect(), scale))
     } else {
-        Err(Stop::Findings(findings))
+        Err(EarlyExit::Findings(findings))
     }
 }
 
--- a/crates/settings/src/command_line.rs
+++ b/crates/settings/src/command_line.rs
@@ -5,7 +5,7 @@
 
 use lexopt::{Arg, Parser};
 
-use crate::finding::{Finding, Place, Stop};
+use crate::finding::{EarlyExit, Finding, Place};
 use crate::program::{Program, Setting};
 
 /// Result of parsing the command line.
@@ -27,17 +27,17 @@
 pub(crate) fn read(
     program: &Program,
     args: impl IntoIterator<Item = OsString>,
-) -> Result<CommandLine, Stop> {
+) -> Result<CommandLine, EarlyExit> {
     let args: Vec<OsString> = args.into_iter().collect();
     let mut parser = Parser::from_args(args);
     let mut parsed = CommandLine::default();
     while let Some(argument) = next_argument(&mut parser, &mut parsed) {
         match argument {
             OwnedArg::Flag(name) if name == "help" || name == "h" => {
-                return Err(Stop::Help(program.help_text()));
+                return Err(EarlyExit::Help(program.help_text()));
             }
             OwnedArg::Flag(name) if name == "version" || name == "V" => {
-                return Err(Stop::Version(program.version_text()));
+                return Err(EarlyExit::Version(program.version_text()));
             }
             OwnedArg::Flag(name) => match program.find(&name) {
                 Some(setting) if setting.is_switch() => parsed.add_switch(setting, &mut parser),
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -47,7 +47,7 @@
 
 /// Why a program ends before it starts its work.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Stop {
+pub enum EarlyExit {
     /// The help text was requested.
     Help(String),
     /// The version text was requested.
@@ -56,7 +56,7 @@
     Findings(Vec<Finding>),
 }
 
-impl Stop {
+impl EarlyExit {
     /// Prints the text to standard output or the findings to standard error, and returns the exit
     /// code for `main`.
     #[must_use]
@@ -76,7 +76,7 @@
     }
 }
 
-impl fmt::Display for Stop {
+impl fmt::Display for EarlyExit {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Help(text) | Self::Version(text) => f.write_str(text),
@@ -88,4 +88,4 @@
     }
 }
 
-impl std::error::Error for Stop {}
+impl std::error::Error for EarlyExit {}
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,7 +13,7 @@
 mod span;
 mod values;
 
-pub use finding::{Finding, Place, Stop};
+pub use finding::{EarlyExit, Finding, Place};
 pub use program::{Program, Setting};
 pub use secret::{Secret, SecretError};
 pub use span::{Span, SpanError};
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use crate::command_line;
-use crate::finding::Stop;
+use crate::finding::EarlyExit;
 use crate::values::Values;
 
 /// Prefix of the environment variables of all settings.
@@ -93,9 +93,9 @@
     ///
     /// # Errors
     ///
-    /// [`Stop::Help`] or [`Stop::Version`] if that was requested. Findings about wrong settings are
+    /// [`EarlyExit::Help`] or [`EarlyExit::Version`] if that was requested. Findings about wrong settings are
     /// returned by [`Values::finish`].
-    pub fn read(&self) -> Result<Values, Stop> {
+    pub fn read(&self) -> Result<Values, EarlyExit> {
         let lookup = |name: &str| {
             let text = std::env::var_os(name)?;
             Some(text.to_string_lossy().into_owned())
@@ -108,12 +108,12 @@
     ///
     /// # Errors
     ///
-    /// [`Stop::Help`] or [`Stop::Version`] if that was requested.
+    /// [`EarlyExit::Help`] or [`EarlyExit::Version`] if that was requested.
     pub fn read_from(
         &self,
         args: impl IntoIterator<Item = OsString>,
         env: impl Fn(&str) -> Option<String>,
-    ) -> Result<Values, Stop> {
+    ) -> Result<Values, EarlyExit> {
         let parsed = command_line::read(self, args)?;
         Ok(Values::new(self, parsed, env))
     }
--- a/crates/settings/src/values.rs
+++ b/crates/settings/src/values.rs
@@ -5,7 +5,7 @@
 use std::str::FromStr;
 
 use crate::command_line::CommandLine;
-use crate::finding::{Finding, Stop};
+use crate::finding::{EarlyExit, Finding};
 use crate::program::{Program, Setting};
 
 /// Replaces bytes that are not valid UTF-8 in the values of variables.
@@ -122,12 +122,12 @@
     ///
     /// # Errors
     ///
-    /// [`Stop::Findings`] with all findings, if there are any.
-    pub fn finish(self) -> Result<(), Stop> {
+    /// [`EarlyExit::Findings`] with all findings, if there are any.
+    pub fn finish(self) -> Result<(), EarlyExit> {
         if self.findings.is_empty() {
             Ok(())
         } else {
-            Err(Stop::Findings(self.findings))
+            Err(EarlyExit::Findings(self.findings))
         }
     }
 
--- a/crates/settings/tests/all/arbitrary.rs
+++ b/crates/settings/tests/all/arbitrary.rs
@@ -6,7 +6,7 @@
 
 use proptest::collection::vec;
 use proptest::prelude::*;
-use stoatstep_settings::{Program, Setting, Stop};
+use stoatstep_settings::{EarlyExit, Program, Setting};
 
 const PROGRAM: Program = Program {
     name: "example",
@@ -40,7 +40,7 @@
         let _ = values.switch("json");
         match values.finish() {
             Ok(()) => prop_assert!(a.is_some()),
-            Err(Stop::Findings(findings)) => prop_assert!(!findings.is_empty()),
+            Err(EarlyExit::Findings(findings)) => prop_assert!(!findings.is_empty()),
             Err(stop) => prop_assert!(false, "unexpected {:?}", stop),
         }
     }
--- a/crates/settings/tests/all/reading.rs
+++ b/crates/settings/tests/all/reading.rs
@@ -3,7 +3,7 @@
 use std::ffi::OsString;
 use std::net::SocketAddr;
 
-use stoatstep_settings::{Finding, Place, Program, Setting, Stop, Values};
+use stoatstep_settings::{EarlyExit, Finding, Place, Program, Setting, Values};
 
 const PROGRAM: Program = Program {
     name: "example",
@@ -27,7 +27,7 @@
     read_with(&PROGRAM, args, env).expect("no help was asked for")
 }
 
-fn read_with(program: &Program, args: &[&str], env: &[(&str, &str)]) -> Result<Values, Stop> {
+fn read_with(program: &Program, args: &[&str], env: &[(&str, &str)]) -> Result<Values, EarlyExit> {
     let args: Vec<OsString> = args.iter().map(OsString::from).collect();
     program.read_from(args, |name| {
         let found = env.iter().find(|(key, _)| *key == name);
@@ -37,7 +37,7 @@
 
 fn findings(values: Values) -> Vec<String> {
     match values.finish() {
-        Err(Stop::Findings(findings)) => findings.iter().map(Finding::to_string).collect(),
+        Err(EarlyExit::Findings(findings)) => findings.iter().map(Finding::to_string).collect(),
         Err(stop) => panic!("unexpected {stop:?}"),
         Ok(()) => Vec::new(),
     }
@@ -136,7 +136,7 @@
 #[test]
 fn help_names_flag_variable_and_default_and_wins_over_mistakes() {
     let stop = read_with(&PROGRAM, &["--colour", "--help"], &[]).expect_err("help");
-    let Stop::Help(text) = stop else {
+    let EarlyExit::Help(text) = stop else {
         panic!("not help: {stop:?}");
     };
     assert!(text.contains("--peer-addr IP:PORT (STOATSTEP_PEER_ADDR)"));
@@ -147,14 +147,14 @@
 #[test]
 fn version_names_the_program() {
     let stop = read_with(&PROGRAM, &["-V"], &[]).expect_err("version");
-    assert!(matches!(stop, Stop::Version(text) if text.starts_with("example ")));
+    assert!(matches!(stop, EarlyExit::Version(text) if text.starts_with("example ")));
 }
 
 #[test]
 fn finding_keeps_its_place_apart() {
     let mut values = read(&[], &[]);
     let _ = values.required::<String>("zone");
-    let Err(Stop::Findings(findings)) = values.finish() else {
+    let Err(EarlyExit::Findings(findings)) = values.finish() else {
         panic!("a zone is required");
     };
     let place = Place::Setting {
--- a/crates/settings/tests/all/secrets.rs
+++ b/crates/settings/tests/all/secrets.rs
@@ -2,7 +2,7 @@
 
 use std::ffi::OsString;
 
-use stoatstep_settings::{Program, Secret, Setting, Stop};
+use stoatstep_settings::{EarlyExit, Program, Secret, Setting};
 
 const PROGRAM: Program = Program {
     name: "example",
@@ -68,7 +68,7 @@
 
 #[test]
 fn findings_stop_with_exit_code_two() {
-    let stop = Stop::Findings(Vec::new());
+    let stop = EarlyExit::Findings(Vec::new());
     let code = format!("{:?}", stop.report());
     assert_eq!(code, format!("{:?}", std::process::ExitCode::from(2)));
 }
--- a/crates/standin-platform/src/program.rs
+++ b/crates/standin-platform/src/program.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use slog::{Logger, error, info};
-use stoatstep_settings::{Program, Setting, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Setting, Values};
 use stoatstep_telemetry::{Level, logger};
 
 use crate::server::{Options, serve};
@@ -49,7 +49,7 @@
     }
 }
 
-fn options(mut values: Values) -> Result<(Options, Level), Stop> {
+fn options(mut values: Values) -> Result<(Options, Level), EarlyExit> {
     let addr = values.required::<SocketAddr>("addr");
     let reads = limit(&mut values, "reads-per-second");
     let writes = limit(&mut values, "writes-per-second");
--- a/crates/standin-target/src/program.rs
+++ b/crates/standin-target/src/program.rs
@@ -7,7 +7,7 @@
 
 use slog::{Logger, error, info, o};
 use smol_str::{SmolStr, ToSmolStr};
-use stoatstep_settings::{Program, Setting, Span, Stop, Values};
+use stoatstep_settings::{EarlyExit, Program, Setting, Span, Values};
 use stoatstep_telemetry::{Level, logger};
 
 use crate::behaviour::Behaviour;
@@ -55,7 +55,7 @@
     }
 }
 
-fn options(mut values: Values) -> Result<(Options, Level), Stop> {
+fn options(mut values: Values) -> Result<(Options, Level), EarlyExit> {
     let addr = values.required::<SocketAddr>("addr");
     let name = values.optional::<SmolStr>("name");
     let slots = values.required::<u32>("slots");
