--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,13 +8,13 @@
 
 mod command_line;
 mod finding;
+mod human_duration;
 mod program;
 mod secret;
-mod span;
 mod values;
 
 pub use finding::{EarlyExit, Finding, Place};
+pub use human_duration::{Span, SpanError};
 pub use program::{Program, Setting};
 pub use secret::{Secret, SecretError};
-pub use span::{Span, SpanError};
 pub use values::Values;
