--- a/crates/ctl/src/commands/watch.rs
+++ b/crates/ctl/src/commands/watch.rs
@@ -6,7 +6,7 @@
 use ntex::time::{Millis, sleep};
 use stoatstep_resource::Version;
 use stoatstep_resource::wire::{EventWire, ListAnswer, ResourceWire, WatchAnswer};
-use stoatstep_settings::{EarlyExit, Program, Setting, Span, Values};
+use stoatstep_settings::{EarlyExit, HumanDuration, Program, Setting, Values};
 
 use crate::client::{Client, Request};
 use crate::console::Console;
@@ -47,7 +47,9 @@
     let remote = Remote::required(&mut values);
     let from = values.optional(FROM.flag);
     let until = values.optional(UNTIL.flag);
-    let length = values.optional::<Span>(FOR.flag).map(Duration::from);
+    let length = values
+        .optional::<HumanDuration>(FOR.flag)
+        .map(Duration::from);
     values.finish()?;
     let remote = remote.ok_or_else(super::unfinished)?;
     Ok(Options {
--- a/crates/ctl/src/settings.rs
+++ b/crates/ctl/src/settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use stoatstep_resource::{Key, KeyError, OperationId, Revision};
-use stoatstep_settings::{Secret, Setting, Span, Values};
+use stoatstep_settings::{HumanDuration, Secret, Setting, Values};
 
 use crate::console::Output;
 
@@ -95,7 +95,7 @@
 
 /// A time that has a default.
 pub(crate) fn span(values: &mut Values, flag: &str) -> Duration {
-    let span = values.required::<Span>(flag);
+    let span = values.required::<HumanDuration>(flag);
     span.map(Duration::from).unwrap_or_default()
 }
 
--- a/crates/load/src/load/program.rs
+++ b/crates/load/src/load/program.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::str::FromStr;
 
-use stoatstep_settings::{EarlyExit, Program, Setting, Span, Values};
+use stoatstep_settings::{EarlyExit, HumanDuration, Program, Setting, Values};
 use stoatstep_standin_target::Entry;
 
 use crate::load::audit::{Audit, fetch};
@@ -97,14 +97,14 @@
     let targets = values.required::<Addresses>("targets");
     let ledgers = values.optional::<Addresses>("ledgers");
     let rate = values.required::<f64>("rate");
-    let span = values.required::<Span>("for");
+    let span = values.required::<HumanDuration>("for");
     let get_paths = values.required::<Mix>("path");
     let post_paths = values.required::<Mix>("post-path");
     let post_share = values.required::<u32>("post-share");
     let tenants = values.required::<Mix>("tenants");
     let classes = values.required::<Mix>("classes");
-    let deadline = values.required::<Span>("deadline");
-    let patience = values.required::<Span>("patience");
+    let deadline = values.required::<HumanDuration>("deadline");
+    let patience = values.required::<HumanDuration>("patience");
     let bytes = values.required::<usize>("bytes");
     let seed = values.required::<u64>("seed");
     let json = values.switch("json");
--- a/crates/settings/src/human_duration.rs
+++ b/crates/settings/src/human_duration.rs
@@ -9,11 +9,11 @@
 /// The unit is required: if `--timeout 5` were read as seconds but meant as milliseconds, or the
 /// reverse, that would only be noticed under load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(pub Duration);
+pub struct HumanDuration(pub Duration);
 
-/// Why a text could not be parsed as a [`Span`].
+/// Why a text could not be parsed as a [`HumanDuration`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SpanError {
+pub enum HumanDurationError {
     /// The text does not start with a whole number.
     NotANumber,
     /// The unit is missing or unknown.
@@ -22,7 +22,7 @@
     TooLong,
 }
 
-impl fmt::Display for SpanError {
+impl fmt::Display for HumanDurationError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::NotANumber => "a whole number and a unit is expected, such as 250ms",
@@ -32,10 +32,10 @@
     }
 }
 
-impl std::error::Error for SpanError {}
+impl std::error::Error for HumanDurationError {}
 
-impl FromStr for Span {
-    type Err = SpanError;
+impl FromStr for HumanDuration {
+    type Err = HumanDurationError;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let end = text
@@ -43,26 +43,26 @@
             .unwrap_or(text.len());
         let (digits, unit) = text.split_at(end);
         if digits.is_empty() {
-            return Err(SpanError::NotANumber);
+            return Err(HumanDurationError::NotANumber);
         }
         let millis_per_unit: u64 = match unit {
             "ms" => 1,
             "s" => 1_000,
             "m" => 60_000,
             "h" => 3_600_000,
-            _ => return Err(SpanError::NotAUnit),
+            _ => return Err(HumanDurationError::NotAUnit),
         };
         // All characters are digits, so parsing can fail only on overflow.
-        let count: u64 = digits.parse().map_err(|_| SpanError::TooLong)?;
+        let count: u64 = digits.parse().map_err(|_| HumanDurationError::TooLong)?;
         count
             .checked_mul(millis_per_unit)
             .map(|millis| Self(Duration::from_millis(millis)))
-            .ok_or(SpanError::TooLong)
+            .ok_or(HumanDurationError::TooLong)
     }
 }
 
-impl From<Span> for Duration {
-    fn from(span: Span) -> Self {
+impl From<HumanDuration> for Duration {
+    fn from(span: HumanDuration) -> Self {
         span.0
     }
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,7 +14,7 @@
 mod values;
 
 pub use finding::{EarlyExit, Finding, Place};
-pub use human_duration::{Span, SpanError};
+pub use human_duration::{HumanDuration, HumanDurationError};
 pub use program::{Program, Setting};
 pub use secret::{Secret, SecretError};
 pub use values::Values;
--- a/crates/settings/tests/all/spans.rs
+++ b/crates/settings/tests/all/spans.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use stoatstep_settings::{Span, SpanError};
+use stoatstep_settings::{HumanDuration, HumanDurationError};
 
 #[test]
 fn units_are_read() {
@@ -14,35 +14,38 @@
         ("5m", 300_000),
         ("1h", 3_600_000),
     ] {
-        assert_eq!(text.parse(), Ok(Span(Duration::from_millis(millis))));
+        assert_eq!(
+            text.parse(),
+            Ok(HumanDuration(Duration::from_millis(millis)))
+        );
     }
 }
 
 #[test]
 fn wrong_texts_say_why() {
     for (text, error) in [
-        ("", SpanError::NotANumber),
-        ("ms", SpanError::NotANumber),
-        ("-1s", SpanError::NotANumber),
-        ("5", SpanError::NotAUnit),
-        ("5 s", SpanError::NotAUnit),
-        ("1.5s", SpanError::NotAUnit),
-        ("99999999999999999999s", SpanError::TooLong),
-        ("18446744073709551615h", SpanError::TooLong),
+        ("", HumanDurationError::NotANumber),
+        ("ms", HumanDurationError::NotANumber),
+        ("-1s", HumanDurationError::NotANumber),
+        ("5", HumanDurationError::NotAUnit),
+        ("5 s", HumanDurationError::NotAUnit),
+        ("1.5s", HumanDurationError::NotAUnit),
+        ("99999999999999999999s", HumanDurationError::TooLong),
+        ("18446744073709551615h", HumanDurationError::TooLong),
     ] {
-        assert_eq!(text.parse::<Span>(), Err(error), "{text:?}");
+        assert_eq!(text.parse::<HumanDuration>(), Err(error), "{text:?}");
     }
 }
 
 proptest! {
     #[test]
     fn any_text_gives_a_span_or_an_error(text in ".{0,24}") {
-        let _ = text.parse::<Span>();
+        let _ = text.parse::<HumanDuration>();
     }
 
     #[test]
     fn whole_seconds_are_kept(seconds in 0_u64..1_000_000_000) {
-        let span: Span = format!("{seconds}s").parse().expect("a span");
+        let span: HumanDuration = format!("{seconds}s").parse().expect("a span");
         prop_assert_eq!(Duration::from(span), Duration::from_secs(seconds));
     }
 }
--- a/crates/standin-target/src/program.rs
+++ b/crates/standin-target/src/program.rs
@@ -7,7 +7,7 @@
 
 use slog::{Logger, error, info, o};
 use smol_str::{SmolStr, ToSmolStr};
-use stoatstep_settings::{EarlyExit, Program, Setting, Span, Values};
+use stoatstep_settings::{EarlyExit, HumanDuration, Program, Setting, Values};
 use stoatstep_telemetry::{Level, logger};
 
 use crate::behaviour::Behaviour;
@@ -59,14 +59,14 @@
     let addr = values.required::<SocketAddr>("addr");
     let name = values.optional::<SmolStr>("name");
     let slots = values.required::<u32>("slots");
-    let service_time = values.required::<Span>("service-time");
-    let service_spread = values.required::<Span>("service-spread");
-    let cold_start = values.required::<Span>("cold-start");
+    let service_time = values.required::<HumanDuration>("service-time");
+    let service_spread = values.required::<HumanDuration>("service-spread");
+    let cold_start = values.required::<HumanDuration>("cold-start");
     let ledger = values.optional::<PathBuf>("ledger");
     let level = values.required::<Level>("log-level");
     values.finish()?;
     let addr = addr.unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 0)));
-    let span = |span: Option<Span>| span.map(|it| it.0).unwrap_or_default();
+    let span = |span: Option<HumanDuration>| span.map(|it| it.0).unwrap_or_default();
     let behaviour = Behaviour {
         slots: slots.unwrap_or_default(),
         service_time: span(service_time),
