--- a/crates/settings/src/human_duration.rs
+++ b/crates/settings/src/human_duration.rs
@@ -62,7 +62,7 @@
 }
 
 impl From<HumanDuration> for Duration {
-    fn from(span: HumanDuration) -> Self {
-        span.0
+    fn from(duration: HumanDuration) -> Self {
+        duration.0
     }
 }
--- a/crates/settings/src/program.rs
+++ b/crates/settings/src/program.rs
@@ -93,8 +93,8 @@
     ///
     /// # Errors
     ///
-    /// [`EarlyExit::Help`] or [`EarlyExit::Version`] if that was requested. Findings about wrong settings are
-    /// returned by [`Values::finish`].
+    /// [`EarlyExit::Help`] or [`EarlyExit::Version`] if that was requested. Findings about wrong
+    /// settings are returned by [`Values::finish`].
     pub fn read(&self) -> Result<Values, EarlyExit> {
         let lookup = |name: &str| {
             let text = std::env::var_os(name)?;
--- a/crates/settings/tests/all/spans.rs
+++ b/crates/settings/tests/all/human_duration.rs
@@ -39,13 +39,13 @@
 
 proptest! {
     #[test]
-    fn any_text_gives_a_span_or_an_error(text in ".{0,24}") {
+    fn any_text_gives_a_duration_or_an_error(text in ".{0,24}") {
         let _ = text.parse::<HumanDuration>();
     }
 
     #[test]
     fn whole_seconds_are_kept(seconds in 0_u64..1_000_000_000) {
-        let span: HumanDuration = format!("{seconds}s").parse().expect("a span");
-        prop_assert_eq!(Duration::from(span), Duration::from_secs(seconds));
+        let duration: HumanDuration = format!("{seconds}s").parse().expect("a duration");
+        prop_assert_eq!(Duration::from(duration), Duration::from_secs(seconds));
     }
 }
--- a/crates/settings/tests/all/main.rs
+++ b/crates/settings/tests/all/main.rs
@@ -1,6 +1,6 @@
 //! Tests of reading settings.
 
 mod arbitrary;
+mod human_duration;
 mod reading;
 mod secrets;
-mod spans;
