--- a/crates/settings/tests/all/arbitrary.rs
+++ b/crates/settings/tests/all/arbitrary.rs
@@ -1,12 +1,12 @@
-//! Any bytes on the command line or in the environment give values or
-//! findings, and never a panic.
+//! Arbitrary bytes on the command line or in the environment result in values or findings, and
+//! never in a panic.
 
 use std::ffi::OsString;
 use std::os::unix::ffi::OsStringExt;
 
 use proptest::collection::vec;
 use proptest::prelude::*;
-use stoatstep_settings::{Program, Setting, Stop};
+use stoatstep_settings::{EarlyExit, Program, Setting};
 
 const PROGRAM: Program = Program {
     name: "example",
@@ -19,7 +19,7 @@
     operands: "",
 };
 
-/// Arguments near to valid ones, since random bytes alone never reach far.
+/// Arguments of which many are almost valid, since random bytes alone reach little of the code.
 fn argument() -> impl Strategy<Value = Vec<u8>> {
     prop_oneof![
         vec(any::<u8>(), 0..12),
@@ -40,7 +40,7 @@
         let _ = values.switch("json");
         match values.finish() {
             Ok(()) => prop_assert!(a.is_some()),
-            Err(Stop::Findings(findings)) => prop_assert!(!findings.is_empty()),
+            Err(EarlyExit::Findings(findings)) => prop_assert!(!findings.is_empty()),
             Err(stop) => prop_assert!(false, "unexpected {:?}", stop),
         }
     }
