--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,37 +1,36 @@
-//! Whole bodies.
+//! Reads request and response bodies.
 
 use ntex::http::Payload;
 use ntex::util::{Bytes, BytesMut};
 
-/// Why a body was not read whole.
+/// Why a body could not be read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// More bytes than the limit.
+    /// The body has more bytes than the limit.
     TooLarge,
-    /// The connection ended or broke before the body did.
+    /// The connection ended or broke before the end of the body.
     CutShort,
 }
 
-/// Reads a whole body of at most `limit` bytes. The library checks the length
-/// that the sender stated, so a body cut short is an error here and never a
-/// shorter body.
+/// Reads a complete body of at most `limit` bytes. `ntex` checks the length that the sender stated,
+/// so a truncated body is an error and never returned as a shorter one.
 ///
 /// # Errors
 ///
-/// Whatever [`BodyError`] names.
+/// A [`BodyError`] if the body is larger than the limit or truncated.
 pub async fn read_body(mut payload: Payload, limit: usize) -> Result<Bytes, BodyError> {
-    let mut whole: Option<Bytes> = None;
+    let mut single: Option<Bytes> = None;
     let mut buf = BytesMut::new();
     while let Some(chunk) = payload.recv().await {
         let chunk = chunk.map_err(|_| BodyError::CutShort)?;
-        let held = buf.len() + whole.as_ref().map_or(0, Bytes::len);
-        if held + chunk.len() > limit {
+        let received = buf.len() + single.as_ref().map_or(0, Bytes::len);
+        if received + chunk.len() > limit {
             drop_body(payload).await;
             return Err(BodyError::TooLarge);
         }
-        // A body that came in one piece, as most do, is passed on uncopied.
-        match whole.take() {
-            None if buf.is_empty() => whole = Some(chunk),
+        // Most bodies arrive as a single chunk, which is returned without a copy.
+        match single.take() {
+            None if buf.is_empty() => single = Some(chunk),
             None => buf.extend_from_slice(&chunk),
             Some(first) => {
                 buf.extend_from_slice(&first);
@@ -39,17 +38,16 @@
             }
         }
     }
-    Ok(whole.unwrap_or_else(|| buf.freeze()))
+    Ok(single.unwrap_or_else(|| buf.freeze()))
 }
 
-/// Most bytes of a body that are read only to be dropped. Whoever sends more
-/// than this has its connection closed.
+/// Largest number of bytes of an unwanted body that are read and discarded. The connection of a
+/// sender with a larger one is closed.
 const MAX_DROPPED: usize = 4 * 1024 * 1024;
 
-/// Reads a body that nobody wants, without keeping it. An answer that is sent
-/// while the body is still on its way closes the connection under it, and the
-/// sender then sees a broken connection in place of the answer: a refusal as
-/// "not run" would become an outcome that nobody knows.
+/// Reads and discards a body that is not needed. An answer that is sent before the whole body has
+/// arrived closes the connection, and the sender sees a broken connection in place of the answer: a
+/// refusal with the outcome "not run" would become an unknown outcome.
 pub async fn drop_body(mut payload: Payload) {
     let mut left = MAX_DROPPED;
     while let Some(Ok(chunk)) = payload.recv().await {
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,5 +1,5 @@
-//! HTTP plumbing over the library: reading whole bodies, and a [`Server`] that
-//! runs on the caller's own thread.
+//! HTTP utilities on top of `ntex`: functions that read request and response bodies, and a
+//! [`Server`] that runs on the caller's thread.
 
 mod body;
 mod server;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! HTTP servers on the daemon's own thread.
+//! An HTTP server that runs on the caller's thread.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -13,51 +13,50 @@
 use ntex::time::Seconds;
 use tokio::net::TcpListener;
 
-/// Time that an unused connection stays open. Callers close theirs earlier, by
-/// the idle timeout that their operators set; ours only ends those whose other
-/// end is gone.
+/// Time after which an idle connection is closed. Callers close theirs earlier, after the idle
+/// timeout that their operators set; this one only ends connections whose other end is gone.
 const KEEP_ALIVE: Seconds = Seconds(300);
 
-/// Time for a caller to send the headers of a request that it has begun.
+/// Time within which a caller has to send the headers of a request that it has begun.
 const HEADER_TIMEOUT: Seconds = Seconds(30);
 
-/// Header bytes of one request: four times the largest that operators allow by
-/// default, since they bound it in the configuration.
+/// Largest size of the headers of a request. Operators set the actual limit in the configuration;
+/// this is four times its default.
 const MAX_HEADER_BYTES: usize = 64 << 10;
 
-/// Pause after a failed accept, most often for lack of descriptors.
-const ACCEPT_PAUSE: std::time::Duration = std::time::Duration::from_millis(50);
+/// Delay after a failed accept, which is most often due to a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// Time for the last answer on a connection to be written. Callers on slow links, or that
-/// read slowly, would otherwise get half of it.
+/// Time within which the last answer on a connection has to be written. A shorter one would
+/// truncate answers to callers that read slowly or are on slow links.
 const LAST_WRITE_TIMEOUT: Seconds = Seconds(30);
 
-/// A server that answers every request by one async function.
+/// A server that answers every request with one async function.
 pub struct Server {
     listener: TcpListener,
     unwritten: Unwritten,
 }
 
-/// Answers of a server that have not been written to their ends.
+/// Answers of a server that have not been written completely.
 #[derive(Clone, Default)]
 pub struct Unwritten(Rc<RefCell<Vec<IoRef>>>);
 
 impl Unwritten {
-    /// Whether every answer has been written.
+    /// Returns whether all answers have been written.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        // A connection that is being closed takes no look at its buffer.
+        // The buffer of a connection that is being closed can't be read.
         let is_written = |io: &IoRef| io.with_write_buf(|buf| buf.is_empty()).unwrap_or(false);
-        self.forget_closed();
+        self.remove_closed();
         self.0.borrow().iter().all(is_written)
     }
 
     fn add(&self, io: IoRef) {
-        self.forget_closed();
+        self.remove_closed();
         self.0.borrow_mut().push(io);
     }
 
-    fn forget_closed(&self) {
+    fn remove_closed(&self) {
         self.0.borrow_mut().retain(|io| !io.is_closed());
     }
 }
@@ -67,7 +66,7 @@
     ///
     /// # Errors
     ///
-    /// Whatever binding the address fails with.
+    /// The error of binding the address.
     pub async fn bind(addr: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(addr).await?;
         Ok(Self {
@@ -76,18 +75,19 @@
         })
     }
 
-    /// What this server has still to write, also while it serves.
+    /// Returns a handle to the answers that are not written yet, which stays valid while the server
+    /// runs.
     #[must_use]
     pub fn unwritten(&self) -> Unwritten {
         self.unwritten.clone()
     }
 
-    /// Accepts connections until the process ends. A connection whose caller
-    /// leaves drops the future of its request, by which the call is cancelled.
+    /// Accepts connections until the process ends. When a caller closes its connection, the future
+    /// of its request is dropped, which cancels the call.
     ///
     /// # Errors
     ///
-    /// Only where the service cannot be set up.
+    /// If the service or an accepted connection can't be set up.
     pub async fn serve<F, R>(self, handler: F) -> io::Result<()>
     where
         F: Fn(Request) -> R + 'static,
@@ -104,14 +104,14 @@
         let service = Pipeline::new(service);
         loop {
             let Ok((stream, _)) = self.listener.accept().await else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let service = service.clone();
             let io = ntex::rt::from_tcp_stream(stream.into_std()?, cfg.clone())?;
             self.unwritten.add(io.get_ref());
             ntex::rt::spawn(async move {
-                // A caller that breaks its connection is no fault of ours.
+                // A connection that its caller breaks is not an error of the server.
                 let _ = service.call(io).await;
             });
         }
--- a/crates/telemetry/src/batch.rs
+++ b/crates/telemetry/src/batch.rs
@@ -1,9 +1,9 @@
-//! Log lines that never hold up the thread that writes them.
+//! A logger that never blocks the thread that logs.
 //!
-//! Lines are gathered in memory and written by a thread of their own, some
-//! hundred at a time: a write and a wake-up for each line would cost more
-//! processor time than most calls that it speaks of. Where the reader of the
-//! output is stuck, lines are left out and counted; a call never waits for them.
+//! Lines are buffered in memory, and a separate thread writes them in batches: a write and a
+//! wake-up for each line would cost more processor time than most of the calls that the lines
+//! describe. While the reader of the output is stuck and the buffer is full, new lines are dropped
+//! and counted; a call never waits for the log.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -15,26 +15,26 @@
 
 use crate::log::Level;
 
-/// Time in which lines are gathered before they are written together. Whoever
-/// follows a log does not notice it.
-const GATHER: Duration = Duration::from_millis(100);
+/// Time for which lines are buffered before they are written as one batch. It is short enough that
+/// a person who follows the log does not notice the delay.
+const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// Pause before an output that was full is tried again.
-const FULL_PAUSE: Duration = Duration::from_millis(5);
+/// Delay before the next write to a non-blocking output that was full.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Bytes of one write. Where several processes share a pipe, the system keeps a
-/// write of this size in one piece, and so every line.
-const ONE_WRITE: usize = 4096;
+/// Largest size of one write. Linux does not interleave writes of up to this size (`PIPE_BUF`) with
+/// those of other processes to the same pipe, so that lines stay whole.
+const MAX_WRITE_BYTES: usize = 4096;
 
-/// Most bytes that wait; more are left out. Some thousand lines, a few seconds
-/// of the busiest daemon.
-const MAX_WAITING: usize = 1 << 20;
+/// Largest number of buffered bytes; further lines are dropped. The buffer holds several thousand
+/// lines, which a daemon under full load logs in a few seconds.
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 
-/// Longest wait at the end of the process for the lines that are left.
-const LAST_WRITE: Duration = Duration::from_millis(500);
+/// Longest time to wait at the end of the process for the buffered lines to be written.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Default)]
-struct Waiting {
+struct Buffer {
     bytes: Vec<u8>,
     left_out: u64,
     closed: bool,
@@ -43,46 +43,46 @@
 
 #[derive(Default)]
 struct Shared {
-    waiting: Mutex<Waiting>,
+    buffer: Mutex<Buffer>,
     changed: Condvar,
 }
 
 impl Shared {
-    /// A panic elsewhere while the lines were locked leaves them at worst one
-    /// line short, so a poisoned lock is used on.
-    fn lock(&self) -> MutexGuard<'_, Waiting> {
-        self.waiting.lock().unwrap_or_else(PoisonError::into_inner)
+    /// Locks the buffer. A poisoned lock is ignored: after a panic in another thread the buffer
+    /// lacks at most one line.
+    fn lock(&self) -> MutexGuard<'_, Buffer> {
+        self.buffer.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn add(&self, line: &[u8]) {
-        let mut waiting = self.lock();
-        if waiting.bytes.len() + line.len() > MAX_WAITING {
-            waiting.left_out += 1;
+        let mut buffer = self.lock();
+        if buffer.bytes.len() + line.len() > MAX_BUFFERED_BYTES {
+            buffer.left_out += 1;
             return;
         }
-        let was_empty = waiting.bytes.is_empty();
-        waiting.bytes.extend_from_slice(line);
-        drop(waiting);
+        let was_empty = buffer.bytes.is_empty();
+        buffer.bytes.extend_from_slice(line);
+        drop(buffer);
         if was_empty {
             self.changed.notify_all();
         }
     }
 }
 
-/// Gathers the pieces of one line, and hands it over whole.
+/// Collects the parts of a line and adds the complete line to the buffer.
 struct LineWriter {
     shared: Arc<Shared>,
     line: Vec<u8>,
 }
 
 impl Write for LineWriter {
-    fn write(&mut self, piece: &[u8]) -> io::Result<usize> {
-        self.line.extend_from_slice(piece);
+    fn write(&mut self, chunk: &[u8]) -> io::Result<usize> {
+        self.line.extend_from_slice(chunk);
         if self.line.ends_with(b"\n") {
             self.shared.add(&self.line);
             self.line.clear();
         }
-        Ok(piece.len())
+        Ok(chunk.len())
     }
 
     fn flush(&mut self) -> io::Result<()> {
@@ -90,13 +90,14 @@
     }
 }
 
-/// Formats records. Dropping the last clone of its logger writes what is left.
-struct Batched {
+/// Drain that formats records into the buffer. Dropping it waits, for a limited time, until the
+/// buffer is written.
+struct BatchDrain {
     json: Mutex<Json<LineWriter>>,
     shared: Arc<Shared>,
 }
 
-impl Drain for Batched {
+impl Drain for BatchDrain {
     type Ok = ();
     type Err = io::Error;
 
@@ -106,26 +107,26 @@
     }
 }
 
-impl Drop for Batched {
+impl Drop for BatchDrain {
     fn drop(&mut self) {
-        let mut waiting = self.shared.lock();
-        waiting.closed = true;
+        let mut buffer = self.shared.lock();
+        buffer.closed = true;
         self.shared.changed.notify_all();
-        // A reader that is stuck must not keep the process from ending.
+        // The wait is bounded, since a stuck reader must not keep the process from ending.
         let wait = self
             .shared
             .changed
-            .wait_timeout_while(waiting, LAST_WRITE, |it| !it.written);
+            .wait_timeout_while(buffer, FLUSH_TIMEOUT, |it| !it.written);
         drop(wait);
     }
 }
 
-/// A logger whose lines carry `ts`, `level`, `msg` and `program`, written to
-/// `out` a batch at a time.
+/// Creates a logger that writes JSON lines with `ts`, `level`, `msg` and `program` to `out` in
+/// batches.
 ///
 /// # Panics
 ///
-/// Where the system has no thread left for it, at the start of a program.
+/// If the thread that writes the batches can't be started.
 pub fn batched_logger(
     program: &'static str,
     level: Level,
@@ -137,7 +138,7 @@
         line: Vec::new(),
     };
     let json = Json::new(writer).add_default_keys().build();
-    let batched = Batched {
+    let drain = BatchDrain {
         json: Mutex::new(json),
         shared: Arc::clone(&shared),
     };
@@ -145,28 +146,28 @@
         .name("log".to_owned())
         .spawn(move || write_batches(&shared, out))
         .expect("a thread for the log");
-    let filtered = LevelFilter::new(batched.fuse(), level.into()).fuse();
+    let filtered = LevelFilter::new(drain.fuse(), level.into()).fuse();
     Logger::root(filtered, o!("program" => program))
 }
 
 fn write_batches(shared: &Shared, mut out: impl Write) {
     loop {
-        let waiting = shared.lock();
-        let nothing = |it: &mut Waiting| it.bytes.is_empty() && !it.closed;
-        let waiting = shared.changed.wait_while(waiting, nothing);
-        let closed = waiting.unwrap_or_else(PoisonError::into_inner).closed;
+        let buffer = shared.lock();
+        let is_idle = |it: &mut Buffer| it.bytes.is_empty() && !it.closed;
+        let buffer = shared.changed.wait_while(buffer, is_idle);
+        let closed = buffer.unwrap_or_else(PoisonError::into_inner).closed;
         if !closed {
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_DELAY);
         }
         let (bytes, left_out) = {
-            let mut waiting = shared.lock();
-            let bytes = std::mem::take(&mut waiting.bytes);
-            (bytes, std::mem::take(&mut waiting.left_out))
+            let mut buffer = shared.lock();
+            let bytes = std::mem::take(&mut buffer.bytes);
+            (bytes, std::mem::take(&mut buffer.left_out))
         };
         write_batch(&mut out, &bytes, left_out);
-        let mut waiting = shared.lock();
-        if waiting.closed && waiting.bytes.is_empty() {
-            waiting.written = true;
+        let mut buffer = shared.lock();
+        if buffer.closed && buffer.bytes.is_empty() {
+            buffer.written = true;
             shared.changed.notify_all();
             return;
         }
@@ -175,8 +176,8 @@
 
 fn write_batch(out: &mut impl Write, mut bytes: &[u8], left_out: u64) {
     while !bytes.is_empty() {
-        let (piece, rest) = bytes.split_at(whole_lines(bytes));
-        write_whole(out, piece);
+        let (chunk, rest) = bytes.split_at(whole_lines(bytes));
+        write_whole(out, chunk);
         bytes = rest;
     }
     if left_out > 0 {
@@ -186,26 +187,26 @@
     }
 }
 
-/// Length of the whole lines at the front that one write takes; of the first line
-/// where it is longer by itself.
+/// Length of the complete lines at the front of `bytes` that fit into one write, or of the first
+/// line if that alone is longer.
 fn whole_lines(bytes: &[u8]) -> usize {
-    let ends = |bytes: &[u8]| bytes.iter().rposition(|byte| *byte == b'\n');
+    let last_end = |bytes: &[u8]| bytes.iter().rposition(|byte| *byte == b'\n');
     let first_end = || bytes.iter().position(|byte| *byte == b'\n');
-    let front = &bytes[..bytes.len().min(ONE_WRITE)];
-    ends(front)
+    let fitting = &bytes[..bytes.len().min(MAX_WRITE_BYTES)];
+    last_end(fitting)
         .or_else(first_end)
         .map_or(bytes.len(), |at| at + 1)
 }
 
-/// Writes all bytes, also to an output that does not block: giving up where it is
-/// full would cut a line in two. Nobody is left to tell where it can't be written.
+/// Writes all bytes. It retries while a non-blocking output is full, since to stop there would cut
+/// a line in two. Other errors are ignored, as there is no other place to report them.
 fn write_whole(out: &mut impl Write, mut bytes: &[u8]) {
     while !bytes.is_empty() {
         match out.write(bytes) {
             Ok(0) => return,
             Ok(written) => bytes = &bytes[written..],
             Err(err) if err.kind() == io::ErrorKind::Interrupted => {}
-            Err(err) if err.kind() == io::ErrorKind::WouldBlock => thread::sleep(FULL_PAUSE),
+            Err(err) if err.kind() == io::ErrorKind::WouldBlock => thread::sleep(FULL_RETRY_DELAY),
             Err(_) => return,
         }
     }
--- a/crates/telemetry/src/exposition.rs
+++ b/crates/telemetry/src/exposition.rs
@@ -1,10 +1,10 @@
-//! Metrics as text lines, in the format that Prometheus reads.
+//! Renders metrics in the text format of Prometheus.
 
 use std::fmt::Write;
 
 use crate::statsd::{Id, Metric, Table};
 
-/// Renders a table, ordered by name.
+/// Renders all metrics of a table, ordered by name.
 pub(crate) fn render(table: &Table) -> String {
     let mut text = String::new();
     for (id, metric) in &table.metrics {
@@ -34,11 +34,12 @@
 }
 
 fn add_line(text: &mut String, name: &str, labels: &str, value: impl std::fmt::Display) {
-    // Writing into a string cannot fail.
+    // Writing into a string can't fail.
     let _ = writeln!(text, "{name}{labels} {value}");
 }
 
-/// Prometheus allows letters, digits, underscores and colons in a name.
+/// Turns `name` into a name that Prometheus accepts. Characters other than ASCII letters, digits
+/// and underscores become underscores, also colons, which Prometheus would allow.
 fn metric_name(name: &str) -> String {
     let allowed = |c: char| c.is_ascii_alphanumeric() || c == '_';
     name.chars()
--- a/crates/telemetry/src/fields.rs
+++ b/crates/telemetry/src/fields.rs
@@ -1,71 +1,71 @@
-//! Names of what log lines carry. One name means the same in every line, whoever
-//! writes it; whoever reads lines takes the names from here as well.
+//! Keys of the values in log lines. A key has the same meaning in every line and program; programs
+//! that read log lines use these constants too.
 
-/// Id of the caller's request; each retry of a caller has another one.
+/// Id of the caller's request; each retry by a caller has a new one.
 pub const REQUEST: &str = "request";
-/// Id of one attempt at one executor; the same in the lines of entry and executor.
+/// Id of one attempt at one executor; the lines of entry and executor have the same one.
 pub const ATTEMPT: &str = "attempt";
-/// The life of the target that was chosen, or that a line is about.
+/// Generation of the target that was chosen, or that the line is about.
 pub const UPSTREAM: &str = "upstream";
-/// Service that the target belongs to, or that was asked for.
+/// Service that the target belongs to, or that the caller asked for.
 pub const SERVICE: &str = "service";
-/// Route by which the call went.
+/// Route that the call took.
 pub const ROUTE: &str = "route";
 /// Path that the caller asked for.
 pub const PATH: &str = "path";
-/// Configuration version.
+/// Version of the configuration.
 pub const VERSION: &str = "version";
-/// Configuration version in force until then.
+/// Version of the configuration that was in force before.
 pub const BEFORE: &str = "before";
-/// Configuration version that stays in force.
+/// Version of the configuration that stays in force.
 pub const HELD: &str = "held";
 /// Where a configuration came from.
 pub const SOURCE: &str = "source";
-/// What is known of the run: answered, not-run or unknown.
+/// Outcome of the run as far as it is known: answered, not-run or unknown.
 pub const OUTCOME: &str = "outcome";
 /// Why something ended as it did.
 pub const REASON: &str = "reason";
 /// HTTP status.
 pub const STATUS: &str = "status";
-/// What went wrong, in words.
+/// Description of an error.
 pub const ERROR: &str = "error";
-/// The answer came after its objective.
+/// Whether the answer missed its latency objective.
 pub const LATE: &str = "late";
-/// The target is of another zone than the entry.
+/// Whether the target is in another zone than the entry.
 pub const OTHER_ZONE: &str = "other_zone";
-/// The target got to see the request.
+/// Whether the request reached the target.
 pub const ARRIVED: &str = "arrived";
-/// Attempts that the call took.
+/// Number of attempts that the call took.
 pub const ATTEMPTS: &str = "attempts";
-/// Time that the caller gave, in milliseconds.
+/// Time limit that the caller set, in milliseconds.
 pub const GIVEN_MS: &str = "given_ms";
-/// Time in which an answer is worth its full price, in milliseconds.
+/// Latency objective: time within which an answer is worth its full price, in milliseconds.
 pub const OBJECTIVE_MS: &str = "objective_ms";
-/// From the request to its answer, in microseconds.
+/// Time from the request to its answer, in microseconds.
 pub const TOTAL_US: &str = "total_us";
 /// Time in queues, in microseconds.
 pub const QUEUE_US: &str = "queue_us";
 /// Time at targets, in microseconds.
 pub const TARGET_US: &str = "target_us";
-/// Time that an attempt took, in microseconds.
+/// Duration of an attempt, in microseconds.
 pub const TOOK_US: &str = "took_us";
-/// Calls that the target ran at that moment.
+/// Number of calls that the target was running at that moment.
 pub const RUNNING: &str = "running";
-/// Calls that waited for it at that moment.
+/// Number of calls that were waiting for the target at that moment.
 pub const QUEUED: &str = "queued";
-/// Lines of the same kind left out since the last one.
+/// Number of lines of the same kind that were suppressed since the last logged one.
 pub const LEFT_OUT: &str = "left_out";
-/// How long a target is left out, in milliseconds.
+/// Time for which a target is excluded or a request is quarantined, in milliseconds.
 pub const FOR_MS: &str = "for_ms";
-/// Idle time from which connections are not used again, in milliseconds.
+/// Idle time after which connections are not reused, in milliseconds.
 pub const UNUSED_AFTER_MS: &str = "unused_after_ms";
-/// Number of the heartbeat by which the target was last heard.
+/// Sequence number of the last heartbeat that was received from the target.
 pub const SEQUENCE: &str = "sequence";
-/// Calls that the target runs at a time.
+/// Number of calls that the target runs at a time.
 pub const SLOTS: &str = "slots";
-/// The target takes no new calls.
+/// Whether the target takes no new calls.
 pub const DRAINING: &str = "draining";
-/// The life of the target that answered where another one was meant.
+/// Generation of the target that answered a request meant for another one.
 pub const ANSWERED_AS: &str = "answered_as";
 /// Id of an instance.
 pub const INSTANCE: &str = "instance";
@@ -73,74 +73,74 @@
 pub const ZONE: &str = "zone";
 /// Incarnation of a member; a higher one is newer.
 pub const INCARNATION: &str = "incarnation";
-/// State in which a member is seen.
+/// State of a member as this daemon sees it.
 pub const STATE: &str = "state";
 /// Whether the zone can be reached.
 pub const REACHABLE: &str = "reachable";
-/// Incarnation at which a process started.
+/// Incarnation with which a process started.
 pub const BIRTH: &str = "birth";
-/// How long the process was suspended, in milliseconds.
+/// Time for which the process was suspended, in milliseconds.
 pub const GAP_MS: &str = "gap_ms";
 /// Address of another daemon.
 pub const PEER: &str = "peer";
-/// Questions without an answer.
+/// Number of requests to a peer that have no answer yet.
 pub const OPEN: &str = "open";
-/// How long nothing was heard, in milliseconds.
+/// Time for which nothing was received, in milliseconds.
 pub const SILENT_MS: &str = "silent_ms";
-/// Calls under way.
+/// Number of calls in progress.
 pub const IN_FLIGHT: &str = "in_flight";
-/// Retries that a call earns, in hundredths.
+/// Retries that a call earns, in hundredths of a retry.
 pub const PERCENT: &str = "percent";
-/// Retries that a daemon may save up.
+/// Number of retries that a daemon may save up.
 pub const RESERVE: &str = "reserve";
-/// Calls of a route asked for lately; older ones weigh less.
+/// Decayed number of calls of a route, in which older calls weigh less.
 pub const ASKED: &str = "asked";
-/// Those of them that ended well.
+/// Decayed number of those calls that succeeded.
 pub const GOOD: &str = "good";
-/// Bytes of the answer's body.
+/// Size of the answer's body in bytes.
 pub const BYTES: &str = "bytes";
-/// Number of the order for a roll-out; a later one has a higher number.
+/// Number of the order for a roll-out; a later order has a higher number.
 pub const ORDER: &str = "order";
-/// Version of targets' software that was ordered.
+/// Version of the targets' software that was ordered.
 pub const SOFTWARE: &str = "software";
 /// Step of a roll-out.
 pub const STEP: &str = "step";
-/// Step of the same roll-out until then; empty where the order is news.
+/// Previous step of the same roll-out; empty if the order is new.
 pub const BEFORE_STEP: &str = "before_step";
-/// Time until a roll-out has to be over, in milliseconds.
+/// Time until a roll-out has to be complete, in milliseconds.
 pub const LEFT_MS: &str = "left_ms";
-/// Bad runs of the new version's targets that are tried.
+/// Number of bad runs of those targets of the new version that are tried first.
 pub const NEW_BAD: &str = "new_bad";
-/// All runs of those targets that count.
+/// Number of all counted runs of those targets of the new version that are tried first.
 pub const NEW_RUNS: &str = "new_runs";
-/// Bad runs of the targets of the old side that were asked.
+/// Number of bad runs of those targets of the old side that were asked.
 pub const OLD_BAD: &str = "old_bad";
-/// All runs of those targets that count.
+/// Number of all counted runs of those targets of the old side that were asked.
 pub const OLD_RUNS: &str = "old_runs";
-/// Fingerprint of what a request asks for; the same for each repeat, whatever its id.
+/// Fingerprint of the contents of a request; the same for all its repeats, whatever their ids.
 pub const CONTENT: &str = "content";
-/// Fingerprints of several requests, with spaces between them.
+/// Fingerprints of several requests, separated by spaces.
 pub const CONTENTS: &str = "contents";
-/// Calls that a target ran.
+/// Number of calls that a target ran.
 pub const RUNS: &str = "runs";
-/// Lives of targets that ended while they ran a request.
+/// Generations of targets that ended while they ran a request.
 pub const LIVES: &str = "lives";
-/// How often the host came back from an older copy.
+/// Number of times that the store came back from an older copy.
 pub const ERA: &str = "era";
-/// The same as known until then.
+/// Previously known number of times that the store came back from an older copy.
 pub const BEFORE_ERA: &str = "before_era";
 /// Name of a customer.
 pub const CUSTOMER: &str = "customer";
-/// Tokens of a quota that were asked for.
+/// Number of tokens of a quota that were requested.
 pub const WANTED: &str = "wanted";
-/// Tokens of a quota that were granted.
+/// Number of tokens of a quota that were granted.
 pub const GRANTED: &str = "granted";
-/// Tokens that a home may grant a minute.
+/// Number of tokens that the home of a quota may grant per minute.
 pub const PER_MINUTE: &str = "per_minute";
-/// Age of what is known, in milliseconds; absent where nothing is.
+/// Age of what is known, in milliseconds; absent if nothing is known.
 pub const AGE_MS: &str = "age_ms";
 
-/// Every name above, in the order of this page.
+/// All keys, in the order in which this module defines them.
 pub const ALL: [&str; 69] = [
     REQUEST,
     ATTEMPT,
--- a/crates/telemetry/src/histograms.rs
+++ b/crates/telemetry/src/histograms.rs
@@ -1,4 +1,4 @@
-//! Histograms of latency for each tenant, class and stage.
+//! Latency histograms by tenant, class and stage.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,32 +7,33 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Tenant under which all tenants beyond the bound are counted.
+/// Tenant name under which all tenants beyond the bound are counted.
 pub const OTHER: &str = "other";
 
-/// Significant digits: quantiles are within 1%, at a few KB a histogram.
+/// Significant decimal digits of recorded values: quantiles are accurate to 1%, and a histogram
+/// takes a few KB.
 const DIGITS: u8 = 2;
 
-/// Longest latency that is told apart. Without it, one clock error would make
-/// a histogram grow to its full range.
-const LONGEST: Duration = Duration::from_mins(10);
+/// Longest latency that is recorded as it is; longer ones are recorded as this. Without the bound,
+/// one clock error would make a histogram grow to its full range.
+const MAX_LATENCY: Duration = Duration::from_mins(10);
 
-/// Where the time of a call went.
+/// Part of a call's latency.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Stage {
-    /// From the first byte in to the last byte out.
+    /// Time from the first byte of the request to the last byte of the answer.
     Total,
-    /// In daemons, on top of queue and target.
+    /// Time in daemons, without the time in the queue and in the target.
     Daemon,
-    /// Waiting for a slot of the target.
+    /// Time spent waiting for a slot of the target.
     Queue,
-    /// In the target.
+    /// Time in the target.
     Target,
 }
 
 impl Stage {
-    /// The stage's name in metrics and tables.
+    /// Returns the stage's name in metrics and tables.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -44,31 +45,31 @@
     }
 }
 
-/// What a histogram says, in microseconds.
+/// Count and quantiles of a histogram, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// Values recorded.
+    /// Number of recorded values.
     pub count: u64,
     /// Median.
     pub p50_us: u64,
-    /// 90 in 100 were at or below.
+    /// 90th percentile.
     pub p90_us: u64,
-    /// 99 in 100 were at or below.
+    /// 99th percentile.
     pub p99_us: u64,
-    /// The largest.
+    /// Largest value.
     pub max_us: u64,
 }
 
-/// One histogram's key and summary.
+/// Key and summary of one histogram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Series {
-    /// Tenant, or [`OTHER`].
+    /// Tenant of the calls, or [`OTHER`].
     pub tenant: SmolStr,
     /// Class of the calls.
     pub class: SmolStr,
-    /// Where the time went.
+    /// Part of the calls' latency.
     pub stage: Stage,
-    /// What was recorded.
+    /// Summary of the recorded latencies.
     #[serde(flatten)]
     pub summary: Summary,
 }
@@ -80,11 +81,11 @@
     stage: Stage,
 }
 
-/// Table of histograms.
+/// Table of latency histograms, bounded in size.
 ///
-/// Callers write the tenant's name themselves, so anyone could invent a new
-/// one with every call. Tenants beyond the bound share [`OTHER`]; classes and
-/// stages are closed sets, which bounds the whole table.
+/// The tenant's name comes from the caller, who could send a new one with every call. Tenants
+/// beyond the bound are therefore counted together as [`OTHER`]. Classes and stages are closed
+/// sets, so the whole table is bounded.
 #[derive(Debug)]
 pub struct Histograms {
     max_tenants: usize,
@@ -93,7 +94,7 @@
 }
 
 impl Histograms {
-    /// An empty table that tells at most `max_tenants` tenants apart.
+    /// Creates an empty table that keeps separate histograms for at most `max_tenants` tenants.
     #[must_use]
     pub fn new(max_tenants: usize) -> Self {
         Self {
@@ -107,10 +108,10 @@
     ///
     /// # Panics
     ///
-    /// Never: the number of digits is a constant that the library accepts.
+    /// Never, since the number of digits is a constant that the library accepts.
     pub fn record(&mut self, tenant: &str, class: &'static str, stage: Stage, latency: Duration) {
         let key = Key {
-            tenant: self.known(tenant),
+            tenant: self.recorded_tenant(tenant),
             class,
             stage,
         };
@@ -118,12 +119,12 @@
             .table
             .entry(key)
             .or_insert_with(|| Histogram::new(DIGITS).expect("a valid number of digits"));
-        // Unlike `saturating_record`, this lets the histogram grow; it cannot
-        // fail, since the value is bounded above.
-        let _ = histogram.record(micros(latency.min(LONGEST)));
+        // Unlike `saturating_record`, `record` lets the histogram grow. It can't fail, since the
+        // value is bounded.
+        let _ = histogram.record(micros(latency.min(MAX_LATENCY)));
     }
 
-    /// The summary of one histogram; empty where nothing was recorded.
+    /// Returns the summary of one histogram, which is empty if nothing was recorded.
     #[must_use]
     pub fn summary(&self, tenant: &str, class: &'static str, stage: Stage) -> Summary {
         let key = Key {
@@ -134,7 +135,7 @@
         self.table.get(&key).map(summarize).unwrap_or_default()
     }
 
-    /// Every histogram's summary, ordered by tenant, class and stage.
+    /// Returns the summaries of all histograms, ordered by tenant, class and stage.
     #[must_use]
     pub fn series(&self) -> Vec<Series> {
         let series = self.table.iter().map(|(key, histogram)| Series {
@@ -146,8 +147,8 @@
         series.collect()
     }
 
-    /// Every histogram as text lines that Prometheus reads, in microseconds, with
-    /// `label` in place of the word tenant.
+    /// Renders all histograms in the text format of Prometheus, in microseconds, with `label` as
+    /// the name of the tenant label.
     #[must_use]
     pub fn render(&self, name: &str, label: &str) -> String {
         use std::fmt::Write;
@@ -164,7 +165,7 @@
                 ("0.99", summary.p99_us),
                 ("1", summary.max_us),
             ];
-            // Writing into a string cannot fail.
+            // Writing into a string can't fail.
             for (quantile, us) in quantiles {
                 let _ = writeln!(text, "{name}{{{labels},quantile=\"{quantile}\"}} {us}");
             }
@@ -173,7 +174,8 @@
         text
     }
 
-    fn known(&mut self, tenant: &str) -> SmolStr {
+    /// Returns the tenant under which latencies of `tenant` are recorded.
+    fn recorded_tenant(&mut self, tenant: &str) -> SmolStr {
         if let Some(known) = self.tenants.get(tenant) {
             return known.clone();
         }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,12 +1,11 @@
-//! What a program says about itself: logs, metrics and histograms.
+//! Logs, metrics and latency histograms of a program.
 //!
-//! [`logger`] writes JSON lines to standard error, and [`batched_logger`] many of
-//! them at a time, with [`RateLimit`] in front of messages that faults can repeat;
-//! what the lines carry is named in [`fields`]. [`Metrics`] counts through `cadence`
-//! and keeps the sums in memory for `/metrics`. [`Histograms`] holds a
-//! histogram of latency for each tenant, class and [`Stage`]. All three are
-//! bounded in memory, whatever callers send: a daemon shares its instance with
-//! a target and has no room to grow. See `docs/operators/running.md`.
+//! [`logger`] writes JSON lines to standard error, and [`batched_logger`] writes them in batches to
+//! any output. [`RateLimit`] bounds the messages that a lasting fault repeats, and [`fields`]
+//! defines the keys of the lines' values. [`Metrics`] counts through `cadence` and keeps the sums
+//! in memory for `/metrics`. [`Histograms`] holds a latency histogram for each tenant, class and
+//! [`Stage`]. The memory of all of them is bounded whatever callers send, since a daemon shares its
+//! instance with a target. See `docs/operators/running.md`.
 
 mod batch;
 mod exposition;
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard error.
+//! A logger that writes JSON lines to standard error.
 
 use std::fmt;
 use std::io;
@@ -8,26 +8,26 @@
 use slog::{Drain, LevelFilter, Logger, OwnedKVList, Record, o};
 use slog_async::{Async, AsyncGuard};
 
-/// Messages that wait for the writing thread; more are dropped and counted in
-/// the log. A slow terminal must not hold up calls.
-const QUEUE: usize = 1024;
+/// Largest number of messages queued for the thread that writes them. Messages beyond it are
+/// dropped and counted in the log, so that a slow terminal does not delay calls.
+const MAX_QUEUED_MESSAGES: usize = 1024;
 
-/// Least severity that is logged.
+/// Lowest severity that is logged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Level {
-    /// Something needs an operator.
+    /// Faults that need an operator.
     Error,
-    /// Something failed and was survived.
+    /// Failures that the program recovered from.
     Warning,
-    /// What an operator would want to know of afterwards.
+    /// Events that an operator needs to reconstruct what happened.
     Info,
-    /// Single decisions.
+    /// Individual decisions.
     Debug,
-    /// Single messages; not in release builds.
+    /// Individual messages between processes; left out of release builds.
     Trace,
 }
 
-/// Why a text is no [`Level`].
+/// Error of parsing a [`Level`] from a text that names none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LevelError;
 
@@ -66,22 +66,23 @@
     }
 }
 
-/// Hands lines to the writing thread, and waits for it when dropped.
+/// Drain that queues records for the thread that writes them, and waits for that thread when it is
+/// dropped.
 ///
-/// The daemon keeps its logger in a thread-local. Without a guard, the library
-/// would send its last message through a thread-local of its own, which is
-/// gone by then: the process would abort at the end of every graceful stop. The
-/// guard sends it through a plain channel, whatever thread drops it.
-struct Queued {
-    // Dropped in this order: the guard waits until all lines are written.
+/// The daemon keeps its logger in a thread-local. Without the guard, `slog_async` would send its
+/// last message through a thread-local of its own, which may already be destroyed by then, and the
+/// process would abort at the end of every graceful stop. The guard sends the message through a
+/// channel from whatever thread drops it.
+struct AsyncDrain {
+    // Fields are dropped in this order, and the guard then waits until all lines are written.
     lines: Async,
     _guard: Mutex<AsyncGuard>,
 }
 
-impl Queued {
+impl AsyncDrain {
     fn new(drain: impl Drain<Err = slog::Never, Ok = ()> + Send + 'static) -> Self {
         let builder = Async::new(drain)
-            .chan_size(QUEUE)
+            .chan_size(MAX_QUEUED_MESSAGES)
             .thread_name("log".to_owned());
         let (lines, guard) = builder.build_with_guard();
         Self {
@@ -91,7 +92,7 @@
     }
 }
 
-impl Drain for Queued {
+impl Drain for AsyncDrain {
     type Ok = ();
     type Err = slog_async::AsyncError;
 
@@ -100,14 +101,14 @@
     }
 }
 
-/// A logger whose lines carry `ts`, `level`, `msg` and `program`, written by a
-/// thread of its own. Its last clone, when dropped, writes out what waits.
+/// Creates a logger that writes JSON lines with `ts`, `level`, `msg` and `program` to standard
+/// error on a separate thread. Dropping its last clone waits until all queued lines are written.
 pub fn logger(program: &'static str, level: Level) -> Logger {
     let json = slog_json::Json::new(io::stderr())
         .add_default_keys()
         .build()
         .fuse();
-    let queued = Queued::new(json).fuse();
+    let queued = AsyncDrain::new(json).fuse();
     let filtered = LevelFilter::new(queued, level.into()).fuse();
     Logger::root(filtered, o!("program" => program))
 }
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and timers through `cadence`, summed in memory.
+//! Counters, gauges and timers, recorded through `cadence` and aggregated in memory.
 
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,18 +9,18 @@
 use crate::exposition;
 use crate::statsd::{Line, Table};
 
-/// What the name of every metric begins with.
+/// Prefix of all metric names.
 const PREFIX: &str = "stoatstep";
 
-/// A program's metrics. Clones share one table.
+/// Metrics of a program. Clones share one table.
 #[derive(Clone, Debug)]
 pub struct Metrics {
     client: Arc<StatsdClient>,
     table: Arc<Mutex<Table>>,
 }
 
-/// Takes what `cadence` emits into the table. The site runs no metrics server
-/// of ours; whoever collects asks `/metrics` over HTTP.
+/// Sink that adds what `cadence` emits to the table, since there is no statsd server to send it to;
+/// collectors read `/metrics` over HTTP.
 struct TableSink(Arc<Mutex<Table>>);
 
 impl MetricSink for TableSink {
@@ -34,7 +34,7 @@
 }
 
 impl Metrics {
-    /// An empty table.
+    /// Creates an empty table of metrics.
     #[must_use]
     pub fn new() -> Self {
         let table = Arc::new(Mutex::new(Table::default()));
@@ -43,7 +43,7 @@
         Self { client, table }
     }
 
-    /// The `cadence` client, for metrics with tags.
+    /// Returns the `cadence` client, for metrics with tags.
     #[must_use]
     pub fn client(&self) -> &StatsdClient {
         &self.client
@@ -51,25 +51,24 @@
 
     /// Adds to a counter.
     pub fn count(&self, name: &str, by: i64) {
-        // The sink refuses only malformed names, which `render` would lack;
-        // a metric is never worth failing a call for.
+        // The sink rejects only malformed names. `render` then lacks the metric, which is better
+        // than to fail a call for it.
         let _ = self.client.count(name, by);
     }
 
-    /// Sets a gauge.
+    /// Sets the value of a gauge.
     pub fn gauge(&self, name: &str, value: u64) {
         let _ = self.client.gauge(name, value);
     }
 
-    /// Records how long something took, to the millisecond; [`Histograms`]
-    /// are finer.
+    /// Records a duration in whole milliseconds; [`Histograms`] have a finer resolution.
     ///
     /// [`Histograms`]: crate::Histograms
     pub fn time(&self, name: &str, duration: Duration) {
         let _ = self.client.time(name, duration);
     }
 
-    /// Every metric as a text line, ordered by name.
+    /// Renders all metrics in the text format of Prometheus, ordered by name.
     #[must_use]
     pub fn render(&self) -> String {
         exposition::render(&lock(&self.table))
@@ -82,8 +81,8 @@
     }
 }
 
-/// A panic elsewhere while the table was locked leaves it at worst one metric
-/// short, so a poisoned lock is used on.
+/// Locks the table. A poisoned lock is ignored: after a panic in another thread the table lacks at
+/// most one metric.
 fn lock(table: &Mutex<Table>) -> MutexGuard<'_, Table> {
     table.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/telemetry/src/rate_limit.rs
+++ b/crates/telemetry/src/rate_limit.rs
@@ -1,26 +1,25 @@
-//! Keeps one fault from filling the log.
+//! Bounds the number of log messages that a lasting fault repeats.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What to do with a message.
+/// Whether to log a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// Log it, and say how many like it were left out since the last one.
+    /// Log it together with the number of suppressed messages.
     Log {
-        /// Messages left out.
+        /// Messages of the same key that were suppressed since the last logged one.
         suppressed: u64,
     },
-    /// Leave it out.
+    /// Do not log it.
     Suppress,
 }
 
-/// Allows so many messages of each key in each window.
+/// Allows a fixed number of messages of each key per time window.
 ///
-/// A silent peer or a platform outage repeats the same message with every
-/// tick. Unlimited, the log would take the processor time that calls need and
-/// bury the line that explains the fault. Keys are texts of the program, not
-/// of its input, so that nobody outside can make the table grow.
+/// While a peer is silent or the platform is down, every tick logs the same message. Without a
+/// limit, logging would take the processor time that calls need and hide the line that explains the
+/// fault. Keys are constants of the program, so that no input can make the table grow.
 #[derive(Clone, Debug)]
 pub struct RateLimit {
     allowed: u32,
@@ -36,7 +35,7 @@
 }
 
 impl RateLimit {
-    /// Allows `allowed` messages of a key in each `window`.
+    /// Creates a limit of `allowed` messages of each key per `window`.
     #[must_use]
     pub fn new(allowed: u32, window: Duration) -> Self {
         Self {
@@ -46,7 +45,7 @@
         }
     }
 
-    /// Decides over one message at `now`, a time since any fixed start.
+    /// Decides whether to log a message at `now`, a time since an arbitrary fixed start.
     pub fn admit(&mut self, key: &'static str, now: Duration) -> Admission {
         let window = self.keys.entry(key).or_insert_with(|| Window {
             start: now,
--- a/crates/telemetry/src/statsd.rs
+++ b/crates/telemetry/src/statsd.rs
@@ -1,11 +1,11 @@
-//! Reads the lines that `cadence` emits and sums them.
+//! Parses and aggregates the statsd lines that `cadence` emits.
 
 use std::collections::BTreeMap;
 
-/// Most metrics, each name with each set of tags counted apart.
+/// Largest number of metrics; each combination of a name and tags counts as one.
 const MAX_METRICS: usize = 1024;
 
-/// Kind of a metric, as its line names it.
+/// Kind of a metric, as stated in its line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Kind {
     Counter,
@@ -13,7 +13,7 @@
     Timer,
 }
 
-/// One emitted line: `name:value|kind|#tag:value,...`.
+/// One parsed line of the form `name:value|kind|#tag:value,...`.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Line<'a> {
     name: &'a str,
@@ -22,14 +22,14 @@
     tags: &'a str,
 }
 
-/// A metric's name and its tags as emitted.
+/// Name of a metric with its tags in the form in which they were emitted.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Id {
     pub(crate) name: String,
     pub(crate) tags: String,
 }
 
-/// A metric's sums.
+/// Aggregated values of a metric.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Metric {
     Counter(f64),
@@ -45,13 +45,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     pub(crate) metrics: BTreeMap<Id, Metric>,
-    /// Lines left out since the table is full.
+    /// Number of lines dropped because the table was full.
     pub(crate) dropped: u64,
 }
 
 impl<'a> Line<'a> {
-    /// The line's parts; `None` where it is malformed or of a kind that isn't
-    /// used here.
+    /// Parses a line. Returns `None` if it is malformed or of a kind that this program doesn't use.
     pub(crate) fn parse(text: &'a str) -> Option<Self> {
         let (name, rest) = text.split_once(':')?;
         let mut parts = rest.split('|');
@@ -73,8 +72,8 @@
 }
 
 impl Table {
-    /// Adds one line. A tag whose values come from outside could fill the
-    /// memory, so beyond the bound new metrics are only counted.
+    /// Adds the value of a line to its metric. Once the table is full, lines of new metrics are
+    /// dropped and counted, since tags with values from callers could otherwise exhaust the memory.
     pub(crate) fn add(&mut self, line: &Line<'_>) {
         let id = Id {
             name: line.name.to_owned(),
--- a/crates/telemetry/tests/all/histograms.rs
+++ b/crates/telemetry/tests/all/histograms.rs
@@ -1,4 +1,4 @@
-//! Quantiles and the bound on tenants.
+//! Tests of the accuracy of quantiles and of the bound on tenants.
 
 use std::time::Duration;
 
@@ -25,9 +25,8 @@
     assert_eq!(summary, Summary::default());
 }
 
-/// A caller sends a new tenant name with every call. Each would be a new
-/// histogram, and the daemon's memory would grow until the instance's target
-/// is killed for want of it. Beyond the bound they all count as one.
+/// Guards against a caller that sends a new tenant name with every call. If each got a histogram,
+/// the daemon's memory would grow until the target on its instance is killed for lack of memory.
 #[test]
 fn invented_tenants_share_one_histogram() {
     let mut histograms = Histograms::new(3);
--- a/crates/telemetry/tests/all/log.rs
+++ b/crates/telemetry/tests/all/log.rs
@@ -1,4 +1,4 @@
-//! Loggers at the end of a thread, and with readers that are stuck.
+//! Tests of loggers at the end of a thread and with a stuck reader.
 
 use std::cell::RefCell;
 use std::io::{self, Write};
@@ -12,11 +12,10 @@
     static LOG: RefCell<Option<Logger>> = const { RefCell::new(None) };
 }
 
-/// A daemon is told to stop, finishes its calls and ends its only thread, with
-/// the logger in a thread-local. If dropping the logger there touches another
-/// thread-local, that one is gone and the process aborts: the service manager
-/// sees a crash after each graceful stop. An abort would end this test program
-/// too.
+/// Guards against an abort at the end of a graceful stop. A daemon keeps its logger in a
+/// thread-local of its only thread; if dropping the logger accesses another thread-local that is
+/// already destroyed, the process aborts, and the service manager sees a crash. An abort would end
+/// this test program too.
 #[test]
 fn logger_in_a_thread_local_ends_with_its_thread() {
     let thread = std::thread::spawn(|| {
@@ -26,7 +25,7 @@
     assert!(thread.join().is_ok());
 }
 
-/// What was written, for a test to look at.
+/// An output that keeps what was written to it.
 #[derive(Clone, Default)]
 struct Output(Arc<Mutex<Vec<u8>>>);
 
@@ -39,8 +38,8 @@
 
 impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        let mut held = self.0.lock().expect("no panic holds it");
-        held.extend_from_slice(bytes);
+        let mut written = self.0.lock().expect("no panic holds it");
+        written.extend_from_slice(bytes);
         Ok(bytes.len())
     }
 
@@ -66,7 +65,7 @@
     }
 }
 
-/// An output whose reader has stopped reading.
+/// An output whose reader has stopped reading, so that writes block.
 struct Stuck;
 
 impl Write for Stuck {
@@ -80,8 +79,8 @@
     }
 }
 
-/// The program that collects the log hangs. Calls go on as before: their lines
-/// are left out once the memory for them is used up, and the process still ends.
+/// Guards against calls that wait for the log. While the program that collects the log hangs, lines
+/// are dropped once the buffer is full, and the process can still end.
 #[test]
 fn a_stuck_reader_holds_up_neither_calls_nor_the_end() {
     let log = batched_logger("test", Level::Info, Stuck);
--- a/crates/telemetry/tests/all/main.rs
+++ b/crates/telemetry/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of logs' limits, metrics and histograms.
+//! Tests of loggers, the limit on log messages, metrics and histograms.
 
 mod histograms;
 mod log;
--- a/crates/telemetry/tests/all/metrics.rs
+++ b/crates/telemetry/tests/all/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics are summed in memory and rendered as lines.
+//! Tests of how metrics are aggregated in memory and rendered as text.
 
 use std::time::Duration;
 
@@ -45,8 +45,8 @@
     assert_eq!(metrics.render(), "stoatstep_calls 1\n");
 }
 
-/// A tag takes its value from a header, and a caller invents a new one with
-/// every call. The table stops growing, and a line says that it did.
+/// Guards against unbounded growth when a caller sends a new value, and so a new metric, with every
+/// call. The table stops growing, and a metric counts what was dropped.
 #[test]
 fn table_is_bounded() {
     let metrics = Metrics::new();
--- a/crates/telemetry/tests/all/rate_limit.rs
+++ b/crates/telemetry/tests/all/rate_limit.rs
@@ -1,4 +1,4 @@
-//! Repeated messages are counted, not logged.
+//! Tests of the limit on repeated log messages and of parsing levels.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     Admission::Log { suppressed }
 }
 
-/// A peer goes silent and each tick logs the same line. The operator sees the
-/// first two, then one line a window that tells how many were left out.
+/// While a peer is silent, each tick logs the same message. The log gets the first ones of each
+/// window, and the first of a new window has the number of suppressed messages.
 #[test]
 fn repeats_are_suppressed_and_counted() {
     let mut limit = RateLimit::new(2, SECOND);
