--- a/crates/platform/src/api.rs
+++ b/crates/platform/src/api.rs
@@ -1,4 +1,4 @@
-//! The process's edge towards the platform.
+//! The interface to the platform.
 
 use std::future::Future;
 
@@ -7,38 +7,37 @@
 use crate::error::PlatformError;
 use crate::request::{CommitAnswer, CommitRequest, ReadAnswer, ReadRequest};
 
-/// The table service and the object store.
+/// Client of the platform's table and object store.
 ///
-/// Every method may fail with any [`PlatformError`]. After
-/// [`PlatformError::Unknown`] a write may have taken effect, or may still take
-/// effect later; nothing but a read that finds its traces can tell.
+/// Every method may fail with any [`PlatformError`]. After [`PlatformError::Unknown`] a write may
+/// have taken effect, or may still take effect later; only a read that finds the written data can
+/// tell.
 ///
-/// The futures are not `Send`: an ntex worker runs them on its own thread.
+/// The futures are not `Send`, since an ntex worker runs them on its own thread.
 pub trait Platform {
-    /// Reads rows and ranges in one consistent view.
+    /// Reads rows and ranges of rows in one consistent view.
     fn read(&self, req: ReadRequest) -> impl Future<Output = Result<ReadAnswer, PlatformError>>;
 
-    /// Writes all rows if all conditions hold, else none.
+    /// Applies all writes if all conditions hold, or none of them.
     fn commit(
         &self,
         req: CommitRequest,
     ) -> impl Future<Output = Result<CommitAnswer, PlatformError>>;
 
-    /// The object under `name`; [`PlatformError::NotFound`] where there is
-    /// none.
+    /// Returns the object with this name, or [`PlatformError::NotFound`] if there is none.
     fn get_object(&self, name: &str) -> impl Future<Output = Result<Vec<u8>, PlatformError>>;
 
-    /// Stores an object, in place of an older one of that name.
+    /// Stores an object, replacing an existing one of that name.
     fn put_object(
         &self,
         name: &str,
         bytes: Vec<u8>,
     ) -> impl Future<Output = Result<(), PlatformError>>;
 
-    /// Deletes an object; an absent one counts as deleted.
+    /// Deletes an object. To delete an absent object is not an error.
     fn delete_object(&self, name: &str) -> impl Future<Output = Result<(), PlatformError>>;
 
-    /// The names that start with `prefix`, in order.
+    /// Returns the names of the objects that start with `prefix`, in order.
     fn list_objects(
         &self,
         prefix: &str,
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -1,51 +1,50 @@
-//! Why the platform gave no answer.
+//! Errors of requests to the platform.
 
 use std::fmt;
 use std::time::Duration;
 
 use smol_str::SmolStr;
 
-/// Why the platform gave no answer, told apart by what the caller may do next.
+/// Error of a request to the platform. The variants differ in what the caller may do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformError {
-    /// The request was certainly not carried out and never will be: it was not
-    /// sent, or the platform refused it. Trying again is safe.
+    /// The request was not executed and never will be, since it was not sent or the platform
+    /// refused it. A retry is safe.
     Unavailable {
-        /// What stood in the way.
+        /// Cause of the failure.
         reason: SmolStr,
-        /// When the platform asked to come back, where it said so.
+        /// Time after which to retry, if the platform stated one.
         retry_after: Option<Duration>,
     },
-    /// The request was certainly not carried out, since this client or the
-    /// whole service is over its limit.
+    /// The request was not executed, since this client or the whole service is over its limit.
     Throttled {
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Duration,
     },
-    /// No answer came after the request may have been sent: a write may have
-    /// taken effect, and may even take effect later.
+    /// The request may have been sent, but no answer arrived. A write may have taken effect, or may
+    /// still take effect later.
     Unknown {
-        /// What went wrong.
+        /// Cause of the failure.
         reason: SmolStr,
     },
-    /// An answer came that makes no sense. Nothing is known about a write.
+    /// The answer was invalid. Whether a write took effect is not known.
     BadAnswer {
-        /// What was wrong with it.
+        /// What is wrong with the answer.
         reason: SmolStr,
     },
-    /// The platform refused the request itself as malformed or too large; it
-    /// was not carried out, and trying again without a change is futile.
+    /// The request was refused as malformed or too large. It was not executed, and a retry without
+    /// a change would fail again.
     Refused {
-        /// What the platform objects to.
+        /// What is wrong with the request.
         reason: SmolStr,
     },
-    /// There is no such object.
+    /// There is no object with the requested name.
     NotFound,
 }
 
 impl PlatformError {
-    /// Whether a write that ended with this error certainly did not and will
-    /// not take effect.
+    /// Returns whether a write that ended with this error certainly did not and will not take
+    /// effect.
     #[must_use]
     pub fn is_not_done(&self) -> bool {
         match self {
@@ -57,7 +56,7 @@
         }
     }
 
-    /// When the platform asked to come back.
+    /// Returns the time after which the platform asked to retry.
     #[must_use]
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
--- a/crates/platform/src/fault.rs
+++ b/crates/platform/src/fault.rs
@@ -1,17 +1,17 @@
-//! Faults that a stand-in for the platform can be told to have.
+//! Faults that can be injected into a stand-in for the platform.
 
 use std::time::Duration;
 
 use smol_str::SmolStr;
 
-/// The part of the platform that has a fault.
+/// Part of the platform that a fault affects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Service {
-    /// Only the table.
+    /// The table.
     Table,
-    /// Only the object store.
+    /// The object store.
     Objects,
-    /// Both.
+    /// The table and the object store.
     All,
 }
 
@@ -21,73 +21,73 @@
     }
 }
 
-/// What goes wrong.
+/// Kind of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// Every request is refused without being carried out.
+    /// Every request is refused without being executed.
     Down,
-    /// Every request waits before it is carried out.
+    /// Every request is delayed before it is executed.
     Slow,
-    /// Requests are carried out, and the connection ends without an answer.
+    /// Requests are executed, and the connection is closed without an answer.
     LoseAnswers,
-    /// Requests are held until the fault ends and are carried out then, as by
-    /// a process that was frozen: a write lands long after its caller gave up.
+    /// Requests are held until the fault ends and then executed, as by a process that was
+    /// suspended: a write takes effect long after its caller has timed out.
     Pause,
 }
 
-/// One fault, bounded in time.
+/// A fault with the time at which it ends.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// The part that has it.
+    /// Part of the platform that the fault affects.
     pub service: Service,
-    /// The availability zone whose callers see it; everyone where absent.
+    /// Availability zone whose callers are affected; all callers if absent.
     pub zone: Option<SmolStr>,
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// How long a request waits under [`FaultKind::Slow`], and how long an
-    /// answer is withheld before the connection ends under
-    /// [`FaultKind::LoseAnswers`].
+    /// Delay of a request under [`FaultKind::Slow`], or the time from the execution of a request
+    /// until its connection is closed under [`FaultKind::LoseAnswers`].
     pub delay: Duration,
-    /// When it ends, as time since start.
+    /// End of the fault, as a time since the start of the stand-in.
     pub until: Duration,
 }
 
-/// What becomes of one request.
+/// Combined effect of the active faults on one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Verdict {
-    /// Refuse it without carrying it out.
+    /// Whether to refuse the request without executing it.
     pub refuse: bool,
-    /// Wait this long before carrying it out.
+    /// Time to wait before the request is executed.
     pub delay: Duration,
-    /// Carry it out, wait this long, and end the connection with no answer.
+    /// If present, time to wait after the request was executed before its connection is closed
+    /// without an answer.
     pub lose_answer: Option<Duration>,
 }
 
-/// The faults that are set.
+/// The set of injected faults.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
     faults: Vec<Fault>,
 }
 
 impl Faults {
-    /// Adds a fault to those that are set.
+    /// Adds a fault.
     pub fn add(&mut self, fault: Fault) {
         self.faults.push(fault);
     }
 
-    /// Ends every fault.
+    /// Removes all faults.
     pub fn clear(&mut self) {
         self.faults.clear();
     }
 
-    /// Those not over at `now`; the others are forgotten.
+    /// Removes the faults that have ended at `now` and returns the others.
     pub fn active(&mut self, now: Duration) -> &[Fault] {
         self.faults.retain(|fault| fault.until > now);
         &self.faults
     }
 
-    /// What becomes of a request that arrives at `now`. Of several faults,
-    /// each has its effect; the longest delay counts.
+    /// Returns the combined effect of all active faults on a request that arrives at `now`. The
+    /// longest delay before its execution applies.
     pub fn verdict(&mut self, now: Duration, service: Service, zone: &str) -> Verdict {
         let mut verdict = Verdict::default();
         for fault in self.active(now) {
--- a/crates/platform/src/http/mod.rs
+++ b/crates/platform/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP.
+//! Client of the platform's service over HTTP.
 
 mod outcome;
 
@@ -25,12 +25,12 @@
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 const DEFAULT_CONNECTIONS: usize = 8;
 
-/// An idle connection is closed by us before the platform closes it. A request
-/// that is sent just as the other end hangs up is lost with its answer, and a
-/// write would end as "unknown" for nothing.
+/// Time after which the client closes an idle connection. It is meant to do so before the platform
+/// does: a request that is sent while the other end closes the connection is lost, and a write then
+/// needlessly ends as [`PlatformError::Unknown`].
 const KEEP_ALIVE: Seconds = Seconds(10);
 
-/// Builds an [`HttpPlatform`].
+/// Builder of an [`HttpPlatform`].
 #[derive(Clone, Debug)]
 pub struct HttpPlatformBuilder {
     addr: SocketAddr,
@@ -41,35 +41,35 @@
 }
 
 impl HttpPlatformBuilder {
-    /// Longest time from sending a request to the end of its answer; 2 s by
-    /// default. A longer one waits out a slow platform, a shorter one turns
-    /// more answers into [`PlatformError::Unknown`].
+    /// Sets the longest time from sending a request to the end of its answer; 2 s by default. A
+    /// longer one tolerates a slower platform, while a shorter one makes more requests end with
+    /// [`PlatformError::Unknown`].
     #[must_use]
     pub fn timeout(mut self, timeout: Duration) -> Self {
         self.timeout = timeout;
         self
     }
 
-    /// Longest time to open a connection; 500 ms by default. What it cuts off
-    /// was never sent, hence ends as [`PlatformError::Unavailable`].
+    /// Sets the longest time to open a connection; 500 ms by default. Requests that exceed it were
+    /// not sent and so end with [`PlatformError::Unavailable`].
     #[must_use]
     pub fn connect_timeout(mut self, timeout: Duration) -> Self {
         self.connect_timeout = timeout;
         self
     }
 
-    /// Connections at a time; 8 by default. Requests beyond wait for one.
+    /// Sets the largest number of connections; 8 by default. Further requests wait for a free one.
     #[must_use]
     pub fn connections(mut self, connections: usize) -> Self {
         self.connections = connections;
         self
     }
 
-    /// Builds the client; no connection is opened yet.
+    /// Builds the client without opening a connection.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::Unavailable`] if the client cannot be set up.
+    /// [`PlatformError::Unavailable`] if the client can't be set up.
     pub async fn build(self) -> Result<HttpPlatform, PlatformError> {
         let connector = Connector::new()
             .limit(self.connections)
@@ -93,10 +93,10 @@
     }
 }
 
-/// A client of the platform's service.
+/// A client of the platform's service over HTTP.
 ///
-/// It sends each request once. Whether to try again is decided by the pure
-/// code that knows what the request was for.
+/// It sends each request once. Whether to retry is decided by the code that knows the purpose of
+/// the request.
 pub struct HttpPlatform {
     client: Client,
     addr: SocketAddr,
@@ -114,18 +114,18 @@
     }
 }
 
-/// One request before it is sent.
+/// An HTTP request to be sent.
 struct Outgoing {
     method: Method,
     path: String,
     body: Vec<u8>,
-    /// Bytes of an answer that are still read.
+    /// Largest body of the answer, in bytes.
     limit: usize,
 }
 
 impl HttpPlatform {
-    /// Starts to build a client of the platform at `addr`, for a caller in
-    /// this availability zone.
+    /// Creates a builder of a client for the platform at `addr`, used by a caller in availability
+    /// zone `zone`.
     #[must_use]
     pub fn builder(addr: SocketAddr, zone: impl Into<SmolStr>) -> HttpPlatformBuilder {
         HttpPlatformBuilder {
@@ -137,7 +137,7 @@
         }
     }
 
-    /// What was asked so far.
+    /// Returns the numbers of requests and bytes so far.
     #[must_use]
     pub fn usage(&self) -> Usage {
         self.usage.get()
@@ -146,7 +146,7 @@
     async fn send(&self, out: Outgoing) -> Result<Bytes, PlatformError> {
         let result = match timeout(millis(self.timeout), self.exchange(out)).await {
             Ok(result) => result,
-            // The request may have left before time ran out.
+            // The request may have been sent before the timeout.
             Err(()) => Err(unknown("timeout")),
         };
         if result.is_err() {
@@ -161,21 +161,21 @@
             .client
             .request(out.method.clone(), url)
             .header(header::ZONE, self.zone.as_str());
-        let sent = self.client_lines(&out) + header_bytes(req.headers()) + out.body.len();
+        let sent = self.implicit_header_bytes(&out) + header_bytes(req.headers()) + out.body.len();
         self.usage.update(|usage| usage.bytes_sent += sent as u64);
         let res = req.send_body(out.body).await.map_err(from_client_error)?;
         let body = res.body().limit(out.limit).timeout(Millis::ZERO).await;
         let body = body.map_err(|e| unknown(format_smolstr!("answer cut short: {e}")))?;
-        let received = STATUS_LINE + header_bytes(res.headers()) + body.len();
+        let received = STATUS_LINE_BYTES + header_bytes(res.headers()) + body.len();
         self.usage
             .update(|usage| usage.bytes_received += received as u64);
         from_status(&res, &body)?;
         Ok(body)
     }
 
-    /// Bytes of the request line and of the headers that the library adds when
-    /// it sends; they are not among those of the request yet.
-    fn client_lines(&self, out: &Outgoing) -> usize {
+    /// Size of the request line and of the headers that `ntex` adds when it sends the request,
+    /// which the request's own headers don't include.
+    fn implicit_header_bytes(&self, out: &Outgoing) -> usize {
         const FIXED: usize = "  HTTP/1.1\r\ncontent-length: \r\nhost: \r\n\
             date: Wed, 02 Dec 2026 18:00:00 GMT\r\n\r\n"
             .len();
@@ -217,7 +217,7 @@
         };
         let body = self.send(out).await?;
         let answer = wire::decode_read_answer(&body).map_err(|e| bad_answer(&e))?;
-        // An answer of another shape would be read as if rows were absent.
+        // With fewer items than requested, rows would appear to be absent.
         if (answer.rows.len(), answer.ranges.len()) != shape {
             return Err(PlatformError::BadAnswer {
                 reason: "the answer has other items than the request".into(),
@@ -270,14 +270,15 @@
     }
 }
 
-/// Object names go into a URL as they are, hence the small alphabet.
+/// Returns whether `name` is valid as the name of an object. Names are put into a URL without
+/// escaping, hence the small set of characters.
 fn is_object_name(name: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || "/_.-".contains(c);
     !name.is_empty() && name.len() <= MAX_KEY && name.chars().all(allowed)
 }
 
-/// Bytes of an answer's first line and of the empty line after its headers.
-const STATUS_LINE: usize = "HTTP/1.1 200 OK\r\n\r\n".len();
+/// Size of an answer's status line and of the empty line after its headers, in bytes.
+const STATUS_LINE_BYTES: usize = "HTTP/1.1 200 OK\r\n\r\n".len();
 
 fn header_bytes(headers: &ntex::http::HeaderMap) -> usize {
     const SEPARATORS: usize = ": \r\n".len();
--- a/crates/platform/src/http/outcome.rs
+++ b/crates/platform/src/http/outcome.rs
@@ -1,4 +1,4 @@
-//! Sorts what can go wrong by whether the request may have been carried out.
+//! Maps failures to errors by whether the request may have been executed.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::error::PlatformError;
 use crate::wire::{WireError, header};
 
-/// When to come back after a 429 that doesn't say.
+/// Time after which to retry after a 429 that states none.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 pub(super) fn unavailable(reason: SmolStr) -> PlatformError {
@@ -32,12 +32,12 @@
     }
 }
 
-/// Sorts the client's errors into "never sent" and "maybe sent".
+/// Maps errors of the HTTP client by whether the request may have been sent.
 ///
-/// The client reports a connection that ended while it waited for the answer
-/// as `Connect(Disconnected(None))`, as if it had never connected. Taking it
-/// for a failed connect would turn a write that took effect into "not done",
-/// and the retry into a duplicate; a failed connect has a cause.
+/// The client reports a connection that ended while it waited for the answer as
+/// `Connect(Disconnected(None))`, as if it had never connected; a failed connect has a cause
+/// instead of `None`. If the former were taken for a failed connect, a write that took effect would
+/// be reported as not done, and a retry would do it twice.
 pub(super) fn from_client_error(e: ClientError) -> PlatformError {
     match e {
         ClientError::Connect(ConnectError::Disconnected(None)) => {
@@ -51,8 +51,9 @@
     }
 }
 
-/// Sorts the statuses: only those by which the service itself says that it
-/// did nothing count as not done; a 500 or a gateway's 502 tells nothing.
+/// Maps the status of an answer to an error, if it is none of success. Only statuses by which the
+/// service itself states that it did nothing count as not done; after a 500 or a gateway's 502, the
+/// request may have been executed.
 pub(super) fn from_status(res: &ClientResponse, body: &[u8]) -> Result<(), PlatformError> {
     let status = res.status();
     if status.is_success() {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,15 +1,14 @@
-//! What stoatstep asks of the platform: a transactional table and an object
-//! store, both of which go away at times.
+//! Interface to the platform that stoatstep runs on: a transactional table and an object store,
+//! both of which can be temporarily unavailable.
 //!
-//! [`Platform`] is the process's edge: decision code elsewhere only builds a
-//! [`ReadRequest`] or a [`CommitRequest`] and is told the answer. Two things
-//! implement it. [`HttpPlatform`] speaks to the service over HTTP, and
-//! [`MemoryPlatform`] keeps everything in this process for tests. Both share
-//! [`Table`], which the stand-in program serves too, so that a test in memory
-//! and a run of real processes mean the same by "conflict".
+//! The [`Platform`] trait does the I/O; decision code elsewhere only builds a [`ReadRequest`] or a
+//! [`CommitRequest`] and receives the answer. [`HttpPlatform`] implements the trait with a service
+//! over HTTP, and [`MemoryPlatform`] with data in this process, for tests. [`MemoryPlatform`] and
+//! the stand-in program of the platform both use [`Table`], so that conflicts are the same in a
+//! test in memory and in a run of real processes.
 //!
-//! The errors tell "certainly not done" from "may have been done", since that
-//! is the difference between a retry and a duplicate. See
+//! [`PlatformError`] distinguishes requests that certainly had no effect from those that may have
+//! had one: to retry the former is safe, to retry the latter may do the same thing twice. See
 //! `docs/operators/platform.md`.
 
 mod api;
--- a/crates/platform/src/limit.rs
+++ b/crates/platform/src/limit.rs
@@ -1,12 +1,12 @@
-//! Limits on operations a second.
+//! A limit on the number of operations per second.
 
 use std::time::Duration;
 
-/// A token bucket that holds one second's worth of operations.
+/// A token bucket that holds the operations of one second.
 ///
-/// A request that needs several tokens may take the bucket below zero, and
-/// later ones wait until the debt is paid. Otherwise a transaction over more
-/// rows than the bucket holds could never run at all.
+/// A request that needs several tokens may take the bucket below zero, and later ones then wait
+/// until it is refilled. Otherwise a transaction over more rows than the bucket holds could never
+/// run.
 #[derive(Clone, Debug)]
 pub struct RateLimit {
     per_second: u32,
@@ -15,7 +15,7 @@
 }
 
 impl RateLimit {
-    /// A full bucket for this many operations a second.
+    /// Creates a full bucket for this many operations per second.
     #[must_use]
     pub fn new(per_second: u32) -> Self {
         Self {
@@ -25,11 +25,12 @@
         }
     }
 
-    /// Takes `count` tokens at `now` (time since start).
+    /// Takes `count` tokens at `now`, a time since an arbitrary fixed start. It succeeds if at
+    /// least one token is available.
     ///
     /// # Errors
     ///
-    /// The time until a token is there, if there is none now.
+    /// The time until a token is available, if there is none now.
     pub fn take(&mut self, now: Duration, count: u32) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens < 1.0 {
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -1,4 +1,4 @@
-//! A platform in this process's memory, with faults by script.
+//! A platform in the memory of this process, with scripted faults.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -14,42 +14,42 @@
 use crate::table::Table;
 use crate::usage::{Usage, UsageCounters};
 
-/// The kinds of request that can be given a fault.
+/// Kind of a request to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// [`Platform::read`].
+    /// A call of [`Platform::read`].
     Read,
-    /// [`Platform::commit`].
+    /// A call of [`Platform::commit`].
     Commit,
-    /// [`Platform::get_object`].
+    /// A call of [`Platform::get_object`].
     GetObject,
-    /// [`Platform::put_object`].
+    /// A call of [`Platform::put_object`].
     PutObject,
-    /// [`Platform::delete_object`].
+    /// A call of [`Platform::delete_object`].
     DeleteObject,
-    /// [`Platform::list_objects`].
+    /// A call of [`Platform::list_objects`].
     ListObjects,
 }
 
-/// What becomes of a request that was given a fault.
+/// Scripted outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// As if there were no fault; lets a later request have the next one.
+    /// The request succeeds, so that a scripted fault applies to a later request.
     Pass,
-    /// Refused, not carried out.
+    /// The request is refused and not executed.
     Unavailable,
-    /// Refused for being over the limit, not carried out.
+    /// The request is refused as over the limit and not executed.
     Throttled(Duration),
-    /// Carried out, and the answer is lost.
+    /// The request is executed, but its answer is lost.
     LoseAnswer,
-    /// Lost on its way: never carried out, and the caller can't know.
+    /// The request is lost and never executed, which the caller can't tell from a lost answer.
     LoseRequest,
-    /// The caller sees no answer now; the request is carried out when
-    /// [`MemoryPlatform::land_delayed`] is called. Only writes can be late.
+    /// The caller gets no answer, and the request is executed when
+    /// [`MemoryPlatform::land_delayed`] is called. Only writes can be delayed.
     Delay,
 }
 
-enum Late {
+enum DelayedWrite {
     Commit(CommitRequest),
     Put(SmolStr, Vec<u8>),
     Delete(SmolStr),
@@ -60,11 +60,11 @@
     table: Table,
     objects: Objects,
     script: VecDeque<(Operation, Outcome)>,
-    late: VecDeque<Late>,
+    delayed: VecDeque<DelayedWrite>,
     down: bool,
 }
 
-/// A table and objects in memory, shared by all clones.
+/// A platform in memory. Clones share its table and objects.
 #[derive(Clone, Default)]
 pub struct MemoryPlatform {
     shared: Rc<RefCell<Shared>>,
@@ -78,63 +78,61 @@
 }
 
 impl MemoryPlatform {
-    /// An empty platform without faults.
+    /// Creates an empty platform without faults.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Gives the next request of this kind that has no outcome yet this one.
+    /// Scripts the outcome of the next request of this kind that has none yet.
     pub fn script(&self, operation: Operation, outcome: Outcome) {
         let mut shared = self.shared.borrow_mut();
         shared.script.push_back((operation, outcome));
     }
 
-    /// Refuses everything while `down`.
+    /// Sets whether all requests are refused.
     pub fn set_down(&self, down: bool) {
         self.shared.borrow_mut().down = down;
     }
 
-    /// Carries out the oldest request that was delayed. Answers false if none
-    /// was.
+    /// Executes the oldest delayed write. Returns false if there is none.
     #[must_use]
     pub fn land_delayed(&self) -> bool {
         let mut shared = self.shared.borrow_mut();
-        let Some(late) = shared.late.pop_front() else {
+        let Some(delayed) = shared.delayed.pop_front() else {
             return false;
         };
-        match late {
-            Late::Commit(req) => {
+        match delayed {
+            DelayedWrite::Commit(req) => {
                 shared.table.commit(req);
             }
-            Late::Put(name, bytes) => shared.objects.put(name, bytes),
-            Late::Delete(name) => shared.objects.delete(&name),
+            DelayedWrite::Put(name, bytes) => shared.objects.put(name, bytes),
+            DelayedWrite::Delete(name) => shared.objects.delete(&name),
         }
         true
     }
 
-    /// Lets a test look into the table or change rows behind everyone's back.
+    /// Gives a test direct access to the table, to inspect or change rows without a request.
     pub fn with_table<T>(&self, f: impl FnOnce(&mut Table) -> T) -> T {
         f(&mut self.shared.borrow_mut().table)
     }
 
-    /// Lets a test look into the objects or damage them.
+    /// Gives a test direct access to the objects, to inspect or damage them.
     pub fn with_objects<T>(&self, f: impl FnOnce(&mut Objects) -> T) -> T {
         f(&mut self.shared.borrow_mut().objects)
     }
 
-    /// What was asked so far; bytes are not counted.
+    /// Returns the numbers of requests so far. Bytes are not counted.
     #[must_use]
     pub fn usage(&self) -> Usage {
         self.usage.get()
     }
 
-    /// Runs a request under whatever fault it was given. A delayed read is a
-    /// lost one.
+    /// Executes a request with its scripted outcome. A read that is delayed counts as lost.
     fn run<T>(
         &self,
         operation: Operation,
-        late: Option<Late>,
+        delayed: Option<DelayedWrite>,
         apply: impl FnOnce(&mut Shared) -> Result<T, PlatformError>,
     ) -> Result<T, PlatformError> {
         let mut shared = self.shared.borrow_mut();
@@ -151,7 +149,7 @@
             }
             Outcome::LoseRequest => Err(lost()),
             Outcome::Delay => {
-                shared.late.extend(late);
+                shared.delayed.extend(delayed);
                 Err(lost())
             }
         }
@@ -184,8 +182,8 @@
 
     async fn commit(&self, req: CommitRequest) -> Result<CommitAnswer, PlatformError> {
         self.usage.update(|usage| usage.commits += 1);
-        let late = Late::Commit(req.clone());
-        self.run(Operation::Commit, Some(late), |shared| {
+        let delayed = DelayedWrite::Commit(req.clone());
+        self.run(Operation::Commit, Some(delayed), |shared| {
             Ok(shared.table.commit(req))
         })
     }
@@ -200,8 +198,8 @@
 
     async fn put_object(&self, name: &str, bytes: Vec<u8>) -> Result<(), PlatformError> {
         self.usage.update(|usage| usage.object_writes += 1);
-        let late = Late::Put(name.into(), bytes.clone());
-        self.run(Operation::PutObject, Some(late), |shared| {
+        let delayed = DelayedWrite::Put(name.into(), bytes.clone());
+        self.run(Operation::PutObject, Some(delayed), |shared| {
             shared.objects.put(name.into(), bytes);
             Ok(())
         })
@@ -209,8 +207,8 @@
 
     async fn delete_object(&self, name: &str) -> Result<(), PlatformError> {
         self.usage.update(|usage| usage.object_writes += 1);
-        let late = Late::Delete(name.into());
-        self.run(Operation::DeleteObject, Some(late), |shared| {
+        let delayed = DelayedWrite::Delete(name.into());
+        self.run(Operation::DeleteObject, Some(delayed), |shared| {
             shared.objects.delete(name);
             Ok(())
         })
--- a/crates/platform/src/objects.rs
+++ b/crates/platform/src/objects.rs
@@ -1,23 +1,23 @@
-//! The object store, without any transport.
+//! An object store in memory, independent of any transport.
 
 use std::collections::BTreeMap;
 
 use smol_str::SmolStr;
 
-/// Named blobs; the last one stored under a name stays.
+/// Named binary objects. Storing an object replaces the previous one of that name.
 #[derive(Clone, Debug, Default)]
 pub struct Objects {
     objects: BTreeMap<SmolStr, Vec<u8>>,
 }
 
 impl Objects {
-    /// The object under `name`.
+    /// Returns the object with this name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         self.objects.get(name).map(Vec::as_slice)
     }
 
-    /// Stores an object in place of an older one.
+    /// Stores an object, replacing an existing one of that name.
     pub fn put(&mut self, name: SmolStr, bytes: Vec<u8>) {
         self.objects.insert(name, bytes);
     }
@@ -27,7 +27,7 @@
         self.objects.remove(name);
     }
 
-    /// The names that start with `prefix`, in order.
+    /// Returns the names that start with `prefix`, in order.
     #[must_use]
     pub fn list(&self, prefix: &str) -> Vec<SmolStr> {
         self.objects
--- a/crates/platform/src/request.rs
+++ b/crates/platform/src/request.rs
@@ -1,102 +1,102 @@
-//! What is asked of the table, and what it answers.
+//! Requests to the table and its answers.
 
 use smol_str::SmolStr;
 
-/// Key of a row; keys order bytewise.
+/// Key of a row. Keys are ordered bytewise.
 pub type RowKey = SmolStr;
 
-/// Number of a commit, counted over the whole table from 1. It only grows, so
-/// a row that was deleted and written again never has an older number.
+/// Number of a commit, counted over the whole table from 1. It only grows, so a row that was
+/// deleted and written again never has an older revision.
 pub type TableRevision = u64;
 
-/// A row as it was read.
+/// A row of the table with the revision at which it was written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Row {
     /// Key of the row.
     pub key: RowKey,
-    /// The commit that wrote the row.
+    /// Revision of the commit that wrote the row.
     pub revision: TableRevision,
-    /// What the writer put there.
+    /// Value of the row.
     pub value: Vec<u8>,
 }
 
-/// The rows from `start` (included) to `end` (excluded).
+/// A read of the rows from `start` (included) to `end` (excluded).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RangeRead {
-    /// First key.
+    /// First key of the range.
     pub start: RowKey,
-    /// First key that is no longer wanted.
+    /// First key after the range.
     pub end: RowKey,
-    /// Rows at most; the first ones by key.
+    /// Largest number of rows to return; the first ones by key are returned.
     pub limit: usize,
 }
 
-/// Rows to read, all in one consistent view.
+/// Rows and ranges of rows to read in one consistent view.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReadRequest {
-    /// Single rows.
+    /// Keys of single rows.
     pub gets: Vec<RowKey>,
     /// Ranges of rows.
     pub ranges: Vec<RangeRead>,
 }
 
-/// What a [`ReadRequest`] found, in its order.
+/// Answer to a [`ReadRequest`], in the order of its keys and ranges.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ReadAnswer {
-    /// For each of the gets, the row if there is one.
+    /// The row of each key of [`ReadRequest::gets`], if there is one.
     pub rows: Vec<Option<Row>>,
-    /// For each of the ranges, its rows by key.
+    /// The rows of each range, ordered by key.
     pub ranges: Vec<Vec<Row>>,
 }
 
-/// What has to be so for a commit to happen.
+/// A condition for a transaction to be committed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Condition {
     /// No row has this key.
     Absent(RowKey),
     /// A row has this key.
     Exists(RowKey),
-    /// The row was last written by this commit.
+    /// A row has this key and was last written by this commit.
     AtRevision(RowKey, TableRevision),
 }
 
-/// One row's change.
+/// A change of one row.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Write {
-    /// Writes the row, new or in place of the old one.
+    /// Inserts the row or replaces its value.
     Put {
         /// Key of the row.
         key: RowKey,
-        /// Its new value.
+        /// New value of the row.
         value: Vec<u8>,
     },
-    /// Deletes the row; an absent one stays absent.
+    /// Deletes the row, if there is one.
     Delete {
         /// Key of the row.
         key: RowKey,
     },
 }
 
-/// A transaction: all writes if all conditions hold, else nothing.
+/// A transaction, which applies all writes if all conditions hold, or none of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct CommitRequest {
-    /// What has to be so.
+    /// Conditions that must all hold.
     pub conditions: Vec<Condition>,
-    /// What is written then.
+    /// Writes that are applied together.
     pub writes: Vec<Write>,
 }
 
-/// How a transaction ended.
+/// Outcome of a transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitAnswer {
-    /// It happened, as this commit.
+    /// The transaction was committed.
     Committed {
-        /// Revision that the written rows now have.
+        /// Revision of the commit, which the written rows now have.
         revision: TableRevision,
     },
-    /// It did not happen.
+    /// The transaction was not committed, since conditions did not hold.
     Conflict {
-        /// Positions of the conditions that did not hold.
+        /// Positions in the request of the conditions that did not hold.
         failed: Vec<usize>,
     },
 }
--- a/crates/platform/src/table.rs
+++ b/crates/platform/src/table.rs
@@ -1,4 +1,4 @@
-//! The rows and their transactions, without any transport.
+//! A transactional table in memory, independent of any transport.
 
 use std::collections::BTreeMap;
 
@@ -21,13 +21,13 @@
 }
 
 impl Table {
-    /// The last commit's number; 0 before the first.
+    /// Returns the revision of the last commit, or 0 before the first.
     #[must_use]
     pub fn revision(&self) -> TableRevision {
         self.revision
     }
 
-    /// Reads rows and ranges as of now.
+    /// Reads rows and ranges at the current revision.
     #[must_use]
     pub fn read(&self, req: &ReadRequest) -> ReadAnswer {
         ReadAnswer {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Carries out a transaction, or names the conditions that failed.
+    /// Commits a transaction, or returns which of its conditions did not hold.
     pub fn commit(&mut self, req: CommitRequest) -> CommitAnswer {
         let failed = self.failed(&req.conditions);
         if !failed.is_empty() {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Every row whose key starts with `prefix`, by key.
+    /// Returns all rows whose keys start with `prefix`, ordered by key.
     pub fn with_prefix(&self, prefix: &str) -> impl Iterator<Item = Row> {
         self.rows
             .range::<str, _>((
@@ -67,8 +67,7 @@
     }
 
     fn range(&self, range: &RangeRead) -> Vec<Row> {
-        // `BTreeMap::range` panics where the start is after the end; such a
-        // range has no rows.
+        // `BTreeMap::range` panics if the start is after the end; such a range has no rows.
         if range.start >= range.end {
             return Vec::new();
         }
--- a/crates/platform/src/usage.rs
+++ b/crates/platform/src/usage.rs
@@ -1,34 +1,34 @@
-//! What a daemon asked of the platform.
+//! Counters of the requests to the platform.
 
 use std::cell::Cell;
 
-/// Requests and bytes since the client was built.
+/// Numbers of requests and bytes since the client was built.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Reads of the table.
+    /// Number of reads of the table.
     pub reads: u64,
-    /// Transactions on the table.
+    /// Number of transactions on the table.
     pub commits: u64,
-    /// Reads of objects and of their names.
+    /// Number of reads of objects and of lists of their names.
     pub object_reads: u64,
-    /// Objects stored or deleted.
+    /// Number of requests to store or delete an object.
     pub object_writes: u64,
-    /// Requests of any kind that ended with an error.
+    /// Number of requests of any kind that ended with an error.
     pub failed: u64,
-    /// Bytes of requests, heads included; TCP's own are not.
+    /// Bytes of requests with their request lines and headers, without the overhead of TCP.
     pub bytes_sent: u64,
-    /// Bytes of answers, heads included; TCP's own are not.
+    /// Bytes of answers with their status lines and headers, without the overhead of TCP.
     pub bytes_received: u64,
 }
 
-/// Counts [`Usage`] through a shared reference, on one thread.
+/// Counters of [`Usage`] that are updated through a shared reference on one thread.
 #[derive(Debug, Default)]
 pub struct UsageCounters {
     usage: Cell<Usage>,
 }
 
 impl UsageCounters {
-    /// The counts so far.
+    /// Returns the current counts.
     #[must_use]
     pub fn get(&self) -> Usage {
         self.usage.get()
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,8 +1,9 @@
-//! What goes over the wire, apart from the types that the code works with.
+//! Encoding of requests and answers between client and platform.
 //!
-//! Requests and answers are `MessagePack` maps. Field names are sent, so that a
-//! field can be added without breaking the other side. Decoding checks sizes:
-//! whatever gets past it can be held in memory.
+//! Requests and answers are `MessagePack` maps with field names, so that a field can be added
+//! without breaking the other side. Their types are separate from those that the code works with.
+//! Decoding checks the lengths of keys and the number of items in a request, so that any decoded
+//! message can be held in memory.
 
 mod table;
 
@@ -15,37 +16,37 @@
 use self::table::{WireCommit, WireCommitAnswer, WireRead, WireReadAnswer};
 use crate::request::{CommitAnswer, CommitRequest, ReadAnswer, ReadRequest};
 
-/// Bytes in the body of a table request or its answer.
+/// Largest body of a table request or its answer, in bytes.
 pub const MAX_BODY: usize = 8 * 1024 * 1024;
-/// Bytes in an object.
+/// Largest object, in bytes.
 pub const MAX_OBJECT: usize = 32 * 1024 * 1024;
-/// Bytes in a row's key or an object's name.
+/// Largest key of a row or name of an object, in bytes.
 pub const MAX_KEY: usize = 512;
-/// Gets and ranges in one read.
+/// Largest number of keys and ranges in one read.
 pub const MAX_READ_ITEMS: usize = 256;
-/// Conditions and writes in one transaction.
+/// Largest number of conditions and writes in one transaction.
 pub const MAX_COMMIT_ITEMS: usize = 2_048;
 
 /// Names of the headers between client and platform.
 pub mod header {
-    /// The caller's availability zone.
+    /// Availability zone of the caller.
     pub const ZONE: &str = "stoatstep-zone";
-    /// Milliseconds until a refused request may be tried again.
+    /// Milliseconds after which a refused request may be retried.
     pub const RETRY_AFTER_MS: &str = "stoatstep-retry-after-ms";
 }
 
-/// Why bytes from the other side were not understood.
+/// Error of decoding a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WireError {
-    /// The bytes are not the expected message.
+    /// The bytes are not a message of the expected type.
     Malformed(SmolStr),
     /// A key is empty or too long.
     BadKey(SmolStr),
-    /// The message asks for too much at once.
+    /// The request has too many items.
     TooMany {
-        /// Items in the message.
+        /// Number of items in the request.
         found: usize,
-        /// Items that are allowed.
+        /// Largest allowed number of items.
         allowed: usize,
     },
 }
@@ -74,17 +75,17 @@
     rmp_serde::from_slice(bytes).map_err(|e| WireError::Malformed(e.to_string().into()))
 }
 
-/// Encodes a read.
+/// Encodes a read request.
 #[must_use]
 pub fn encode_read(req: ReadRequest) -> Vec<u8> {
     encode(&WireRead::from(req))
 }
 
-/// Decodes a read.
+/// Decodes a read request.
 ///
 /// # Errors
 ///
-/// What is wrong with the bytes.
+/// A [`WireError`] if the bytes are not a valid message.
 pub fn decode_read(bytes: &[u8]) -> Result<ReadRequest, WireError> {
     decode::<WireRead>(bytes)?.try_into()
 }
@@ -99,7 +100,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the bytes.
+/// A [`WireError`] if the bytes are not a valid message.
 pub fn decode_read_answer(bytes: &[u8]) -> Result<ReadAnswer, WireError> {
     decode::<WireReadAnswer>(bytes)?.try_into()
 }
@@ -114,22 +115,22 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the bytes.
+/// A [`WireError`] if the bytes are not a valid message.
 pub fn decode_commit(bytes: &[u8]) -> Result<CommitRequest, WireError> {
     decode::<WireCommit>(bytes)?.try_into()
 }
 
-/// Encodes the end of a transaction.
+/// Encodes the answer to a transaction.
 #[must_use]
 pub fn encode_commit_answer(answer: CommitAnswer) -> Vec<u8> {
     encode(&WireCommitAnswer::from(answer))
 }
 
-/// Decodes the end of a transaction.
+/// Decodes the answer to a transaction.
 ///
 /// # Errors
 ///
-/// What is wrong with the bytes.
+/// A [`WireError`] if the bytes are not a valid message.
 pub fn decode_commit_answer(bytes: &[u8]) -> Result<CommitAnswer, WireError> {
     decode::<WireCommitAnswer>(bytes)?.try_into()
 }
@@ -144,7 +145,7 @@
 ///
 /// # Errors
 ///
-/// What is wrong with the bytes.
+/// A [`WireError`] if the bytes are not a valid message.
 pub fn decode_names(bytes: &[u8]) -> Result<Vec<SmolStr>, WireError> {
     decode(bytes)
 }
--- a/crates/platform/src/wire/table.rs
+++ b/crates/platform/src/wire/table.rs
@@ -1,4 +1,4 @@
-//! Wire types of the table's requests and answers.
+//! Encoded types of the table's requests and answers.
 
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
@@ -84,7 +84,7 @@
 
     fn try_from(wire: WireRow) -> Result<Self, WireError> {
         Ok(Self {
-            key: checked(wire.key)?,
+            key: check_key(wire.key)?,
             revision: wire.revision,
             value: wire.value,
         })
@@ -109,8 +109,8 @@
     type Error = WireError;
 
     fn try_from(wire: WireRead) -> Result<Self, WireError> {
-        within(wire.gets.len() + wire.ranges.len(), MAX_READ_ITEMS)?;
-        // The bounds of a range are not keys: the end may be any text.
+        check_count(wire.gets.len() + wire.ranges.len(), MAX_READ_ITEMS)?;
+        // The bounds of a range are not check_key as keys, since the end may be any text.
         let range = |range: WireRange| RangeRead {
             start: range.start,
             end: range.end,
@@ -120,7 +120,7 @@
             gets: wire
                 .gets
                 .into_iter()
-                .map(checked)
+                .map(check_key)
                 .collect::<Result<_, _>>()?,
             ranges: wire.ranges.into_iter().map(range).collect(),
         })
@@ -173,9 +173,9 @@
 
     fn try_from(wire: WireCondition) -> Result<Self, WireError> {
         Ok(match wire {
-            WireCondition::Absent(key) => Self::Absent(checked(key)?),
-            WireCondition::Exists(key) => Self::Exists(checked(key)?),
-            WireCondition::AtRevision(key, revision) => Self::AtRevision(checked(key)?, revision),
+            WireCondition::Absent(key) => Self::Absent(check_key(key)?),
+            WireCondition::Exists(key) => Self::Exists(check_key(key)?),
+            WireCondition::AtRevision(key, revision) => Self::AtRevision(check_key(key)?, revision),
         })
     }
 }
@@ -195,10 +195,12 @@
     fn try_from(wire: WireWrite) -> Result<Self, WireError> {
         Ok(match wire {
             WireWrite::Put { key, value } => Self::Put {
-                key: checked(key)?,
+                key: check_key(key)?,
                 value,
             },
-            WireWrite::Delete { key } => Self::Delete { key: checked(key)? },
+            WireWrite::Delete { key } => Self::Delete {
+                key: check_key(key)?,
+            },
         })
     }
 }
@@ -216,7 +218,7 @@
     type Error = WireError;
 
     fn try_from(wire: WireCommit) -> Result<Self, WireError> {
-        within(wire.conditions.len() + wire.writes.len(), MAX_COMMIT_ITEMS)?;
+        check_count(wire.conditions.len() + wire.writes.len(), MAX_COMMIT_ITEMS)?;
         let conditions = wire.conditions.into_iter().map(TryInto::try_into);
         let writes = wire.writes.into_iter().map(TryInto::try_into);
         Ok(Self {
@@ -254,14 +256,14 @@
     }
 }
 
-fn checked(key: SmolStr) -> Result<SmolStr, WireError> {
+fn check_key(key: SmolStr) -> Result<SmolStr, WireError> {
     if key.is_empty() || key.len() > MAX_KEY {
         return Err(WireError::BadKey(key));
     }
     Ok(key)
 }
 
-fn within(found: usize, allowed: usize) -> Result<(), WireError> {
+fn check_count(found: usize, allowed: usize) -> Result<(), WireError> {
     if found > allowed {
         return Err(WireError::TooMany { found, allowed });
     }
--- a/crates/platform/tests/answers.rs
+++ b/crates/platform/tests/answers.rs
@@ -1,5 +1,4 @@
-//! What the client makes of answers that a real service would never give, or
-//! gives only in part.
+//! Tests of how the client handles invalid, truncated and failed answers.
 
 use std::io::{Read, Write as _};
 use std::net::{SocketAddr, TcpListener};
@@ -11,9 +10,8 @@
     encode_commit_answer, encode_read_answer,
 };
 
-/// Answers one request with these bytes and closes. The request is read to its
-/// end first: a client whose connection ends while it still sends has no ear
-/// for the answer.
+/// Answers one request with these bytes and closes the connection. The whole request is read first,
+/// since a client whose connection ends while it still sends does not read the answer.
 fn answer_with(bytes: Vec<u8>) -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -21,7 +19,7 @@
         let (mut stream, _) = listener.accept().unwrap();
         let mut received = Vec::new();
         let mut buf = [0; 4096];
-        while !is_whole(&received) {
+        while !is_complete(&received) {
             let read = stream.read(&mut buf).unwrap();
             assert!(read > 0);
             received.extend_from_slice(&buf[..read]);
@@ -31,7 +29,7 @@
     (addr, server)
 }
 
-fn is_whole(received: &[u8]) -> bool {
+fn is_complete(received: &[u8]) -> bool {
     let text = String::from_utf8_lossy(received).to_lowercase();
     let Some((head, _)) = text.split_once("\r\n\r\n") else {
         return false;
@@ -74,8 +72,8 @@
 
 #[ntex::test]
 async fn an_answer_cut_short_is_unknown() {
-    // The connection ends in the middle of the body. The commit happened; a
-    // client that took the rest for garbage or for "failed" might repeat it.
+    // The connection ends in the middle of the body. The commit took effect, and a client that
+    // treated it as failed might repeat it.
     let body = committed();
     let result = commit(response("200 OK", body.len() + 5, &body)).await;
     let error = result.unwrap_err();
@@ -84,9 +82,8 @@
 
 #[ntex::test]
 async fn only_the_services_own_refusals_count_as_not_done() {
-    // A 500, or a gateway's 502 or 504, may follow a commit that happened. The
-    // statuses by which the service says that it did nothing are 429, 503 and
-    // the client errors.
+    // A 500, or a gateway's 502 or 504, may follow a commit that took effect. The statuses by which
+    // the service states that it did nothing are 429, 503 and the client errors.
     for status in ["500 Error", "502 Bad Gateway", "504 Gateway Timeout"] {
         let error = commit(response(status, 0, b"")).await.unwrap_err();
         assert!(!error.is_not_done(), "{status}: {error}");
@@ -106,8 +103,8 @@
 
 #[ntex::test]
 async fn an_answer_of_another_shape_is_bad() {
-    // One row was asked for and the answer has none: taken as it is, the row
-    // would look absent, and a writer would start the log anew.
+    // One row was requested and the answer has no entry for it. If the client accepted that, the
+    // row would appear to be absent, and a writer would start a new log.
     let body = encode_read_answer(ReadAnswer::default());
     let (addr, server) = answer_with(response("200 OK", body.len(), &body));
     let req = ReadRequest {
--- a/crates/platform/tests/table.rs
+++ b/crates/platform/tests/table.rs
@@ -1,4 +1,4 @@
-//! The table's decoders and limits, which need no transport.
+//! Tests of the decoding of table messages and of the rate limit.
 
 use std::time::Duration;
 
@@ -69,7 +69,7 @@
             passed += 1;
         }
     }
-    // One second's worth at the start, and two seconds of refill.
+    // The bucket starts with the tokens of one second and is refilled for two seconds.
     assert!((28..=30).contains(&passed), "{passed} passed");
 }
 
