--- a/crates/standin-platform/src/admin.rs
+++ b/crates/standin-platform/src/admin.rs
@@ -1,5 +1,5 @@
-//! Requests that switch faults and look inside; the real platform has none of
-//! them, and no part of stoatstep uses them but tests and measurements.
+//! Handlers of admin requests, which inject faults and inspect the state. The real platform has
+//! none of them, and only tests and measurements use them.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::request::bad_request;
 use crate::standin::Standin;
 
-/// A fault lasts no longer than this, so that a test that died leaves no
-/// broken stand-in behind.
+/// Longest duration of a fault, so that a test that was aborted does not leave a faulty stand-in
+/// behind.
 const MAX_FAULT: Duration = Duration::from_hours(1);
 
-/// Longest delay of a slow service.
+/// Longest delay of a request or answer under a fault.
 const MAX_DELAY: Duration = Duration::from_mins(1);
 
-/// Stands for every availability zone.
+/// Value of `zone` that stands for all availability zones.
 const EVERY_ZONE: &str = "*";
 
 /// Body of `POST /admin/fault`, and an item of `GET /admin/faults`.
@@ -31,15 +31,15 @@
     /// `table`, `objects` or `all`.
     #[serde(default = "all")]
     pub service: SmolStr,
-    /// Zone whose callers see it, or `*`.
+    /// Availability zone whose callers are affected, or `*` for all.
     #[serde(default = "every_zone")]
     pub zone: SmolStr,
     /// `down`, `slow`, `lose-answers` or `pause`.
     pub kind: SmolStr,
-    /// Milliseconds of delay for `slow` and `lose-answers`.
+    /// Delay in milliseconds for `slow` and `lose-answers`.
     #[serde(default)]
     pub delay_ms: u64,
-    /// Milliseconds until it ends.
+    /// Time until the fault ends, in milliseconds.
     pub for_ms: u64,
 }
 
@@ -48,9 +48,9 @@
 pub struct RowWire {
     /// Key of the row.
     pub key: SmolStr,
-    /// The commit that wrote it.
+    /// Revision of the commit that wrote the row.
     pub revision: u64,
-    /// Its value in hexadecimal.
+    /// Value of the row in hexadecimal.
     pub value: String,
 }
 
@@ -59,7 +59,7 @@
 pub struct ObjectWire {
     /// Name of the object.
     pub name: SmolStr,
-    /// Its size.
+    /// Size of the object in bytes.
     pub bytes: usize,
 }
 
@@ -72,7 +72,7 @@
 }
 
 impl FaultWire {
-    /// The fault that starts `now`, or everything that is wrong with it.
+    /// Returns the fault that starts at `now`, or the list of all invalid values.
     fn fault(&self, now: Duration) -> Result<Fault, String> {
         let mut findings = Vec::new();
         let service = service(&self.service).map_err(|e| findings.push(e)).ok();
@@ -139,7 +139,7 @@
     }
 }
 
-/// `POST /admin/fault`
+/// Handles `POST /admin/fault`.
 pub(crate) async fn set_fault(wire: Json<FaultWire>, standin: State<Standin>) -> HttpResponse {
     match wire.fault(standin.now()) {
         Ok(fault) => {
@@ -150,7 +150,7 @@
     }
 }
 
-/// `GET /admin/faults`
+/// Handles `GET /admin/faults`.
 pub(crate) async fn faults(standin: State<Standin>) -> HttpResponse {
     let now = standin.now();
     let wire: Vec<FaultWire> = standin
@@ -163,18 +163,18 @@
     HttpResponse::Ok().json(&wire)
 }
 
-/// `DELETE /admin/faults`
+/// Handles `DELETE /admin/faults`.
 pub(crate) async fn clear_faults(standin: State<Standin>) -> HttpResponse {
     standin.lock().faults.clear();
     HttpResponse::NoContent().finish()
 }
 
-/// `GET /admin/counts`
+/// Handles `GET /admin/counts`.
 pub(crate) async fn counts(standin: State<Standin>) -> HttpResponse {
     HttpResponse::Ok().json(&standin.counts())
 }
 
-/// `GET /admin/rows?prefix=`
+/// Handles `GET /admin/rows?prefix=`.
 pub(crate) async fn rows(query: Query<Prefix>, standin: State<Standin>) -> HttpResponse {
     let inner = standin.lock();
     let rows = inner.table.with_prefix(&query.prefix);
@@ -182,7 +182,7 @@
     HttpResponse::Ok().json(&wire)
 }
 
-/// `GET /admin/objects?prefix=`
+/// Handles `GET /admin/objects?prefix=`.
 pub(crate) async fn objects(query: Query<Prefix>, standin: State<Standin>) -> HttpResponse {
     let inner = standin.lock();
     let names = inner.objects.list(&query.prefix);
@@ -200,7 +200,7 @@
     fn of(row: &Row) -> Self {
         let mut value = String::with_capacity(row.value.len() * 2);
         for byte in &row.value {
-            // Writing into a string cannot fail.
+            // Writing into a string can't fail.
             let _ = write!(value, "{byte:02x}");
         }
         Self {
--- a/crates/standin-platform/src/counts.rs
+++ b/crates/standin-platform/src/counts.rs
@@ -1,4 +1,4 @@
-//! What callers asked, by availability zone.
+//! Counters of requests by availability zone.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,10 +6,11 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Zones told apart; whoever sends made-up names can't grow the table.
+/// Largest number of zones that are counted separately, so that callers with invented names can't
+/// make the table grow.
 const MAX_ZONES: usize = 64;
 
-/// Where the zones beyond the bound are counted.
+/// Name under which all zones beyond the bound are counted.
 const OTHER_ZONES: &str = "other";
 
 /// Whether a request reads or writes.
@@ -19,45 +20,45 @@
     Write,
 }
 
-/// How much a request asks for.
+/// Size of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Size {
-    /// Rows, ranges or objects.
+    /// Number of rows, ranges or objects.
     pub(crate) items: usize,
-    /// Bytes of its body.
+    /// Size of the body in bytes.
     pub(crate) bytes: usize,
 }
 
-/// What one availability zone asked, or all of them together.
+/// Counters of the requests of one availability zone, or of all zones together.
 ///
-/// Requests count when they arrive, whatever becomes of them, since a storm of
-/// refused requests is a storm.
+/// Requests are counted when they arrive, whatever their outcome, since refused requests are a load
+/// too.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneCounts {
-    /// Reads of the table or of objects.
+    /// Number of reads of the table or of objects.
     pub reads: u64,
-    /// Rows, ranges and objects that these reads asked for, which is what the
-    /// limit a second counts.
+    /// Number of rows, ranges and objects requested by these reads, which count against the limit
+    /// per second.
     #[serde(default)]
     pub items_read: u64,
-    /// Writes to the table or of objects.
+    /// Number of writes to the table or of objects.
     pub writes: u64,
-    /// Rows and objects that these writes touch.
+    /// Number of rows and objects changed by these writes.
     #[serde(default)]
     pub items_written: u64,
-    /// Of these, refused for the limit a second.
+    /// Number of requests refused because of the limit per second.
     pub throttled: u64,
-    /// Of these, refused by a fault.
+    /// Number of requests refused because of a fault.
     pub refused: u64,
-    /// Of these, carried out with the answer lost.
+    /// Number of requests that were executed but whose answer was lost because of a fault.
     pub lost_answers: u64,
-    /// Bytes in bodies of requests.
+    /// Total size of the bodies of requests in bytes.
     pub bytes_in: u64,
-    /// Bytes in bodies of answers.
+    /// Total size of the bodies of answers in bytes.
     pub bytes_out: u64,
-    /// Most reads within one second of the clock.
+    /// Largest number of reads within one second of the clock.
     pub peak_reads: u64,
-    /// Most writes within one second of the clock.
+    /// Largest number of writes within one second of the clock.
     pub peak_writes: u64,
     #[serde(skip)]
     second: Second,
@@ -101,13 +102,13 @@
 pub struct CountsReport {
     /// Milliseconds since the program started.
     pub uptime_ms: u64,
-    /// All zones together.
+    /// Counters of all zones together.
     pub total: ZoneCounts,
-    /// Each zone that ever asked.
+    /// Counters of each zone that sent a request.
     pub zones: BTreeMap<SmolStr, ZoneCounts>,
 }
 
-/// Counts by zone.
+/// Counters of requests, in total and by zone.
 #[derive(Debug, Default)]
 pub(crate) struct Counts {
     total: ZoneCounts,
--- a/crates/standin-platform/src/lib.rs
+++ b/crates/standin-platform/src/lib.rs
@@ -1,11 +1,9 @@
-//! A stand-in for the platform: the transactional table and the object store,
-//! in memory, over HTTP, with faults that can be switched on while it runs.
+//! A stand-in for the platform: a server with a transactional table and an object store in memory,
+//! into which faults can be injected while it runs.
 //!
-//! The rows, their transactions and the object store are those of
-//! `stoatstep_platform`, which tests in memory use too. This crate adds what
-//! only a process has: limits a second, counts by availability zone, and
-//! faults that callers see as the real service's. See
-//! `docs/operators/platform.md`.
+//! The table and the object store are those of `stoatstep_platform`, which tests in memory use too.
+//! This crate adds an HTTP server, limits per second, counts by availability zone, and faults that
+//! look to callers like those of the real service. See `docs/operators/platform.md`.
 
 mod admin;
 mod counts;
--- a/crates/standin-platform/src/objects.rs
+++ b/crates/standin-platform/src/objects.rs
@@ -1,4 +1,4 @@
-//! Requests to the object store.
+//! Handlers of requests to the object store.
 
 use ntex::util::Bytes;
 use ntex::web::types::{Path, Query, State};
@@ -11,14 +11,14 @@
 use crate::request::{Done, Work, bad_request, serve};
 use crate::standin::Standin;
 
-/// Query of a list of names or rows.
+/// Query string of a request for a list of names or rows.
 #[derive(Debug, Deserialize)]
 pub(crate) struct Prefix {
     #[serde(default)]
     pub(crate) prefix: SmolStr,
 }
 
-/// `GET /objects?prefix=`
+/// Handles `GET /objects?prefix=`.
 pub(crate) async fn list(
     req: HttpRequest,
     query: Query<Prefix>,
@@ -31,7 +31,7 @@
     .await
 }
 
-/// `GET /objects/{name}`
+/// Handles `GET /objects/{name}`.
 pub(crate) async fn get(
     req: HttpRequest,
     name: Path<SmolStr>,
@@ -45,7 +45,7 @@
     .await
 }
 
-/// `PUT /objects/{name}`
+/// Handles `PUT /objects/{name}`.
 pub(crate) async fn put(
     req: HttpRequest,
     name: Path<SmolStr>,
@@ -64,7 +64,7 @@
     .await
 }
 
-/// `DELETE /objects/{name}`
+/// Handles `DELETE /objects/{name}`.
 pub(crate) async fn delete(
     req: HttpRequest,
     name: Path<SmolStr>,
--- a/crates/standin-platform/src/request.rs
+++ b/crates/standin-platform/src/request.rs
@@ -1,4 +1,4 @@
-//! The way of every request: admission, waiting, work, answer.
+//! Processing of requests: admission, delay, execution and answer.
 
 use std::future::pending;
 use std::time::Duration;
@@ -14,10 +14,10 @@
 use crate::counts::Access;
 use crate::standin::{Arrival, Decision, Inner, Standin};
 
-/// Zone of a caller that names none.
+/// Zone under which callers that name none are counted.
 const NO_ZONE: &str = "none";
 
-/// Where a request goes and what it costs.
+/// Service that a request goes to, and its cost.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Work {
     pub(crate) service: Service,
@@ -26,7 +26,7 @@
     pub(crate) bytes: usize,
 }
 
-/// How the work ended.
+/// Result of executing a request.
 #[derive(Debug)]
 pub(crate) enum Done {
     Body(Vec<u8>),
@@ -34,7 +34,7 @@
     NotFound,
 }
 
-/// Carries out `run` under the faults that are set.
+/// Executes a request with `run`, subject to the limits and the active faults.
 pub(crate) async fn serve<F>(
     req: HttpRequest,
     standin: &Standin,
@@ -55,29 +55,28 @@
     };
     match standin.admit(arrival) {
         Decision::Refuse { retry_after } => {
-            come_back(HttpResponse::ServiceUnavailable(), retry_after)
+            refuse_with_retry_after(HttpResponse::ServiceUnavailable(), retry_after)
         }
         Decision::Throttle { retry_after } => {
-            come_back(HttpResponse::TooManyRequests(), retry_after)
+            refuse_with_retry_after(HttpResponse::TooManyRequests(), retry_after)
         }
         Decision::Run { delay, lose_answer } => {
-            let done = run_after(standin, delay, run).await;
+            let done = execute_after(standin, delay, run).await;
             if let Some(withheld) = lose_answer {
                 sleep(withheld).await;
-                return end_connection(&req).await;
+                return close_connection(&req).await;
             }
             answer(standin, &zone, done)
         }
     }
 }
 
-/// Runs the work after a delay.
+/// Executes a request after a delay.
 ///
-/// The server drops a request's future when its caller hangs up. A real
-/// service that is slow or frozen still carries out what reached it, long
-/// after the caller gave up; that late write is what the delay is for, so the
-/// work goes on in a task of its own.
-async fn run_after<F>(standin: &Standin, delay: Duration, run: F) -> Done
+/// The server drops the future of a request when its caller closes the connection. A real service
+/// that is slow or suspended still executes requests that reached it, long after their callers have
+/// timed out. The delay simulates such late writes, so the execution runs in a task of its own.
+async fn execute_after<F>(standin: &Standin, delay: Duration, run: F) -> Done
 where
     F: FnOnce(&mut Inner) -> Done + 'static,
 {
@@ -89,18 +88,18 @@
     spawn(async move {
         sleep(delay).await;
         let done = run(&mut standin.lock());
-        // Nobody may be waiting any more.
+        // The receiver is gone if the caller has closed its connection.
         let _ = tx.send(done);
     });
     match rx.await {
         Ok(done) => done,
-        // The task was dropped because the program ends.
+        // The task was dropped, because the program ends.
         Err(_) => pending().await,
     }
 }
 
-/// Ends the connection with no answer to this request.
-async fn end_connection(req: &HttpRequest) -> HttpResponse {
+/// Closes the connection without an answer to this request.
+async fn close_connection(req: &HttpRequest) -> HttpResponse {
     if let Some(io) = req.io() {
         io.terminate();
     }
@@ -120,9 +119,12 @@
     }
 }
 
-/// Both refusals promise that the request was not carried out and never will
-/// be.
-fn come_back(mut res: ntex::web::HttpResponseBuilder, after: Duration) -> HttpResponse {
+/// Completes a refusal with the time after which to retry. Both statuses that it is used with state
+/// that the request was not executed and never will be.
+fn refuse_with_retry_after(
+    mut res: ntex::web::HttpResponseBuilder,
+    after: Duration,
+) -> HttpResponse {
     let millis = after.as_millis() + 1;
     let seconds = millis.div_ceil(1_000);
     res.header(RETRY_AFTER, seconds.to_string())
@@ -130,7 +132,7 @@
         .finish()
 }
 
-/// Refuses a request that makes no sense.
+/// Refuses an invalid request.
 pub(crate) fn bad_request(reason: impl Into<String>) -> HttpResponse {
     HttpResponse::BadRequest().body(reason.into())
 }
--- a/crates/standin-platform/src/server.rs
+++ b/crates/standin-platform/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server around the stand-in.
+//! The HTTP server of the stand-in.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,44 +16,45 @@
 use crate::standin::Standin;
 use crate::{admin, objects, table};
 
-/// Idle connections stay open this long: well above the client's own bound, so
-/// that a connection ends by the client's decision and not under a request.
+/// Time after which an idle connection is closed. It is well above the client's own timeout, so
+/// that the client closes the connection first and no request is lost to a connection that is
+/// closing.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
-/// Longest time for a request's head to come in.
+/// Longest time to receive the request line and headers of a request.
 const HEAD_TIMEOUT: Seconds = Seconds(10);
 
-/// Bytes of a request's head.
+/// Largest size of the request line and headers of a request, in bytes.
 const HEAD_LIMIT: usize = 16 << 10;
 
-/// Headers of a request.
+/// Largest number of headers of a request.
 const MAX_HEADERS: usize = 32;
 
-/// Largest body of an admin request.
+/// Largest body of an admin request, in bytes.
 const ADMIN_BODY_LIMIT: usize = 16 << 10;
 
-/// Connections at a time; a fleet of 610 daemons with 8 each fits.
+/// Largest number of connections, enough for 610 daemons with 8 connections each.
 const MAX_CONNECTIONS: usize = 8_192;
 
-/// Requests under way have this long to end once the program is told to stop.
+/// Longest time to wait for running requests after the program was told to stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How often a stopping server looks whether all requests have ended, and how
-/// long it leaves the last answer to get out.
+/// Interval at which a stopping server checks whether all requests have ended, and the time that it
+/// then leaves for the last answer to be sent.
 const STOP_POLL: Millis = Millis(20);
 
-/// What the stand-in needs to start.
+/// Options of the stand-in.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where to listen.
+    /// Address to listen on.
     pub addr: SocketAddr,
-    /// Rows and objects that may be read in a second, each for itself.
+    /// Number of rows, and of objects, that may be read per second; each has a limit of its own.
     pub reads_per_second: u32,
-    /// Rows and objects that may be written in a second, each for itself.
+    /// Number of rows, and of objects, that may be written per second; each has a limit of its own.
     pub writes_per_second: u32,
 }
 
-/// A server that listens.
+/// A running server.
 #[derive(Debug)]
 pub struct Running {
     server: Server,
@@ -61,16 +62,16 @@
 }
 
 impl Running {
-    /// Serves until SIGTERM or SIGINT, and then until the requests under way
-    /// are answered or a few seconds have passed.
+    /// Waits for SIGTERM or SIGINT, and then until the running requests are answered or a few
+    /// seconds have passed.
     ///
-    /// Left to itself, the library cuts the requests under way some 0.4 s
-    /// after the signal; a caller would see its write end as "unknown". So the
-    /// signal is taken here, and the server is stopped once it has no work.
+    /// By default, `ntex` aborts running requests about 0.4 s after the signal, and the outcome of
+    /// their writes would be unknown to the callers. The signal is therefore handled here, and the
+    /// server is stopped once no request is running.
     ///
     /// # Errors
     ///
-    /// The server failed.
+    /// If the server fails.
     pub async fn ended(self) -> io::Result<()> {
         System::current().enable_signals();
         spawn(stop_on_signal(self.server.clone(), self.standin));
@@ -85,7 +86,7 @@
             break;
         }
     }
-    // No new connection is accepted from here on.
+    // The server accepts no new connections from here on.
     server.pause().await;
     let stopping = Instant::now();
     while !standin.is_idle() && stopping.elapsed() < STOP_TIMEOUT {
@@ -95,11 +96,11 @@
     server.stop(true).await;
 }
 
-/// Starts listening.
+/// Starts the server.
 ///
 /// # Errors
 ///
-/// The address cannot be bound.
+/// If the address can't be bound.
 pub fn serve(options: &Options) -> io::Result<Running> {
     let standin = Standin::new(options);
     let http = HttpServiceConfig::new()
--- a/crates/standin-platform/src/standin.rs
+++ b/crates/standin-platform/src/standin.rs
@@ -1,4 +1,4 @@
-//! All that the program holds, and what becomes of a request.
+//! State of the stand-in and the admission of requests.
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -9,21 +9,21 @@
 use crate::counts::{Access, Counts, CountsReport, Size};
 use crate::server::Options;
 
-/// Hint to come back while the service is down.
+/// Time after which to retry, as sent to callers while the service is down.
 const RETRY_WHEN_DOWN: Duration = Duration::from_millis(500);
 
-/// A request, as far as admission is concerned.
+/// Properties of a request that its admission depends on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrival<'a> {
     pub(crate) service: Service,
     pub(crate) zone: &'a str,
     pub(crate) access: Access,
-    /// Operations that it counts as against the limit a second.
+    /// Number of operations that the request counts against the limit per second.
     pub(crate) cost: usize,
     pub(crate) bytes: usize,
 }
 
-/// What becomes of a request.
+/// Decision about an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Decision {
     Refuse {
@@ -61,7 +61,7 @@
     }
 }
 
-/// What the requests work on.
+/// State that requests read and change.
 #[derive(Debug)]
 pub(crate) struct Inner {
     pub(crate) table: Table,
@@ -72,7 +72,7 @@
     counts: Counts,
 }
 
-/// The stand-in's state, shared by all of its connections.
+/// The stand-in. Clones share its state.
 #[derive(Clone, Debug)]
 pub(crate) struct Standin {
     inner: Arc<Mutex<Inner>>,
@@ -80,7 +80,7 @@
     started: Instant,
 }
 
-/// Counts a request as under way until it is dropped.
+/// Guard that counts a request as running until it is dropped.
 #[derive(Debug)]
 pub(crate) struct InFlight(Arc<AtomicUsize>);
 
@@ -107,24 +107,24 @@
         }
     }
 
-    /// Time since start.
+    /// Returns the time since the start of the program.
     pub(crate) fn now(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Counts a request for as long as the guard lives.
+    /// Counts a request as running until the returned guard is dropped.
     pub(crate) fn begin(&self) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         InFlight(Arc::clone(&self.in_flight))
     }
 
-    /// Whether no request is under way.
+    /// Returns whether no request is running.
     pub(crate) fn is_idle(&self) -> bool {
         self.in_flight.load(Ordering::Relaxed) == 0
     }
 
-    /// Nothing that is done under the lock panics halfway through a change, so
-    /// a poisoned lock still guards whole data.
+    /// Locks the state. A poisoned lock is ignored, since no code panics halfway through a change
+    /// while it holds the lock, and the state stays consistent.
     pub(crate) fn lock(&self) -> MutexGuard<'_, Inner> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/standin-platform/src/table.rs
+++ b/crates/standin-platform/src/table.rs
@@ -1,4 +1,4 @@
-//! Requests to the table.
+//! Handlers of requests to the table.
 
 use ntex::util::Bytes;
 use ntex::web::types::State;
@@ -11,7 +11,7 @@
 use crate::request::{Done, Work, bad_request, serve};
 use crate::standin::Standin;
 
-/// `POST /table/read`
+/// Handles `POST /table/read`.
 pub(crate) async fn read(req: HttpRequest, body: Bytes, standin: State<Standin>) -> HttpResponse {
     if body.len() > MAX_BODY {
         return HttpResponse::PayloadTooLarge().finish();
@@ -32,7 +32,7 @@
     .await
 }
 
-/// `POST /table/commit`
+/// Handles `POST /table/commit`.
 pub(crate) async fn commit(req: HttpRequest, body: Bytes, standin: State<Standin>) -> HttpResponse {
     if body.len() > MAX_BODY {
         return HttpResponse::PayloadTooLarge().finish();
--- a/crates/standin-platform/tests/service.rs
+++ b/crates/standin-platform/tests/service.rs
@@ -1,5 +1,5 @@
-//! The client against the stand-in over TCP: what a caller is told about a
-//! request, and what became of it.
+//! Tests of the client with the stand-in over TCP: the result that a caller gets, compared with the
+//! effect of its request.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener};
@@ -136,10 +136,9 @@
 
 #[ntex::test]
 async fn down_means_not_done() {
-    // The caller is refused with a time to come back, and the row is not
-    // there afterwards. "Down" is the one fault after which a writer may
-    // simply try again, so it must never have let the write through. It holds
-    // for one zone only; the other goes on.
+    // The caller is refused with a time after which to retry, and the row does not exist
+    // afterwards. "Down" is the one fault after which a writer may simply retry, so the write must
+    // not have taken effect. The fault applies to one zone only; the other is not affected.
     let addr = start();
     let cut_off = client(addr, "a").await;
     let other = client(addr, "b").await;
@@ -161,9 +160,8 @@
 
 #[ntex::test]
 async fn a_lost_answer_is_unknown_though_the_write_is_there() {
-    // The service commits, and the connection ends before the answer. The
-    // client library reports that as a failed connect; a writer that took it
-    // for "not done" would write twice.
+    // The service commits, and the connection ends before the answer. The HTTP library reports that
+    // as a failed connect; a writer that treated it as not done would write twice.
     let addr = start();
     let platform = client(addr, "a").await;
     set_fault(
@@ -179,9 +177,9 @@
 
 #[ntex::test]
 async fn a_paused_service_writes_after_the_caller_gave_up() {
-    // The caller's time runs out and it reads that the row is absent; then the
-    // service wakes and carries out what had reached it. Absence after
-    // "unknown" therefore proves nothing.
+    // The caller times out and reads that the row is absent; then the service resumes and executes
+    // the request that had reached it. After an unknown outcome, an absent row therefore proves
+    // nothing.
     let addr = start();
     let paused = client(addr, "a").await;
     let other = client(addr, "b").await;
@@ -199,8 +197,8 @@
 
 #[ntex::test]
 async fn a_connection_that_ends_during_a_request_is_unknown() {
-    // A service dies after it read the request: its connection ends with no
-    // byte of an answer. Whether the request took effect can't be known.
+    // A service fails after it read the request, and its connection ends without any byte of an
+    // answer. Whether the request took effect can't be known.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     let server = std::thread::spawn(move || {
--- a/crates/standin-platform/tests/version_log.rs
+++ b/crates/standin-platform/tests/version_log.rs
@@ -1,4 +1,4 @@
-//! The version log over TCP, against a platform at fault.
+//! Tests of the version log over TCP with a faulty platform.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -89,9 +89,9 @@
 
 #[ntex::test]
 async fn lost_answers_end_in_one_version() {
-    // Every answer of the table is lost for a while, after its effect. The
-    // writer can't even read back; once answers come again it finds its own
-    // change and says so.
+    // For a while, the table executes requests but all its answers are lost, also those to the
+    // reads with which the writer looks for its change. Once answers arrive again, it finds the
+    // change and reports it.
     let addr = start();
     let log = log(addr, "a", 1).await;
     let fault = serde_json::json!({"service": "table", "kind": "lose-answers", "for_ms": 400});
@@ -104,9 +104,9 @@
 
 #[ntex::test]
 async fn a_write_that_wakes_late_lands_once() {
-    // The platform freezes for callers of one zone. The writer's requests pile
-    // up unanswered and are all carried out when it wakes, the old transaction
-    // among them. Then the same operation comes from another zone.
+    // The platform is suspended for callers of one zone. The writer's requests stay unanswered and
+    // are all executed when the platform resumes, also the old transaction. Then the same operation
+    // is sent from another zone.
     let addr = start();
     let frozen = log(addr, "a", 1).await;
     let other = log(addr, "b", 2).await;
@@ -134,8 +134,8 @@
 
 #[ntex::test]
 async fn many_operators_pass_within_the_platforms_limit() {
-    // Eight operators at eight daemons write five changes each at once, 120
-    // rows in all, and every one loses the head to the others again and again.
+    // Eight operators at eight daemons write five changes each at the same time, 120 rows in all,
+    // and their writes conflict with each other at the head of the log again and again.
     let addr = start();
     let started = Instant::now();
     let operators: Vec<_> = (0..8)
