--- a/crates/standin-target/src/answer.rs
+++ b/crates/standin-target/src/answer.rs
@@ -1,5 +1,4 @@
-//! The body of an answer, from which a caller can tell that it is whole and
-//! its own.
+//! The body of an answer, which lets a caller check that it is complete and belongs to its request.
 
 use std::fmt;
 
@@ -7,40 +6,41 @@
 use smol_str::SmolStr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// An answer's body.
+/// Body of an answer.
 ///
-/// The marker comes from the request, so that a mixed-up answer is seen; the
-/// checksum covers every other field, so that a shortened one is seen too.
+/// The marker comes from the request, so that an answer to another request is detected. The
+/// checksum covers all other fields, so that a truncated or changed answer is detected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Answer {
-    /// What the request carried in `stoat-marker`, or else its path.
+    /// Marker of the request: its header `stoat-marker`, or else its body if that is a short text,
+    /// or else its path.
     pub marker: SmolStr,
     /// Name of the target that ran the call.
     pub target: SmolStr,
-    /// Number of the run within the target's process.
+    /// Number of the run in the target's process.
     pub run: u64,
-    /// As many bytes as the request asked for with `?bytes=n`.
+    /// Padding of the size that the request asked for with `?bytes=n`.
     pub padding: String,
-    /// Checksum over all other fields, in hexadecimal.
+    /// Checksum of all other fields in hexadecimal.
     pub checksum: String,
 }
 
-/// Why a body is not the answer to a request.
+/// Error of checking the body of an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AnswerError {
-    /// The body is not a whole answer.
+    /// The body is not a complete answer.
     Malformed(String),
-    /// The checksum does not fit the fields.
+    /// The checksum does not match the fields.
     Checksum,
     /// The answer belongs to another request.
     Marker {
-        /// The marker in the answer.
+        /// Marker in the answer.
         found: SmolStr,
     },
-    /// The padding is shorter or longer than asked for.
+    /// The padding does not have the requested size.
     Length {
-        /// Bytes of padding in the answer.
+        /// Size of the padding in the answer, in bytes.
         found: usize,
     },
 }
@@ -59,8 +59,8 @@
 impl std::error::Error for AnswerError {}
 
 impl Answer {
-    /// The answer of `target` to a request, with `bytes` bytes of padding that
-    /// differ from run to run.
+    /// Creates the answer of `target` to a request, with `bytes` bytes of padding that differ
+    /// between runs.
     #[must_use]
     pub fn new(marker: SmolStr, target: SmolStr, run: u64, bytes: usize) -> Self {
         let padding = padding(run, bytes);
@@ -74,13 +74,12 @@
         }
     }
 
-    /// Reads a body that should answer the request with `marker` that asked
-    /// for `bytes` bytes of padding.
+    /// Parses and checks the body of the answer to a request with `marker` that asked for `bytes`
+    /// bytes of padding.
     ///
     /// # Errors
     ///
-    /// Whatever [`AnswerError`] names: the caller did not get its own whole
-    /// answer.
+    /// An [`AnswerError`] if the body is not the complete answer to that request.
     pub fn check(body: &[u8], marker: &str, bytes: usize) -> Result<Self, AnswerError> {
         let answer: Self = serde_json::from_slice(body)
             .map_err(|error| AnswerError::Malformed(error.to_string()))?;
--- a/crates/standin-target/src/behaviour.rs
+++ b/crates/standin-target/src/behaviour.rs
@@ -1,48 +1,48 @@
-//! How the target behaves, and the message that changes it.
+//! The behaviour of the target and the message that changes it.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A run takes this many times as long right after the start.
+/// Factor by which a run takes longer right after the start.
 const COLD_FACTOR: u32 = 4;
 
-/// What `/healthz` says, whatever the truth is.
+/// How `/healthz` reports the state of the target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// The truth at the moment of asking.
+    /// The current state.
     #[default]
     Honest,
-    /// Ready and without load, however full the slots are.
+    /// Always ready and without load, however many slots are in use.
     AlwaysIdle,
-    /// Not ready, though calls run well.
+    /// Never ready, although calls succeed.
     NeverReady,
-    /// The load as it was when somebody asked the time before.
+    /// Ready, with the load at the time of the previous request.
     Lagging,
 }
 
-/// How the target behaves until it is told otherwise.
+/// Behaviour of the target, which a [`BehaviourChange`] can change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Behaviour {
-    /// Calls that run at a time; more are shed.
+    /// Number of calls that run at a time; further calls are shed.
     pub slots: u32,
-    /// Mean time of one run.
+    /// Mean time of a run.
     pub service_time: Duration,
-    /// Runs take the mean plus or minus up to this.
+    /// Largest deviation of the time of a run from the mean.
     pub service_spread: Duration,
-    /// Time after the start in which runs are slower, less and less so.
+    /// Time after the start during which runs are slower, by a factor that falls to one.
     pub cold_start: Duration,
-    /// What `/healthz` says.
+    /// How `/healthz` reports the state of the target.
     pub health: Health,
-    /// Every so many-th answer is cut short; 0 for none.
+    /// Number `n` for which every `n`th answer is truncated; 0 for none.
     pub truncate_every: u64,
-    /// After every so many-th run the connection is dropped instead of
-    /// answered; 0 for none.
+    /// Number `n` for which the connection is closed without an answer after every `n`th run; 0 for
+    /// none.
     pub drop_every: u64,
-    /// Whether runs don't end until this is taken back, so that a test can tell what
-    /// happens beside a run without measuring time.
+    /// Whether runs don't end until this is reset, so that a test can check what happens during a
+    /// run without depending on time.
     pub holds_runs: bool,
 }
 
@@ -62,7 +62,7 @@
 }
 
 impl Behaviour {
-    /// How long run number `run` takes when it begins `age` after the start.
+    /// Returns the time of run number `run` if it starts `age` after the start of the target.
     #[must_use]
     pub fn run_time(&self, run: u64, age: Duration) -> Duration {
         let spread = self.service_spread.min(self.service_time);
@@ -71,7 +71,7 @@
         time.mul_f64(self.cold_factor(age))
     }
 
-    /// Takes over whatever `change` names.
+    /// Applies the values that are present in `change`.
     pub fn apply(&mut self, change: &BehaviourChange) {
         if let Some(millis) = change.service_time_ms {
             self.service_time = Duration::from_secs_f64(millis.max(0.0) / 1e3);
@@ -95,30 +95,30 @@
     }
 }
 
-/// What `POST /admin/behaviour` may change; whatever is absent stays.
+/// Body of `POST /admin/behaviour`. Absent values stay unchanged.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BehaviourChange {
-    /// Calls that run at a time.
+    /// Number of calls that run at a time.
     pub slots: Option<u32>,
-    /// Mean time of one run, in milliseconds.
+    /// Mean time of a run, in milliseconds.
     pub service_time_ms: Option<f64>,
-    /// Spread around the mean, in milliseconds.
+    /// Largest deviation of the time of a run from the mean, in milliseconds.
     pub service_spread_ms: Option<f64>,
-    /// What `/healthz` says.
+    /// How `/healthz` reports the state of the target.
     pub health: Option<Health>,
-    /// Every so many-th answer is cut short.
+    /// Number `n` for which every `n`th answer is truncated.
     pub truncate_every: Option<u64>,
-    /// After every so many-th run the connection is dropped.
+    /// Number `n` for which the connection is closed without an answer after every `n`th run.
     pub drop_every: Option<u64>,
-    /// Whether runs don't end until this is taken back.
+    /// Whether runs don't end until this is reset.
     pub holds_runs: Option<bool>,
-    /// Silences, for good, every connection that is open now.
+    /// Whether to silence all currently open connections for good.
     pub silence_connections: bool,
 }
 
-/// A number in 0..1 that depends on `run` alone, so that two programs with
-/// equal settings take equal times.
+/// Returns a number from 0 to 1 that depends only on `run`, so that two programs with equal
+/// settings have equal run times.
 fn unit_interval(run: u64) -> f64 {
     let bits = u32::try_from(xxh3_64(&run.to_le_bytes()) >> 32).unwrap_or_default();
     f64::from(bits) / f64::from(u32::MAX)
--- a/crates/standin-target/src/ledger.rs
+++ b/crates/standin-target/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What ran: one entry for each intent, attempt and marker.
+//! The ledger of runs, with one entry for each idempotency key, attempt, marker and method.
 
 use std::collections::HashMap;
 use std::fs::{File, OpenOptions};
@@ -8,108 +8,109 @@
 use serde::{Deserialize, Serialize};
 use smol_str::SmolStr;
 
-/// Place of an entry in the ledger.
+/// Index of an entry in the ledger.
 pub(crate) type EntryIndex = usize;
 
-/// What ran under one key, attempt and marker.
+/// The runs of one idempotency key, attempt, marker and method.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The caller's idempotency key; empty where it sent none.
+    /// Idempotency key from the caller; empty if it sent none.
     pub key: SmolStr,
-    /// The daemon's id of the attempt; empty for a direct call.
+    /// Id of the attempt from the daemon; empty for a call without a daemon.
     pub attempt: SmolStr,
-    /// The request's marker.
+    /// Marker of the request.
     pub marker: SmolStr,
-    /// The request's method.
+    /// HTTP method of the request.
     pub method: SmolStr,
-    /// Runs begun. A run counts from its first moment, since it may have had
-    /// effects by the time that it was cancelled.
+    /// Number of started runs. A run counts from its start, since it may have had effects before it
+    /// was cancelled.
     pub count: u64,
-    /// Runs that ended before their time because the connection closed or the
-    /// deadline passed.
+    /// Number of runs that were cancelled because the connection was closed or the deadline passed.
     pub cancelled: u64,
 }
 
-/// Sums over the ledger and what happened beside it.
+/// Counters of runs, refused calls and connections.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Runs begun.
+    /// Number of started runs.
     pub started: u64,
-    /// Runs that reached their end.
+    /// Number of completed runs.
     pub finished: u64,
-    /// Runs that were cancelled.
+    /// Number of cancelled runs.
     pub cancelled: u64,
-    /// Calls refused without running.
+    /// Number of calls refused without running.
     pub shed: u64,
-    /// Runs that go on now.
+    /// Current number of runs.
     pub running: u32,
-    /// The most runs that went on at a time.
+    /// Largest number of simultaneous runs.
     pub running_max: u32,
-    /// Connections open now.
+    /// Current number of open connections.
     pub connections: usize,
-    /// The most connections that were open at a time.
+    /// Largest number of simultaneously open connections.
     pub connections_max: usize,
-    /// When the last run began, in milliseconds since the Unix epoch.
+    /// Start of the last run, in milliseconds since the Unix epoch.
     pub last_start_unix_ms: u64,
 }
 
-/// What identifies an entry.
+/// Identity of an entry of the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) struct Intent {
+pub(crate) struct EntryKey {
     pub(crate) key: SmolStr,
     pub(crate) attempt: SmolStr,
     pub(crate) marker: SmolStr,
     pub(crate) method: SmolStr,
 }
 
-/// The entries, in the order of their first run.
+/// Ledger with its entries in the order of their first run.
 #[derive(Debug, Default)]
 pub(crate) struct Ledger {
     entries: Vec<Entry>,
-    places: HashMap<Intent, EntryIndex>,
+    indexes: HashMap<EntryKey, EntryIndex>,
     file: Option<File>,
 }
 
 impl Ledger {
-    /// A ledger that outlives the process: a test that kills a target must
-    /// still see what ran there before. Each run is written as a JSON line
-    /// before it begins.
+    /// Opens a ledger in a file, which outlives the process, so that a test that kills a target
+    /// still sees what ran there before. Each run is written as a JSON line before it starts.
     pub(crate) fn open(path: &Path) -> io::Result<Self> {
         let mut options = OpenOptions::new();
         let file = options.create(true).append(true).read(true).open(path)?;
         let mut ledger = Self::default();
         for line in BufReader::new(&file).lines() {
-            let intent = serde_json::from_str(&line?)?;
-            ledger.begin(intent);
+            let entry_key = serde_json::from_str(&line?)?;
+            ledger.begin(entry_key);
         }
         ledger.file = Some(file);
         Ok(ledger)
     }
 
-    /// Notes that a run begins.
+    /// Records the start of a run.
     ///
     /// # Panics
     ///
-    /// The file cannot be written. A ledger with gaps would make a call that
-    /// ran look like one that did not, so the target fails instead.
-    pub(crate) fn begin(&mut self, intent: Intent) -> EntryIndex {
+    /// If the file can't be written. With an incomplete ledger, a call that ran would look like one
+    /// that did not, so the target fails instead.
+    pub(crate) fn begin(&mut self, entry_key: EntryKey) -> EntryIndex {
         if let Some(file) = &mut self.file {
-            let line = serde_json::to_string(&intent).expect("plain data always encodes");
+            let line = serde_json::to_string(&entry_key).expect("plain data always encodes");
             file.write_all(format!("{line}\n").as_bytes())
                 .expect("the ledger's file must be writable");
         }
         let entries = &mut self.entries;
-        let index = *self.places.entry(intent).or_insert_with_key(|intent| {
-            entries.push(Entry {
-                key: intent.key.clone(),
-                attempt: intent.attempt.clone(),
-                marker: intent.marker.clone(),
-                method: intent.method.clone(),
-                count: 0,
-                cancelled: 0,
+        let index = *self
+            .indexes
+            .entry(entry_key)
+            .or_insert_with_key(|entry_key| {
+                entries.push(Entry {
+                    key: entry_key.key.clone(),
+                    attempt: entry_key.attempt.clone(),
+                    marker: entry_key.marker.clone(),
+                    method: entry_key.method.clone(),
+                    count: 0,
+                    cancelled: 0,
+                });
+                entries.len() - 1
             });
-            entries.len() - 1
-        });
         entries[index].count += 1;
         index
     }
--- a/crates/standin-target/src/lib.rs
+++ b/crates/standin-target/src/lib.rs
@@ -1,12 +1,11 @@
-//! A stand-in for a target: it runs calls in slots, takes its time, sheds what
-//! does not fit, and writes down what ran.
+//! A stand-in for a target: it runs calls in a limited number of slots for a configured time, sheds
+//! calls beyond the slots, and records what ran in a ledger.
 //!
-//! The ledger is what a test holds against the outcomes that callers were
-//! told: a call refused as "not run" must be absent, a key that is not
-//! idempotent must be there at most once. The behaviour can be changed while
-//! the program runs, so that the failures of `docs/contributing/testing.md`
-//! can be caused at any moment: slow runs, connections that go silent, answers
-//! cut short, connections lost after the run, and health that lies.
+//! A test compares the ledger with the outcomes that callers received: a call refused as "not run"
+//! must be absent, and a key that is not idempotent must be present at most once. The behaviour can
+//! be changed while the program runs, to cause the failures of `docs/contributing/testing.md` at
+//! any moment: slow runs, silent connections, truncated answers, connections lost after the run,
+//! and wrong health reports.
 
 mod answer;
 mod behaviour;
--- a/crates/standin-target/src/server.rs
+++ b/crates/standin-target/src/server.rs
@@ -1,7 +1,7 @@
-//! The HTTP server around a target.
+//! The HTTP server of the target.
 //!
-//! Runs are timed by `futures-timer`: ntex's own timers are rounded up to 16 ms,
-//! which would make a 5 ms run three times as long.
+//! Runs are timed with `futures-timer`, since the timers of `ntex` are rounded up to 16 ms, which
+//! would make a run of 5 ms take three times as long.
 
 use std::error::Error;
 use std::future::pending;
@@ -26,41 +26,40 @@
 
 use crate::answer::Answer;
 use crate::behaviour::{Behaviour, BehaviourChange};
-use crate::ledger::{Intent, Ledger};
+use crate::ledger::{EntryKey, Ledger};
 use crate::target::{Delivery, Run, Target};
 
-/// Largest padding that a request may ask for.
+/// Largest padding that a request may ask for, in bytes.
 const BYTES_LIMIT: usize = 4 << 20;
 
-/// Largest body of an admin request.
+/// Largest body of an admin request, in bytes.
 const ADMIN_BODY_LIMIT: usize = 16 << 10;
 
-/// Idle connections stay open this long. Well above any daemon's own bound, so
-/// that a connection ends by the daemon's decision.
+/// Time after which an idle connection is closed. It is well above the timeout of any daemon, so
+/// that the daemon closes the connection first.
 const KEEP_ALIVE: Seconds = Seconds(75);
 
-/// How often a run that is held looks whether it may end.
-const HOLD_STEP: Duration = Duration::from_millis(5);
+/// Interval at which a held run checks whether it may end.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What a target needs to start.
+/// Options of the target.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where to listen.
+    /// Address to listen on.
     pub addr: SocketAddr,
-    /// Name in answers; the address is a good one.
+    /// Name of the target in its answers, such as its address.
     pub name: SmolStr,
     /// Behaviour at the start.
     pub behaviour: Behaviour,
-    /// File that keeps the ledger over restarts; in memory alone where absent.
+    /// File that keeps the ledger over restarts; if absent, the ledger is only in memory.
     pub ledger: Option<PathBuf>,
 }
 
-/// Starts listening; the returned server runs until it is stopped, and ends
-/// gracefully on SIGTERM.
+/// Starts the server, which runs until it is stopped, and stops gracefully on SIGTERM.
 ///
 /// # Errors
 ///
-/// The address cannot be bound, or the ledger's file cannot be read.
+/// If the address can't be bound or the ledger's file can't be read.
 pub fn serve(options: Options) -> io::Result<Server> {
     let ledger = match &options.ledger {
         Some(path) => Ledger::open(path)?,
@@ -91,48 +90,48 @@
 }
 
 async fn call(req: HttpRequest, body: Bytes, target: State<Target>) -> HttpResponse {
-    let silent = Silence::watch(&req, &target);
-    silent.hold().await;
+    let connection = ConnectionWatch::watch(&req, &target);
+    connection.block_if_silent().await;
     let deadline = deadline(&req);
     if deadline == Some(Duration::ZERO) {
         target.shed();
         return shed();
     }
     let marker = marker(&req, &body);
-    let intent = Intent {
+    let entry_key = EntryKey {
         key: header(&req, "idempotency-key"),
         attempt: header(&req, "stoatstep-attempt"),
         marker: marker.clone(),
         method: req.method().as_str().into(),
     };
-    let Some(run) = target.begin(intent) else {
+    let Some(run) = target.begin(entry_key) else {
         return shed();
     };
-    let answer = Answer::new(marker, target.name(), run.number, bytes_asked(&req));
+    let answer = Answer::new(marker, target.name(), run.number, requested_padding(&req));
     let delivery = match deadline {
-        Some(limit) if limit < run.time => return cut_at_deadline(run, limit).await,
+        Some(limit) if limit < run.time => return cancel_at_deadline(run, limit).await,
         _ => {
-            spend(run.time).await;
+            wait_for(run.time).await;
             while target.holds_runs() {
-                Delay::new(HOLD_STEP).await;
+                Delay::new(HOLD_POLL_INTERVAL).await;
             }
             run.finish()
         }
     };
-    silent.hold().await;
+    connection.block_if_silent().await;
     deliver(&req, &answer, delivery).await
 }
 
-/// Even a timer of no time takes a detour over its own thread, which would show
-/// where only the way to the target is measured.
-async fn spend(time: Duration) {
+/// Waits for the time of a run. No timer is started for a time of zero, since its detour over the
+/// timer's thread would distort measurements of the latency without a run.
+async fn wait_for(time: Duration) {
     if !time.is_zero() {
         Delay::new(time).await;
     }
 }
 
-/// Nobody waits for an answer after the deadline, so the run ends there.
-async fn cut_at_deadline(run: Run, limit: Duration) -> HttpResponse {
+/// Cancels a run at its deadline, after which nobody waits for its answer.
+async fn cancel_at_deadline(run: Run, limit: Duration) -> HttpResponse {
     Delay::new(limit).await;
     drop(run);
     HttpResponse::GatewayTimeout().finish()
@@ -161,21 +160,21 @@
     }
 }
 
-/// Announces the whole length, sends half and fails, which closes the
-/// connection.
+/// Builds an answer that states the full length of its body, but fails after half of it, which
+/// closes the connection.
 fn truncated(mut body: Vec<u8>) -> HttpResponse {
     let length = body.len() as u64;
     body.truncate(body.len() / 2);
-    let stream = SizedStream::new(length, CutShort(Some(body.into())));
+    let stream = SizedStream::new(length, TruncatedBody(Some(body.into())));
     HttpResponse::Ok()
         .content_type("application/json")
         .body(stream)
 }
 
-/// A body that yields one part and then fails.
-struct CutShort(Option<Bytes>);
+/// A body that yields one chunk and then fails.
+struct TruncatedBody(Option<Bytes>);
 
-impl Stream for CutShort {
+impl Stream for TruncatedBody {
     type Item = Result<Bytes, Rc<dyn Error>>;
 
     fn poll_next(mut self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<Option<Self::Item>> {
@@ -185,7 +184,9 @@
 }
 
 async fn health(req: HttpRequest, target: State<Target>) -> HttpResponse {
-    Silence::watch(&req, &target).hold().await;
+    ConnectionWatch::watch(&req, &target)
+        .block_if_silent()
+        .await;
     let report = target.health();
     let status = if report.ready {
         StatusCode::OK
@@ -208,13 +209,13 @@
     HttpResponse::NoContent().finish()
 }
 
-/// Where a request came in, to hold it for good once its connection is silent.
-struct Silence<'a> {
+/// Connection of a request, which blocks the request forever once the connection is silenced.
+struct ConnectionWatch<'a> {
     target: &'a Target,
     peer: Option<SocketAddr>,
 }
 
-impl<'a> Silence<'a> {
+impl<'a> ConnectionWatch<'a> {
     fn watch(req: &HttpRequest, target: &'a Target) -> Self {
         let peer = req.peer_addr();
         if let Some((peer, io)) = peer.zip(req.io())
@@ -230,9 +231,9 @@
         Self { target, peer }
     }
 
-    /// Never returns on a silent connection: what arrives on it is lost before
-    /// it runs, and the answer of what runs already is lost too.
-    async fn hold(&self) {
+    /// Returns at once, or never if the connection is silenced. Requests that arrive on a silenced
+    /// connection are lost before they run, and so are the answers to those that already run.
+    async fn block_if_silent(&self) {
         if self.peer.is_some_and(|peer| self.target.is_silent(peer)) {
             pending::<()>().await;
         }
@@ -250,7 +251,8 @@
     Some(Duration::from_millis(millis))
 }
 
-/// The marker header, else the body where it is a short text, else the path.
+/// Returns the marker of a request: the marker header, or else the body if it is a short text, or
+/// else the path.
 fn marker(req: &HttpRequest, body: &[u8]) -> SmolStr {
     const BODY_LIMIT: usize = 64;
     let named = header(req, "stoat-marker");
@@ -263,7 +265,7 @@
     }
 }
 
-fn bytes_asked(req: &HttpRequest) -> usize {
+fn requested_padding(req: &HttpRequest) -> usize {
     let mut pairs = req.query_string().split('&');
     let asked = pairs.find_map(|pair| pair.strip_prefix("bytes="));
     let bytes = asked.and_then(|it| it.parse().ok()).unwrap_or(0);
--- a/crates/standin-target/src/target.rs
+++ b/crates/standin-target/src/target.rs
@@ -1,4 +1,4 @@
-//! The target's state, apart from any socket.
+//! State of the target, independent of its connections' I/O.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,29 +9,29 @@
 use smol_str::SmolStr;
 
 use crate::behaviour::{Behaviour, BehaviourChange, Health};
-use crate::ledger::{Counts, Entry, EntryIndex, Intent, Ledger};
+use crate::ledger::{Counts, Entry, EntryIndex, EntryKey, Ledger};
 
 /// Body of `/healthz`.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) struct HealthReport {
-    /// Whether the target wants calls.
+    /// Whether the target accepts calls.
     pub(crate) ready: bool,
-    /// Share of the slots in use.
+    /// Fraction of the slots that are in use.
     pub(crate) load: f64,
 }
 
-/// What becomes of a finished run's answer.
+/// How the answer of a completed run is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Delivery {
-    /// Answered in full.
+    /// The complete answer is sent.
     Whole,
-    /// Cut short.
+    /// A truncated answer is sent.
     Truncated,
-    /// The connection is dropped instead.
+    /// The connection is closed without an answer.
     Dropped,
 }
 
-/// State shared by all connections of the target.
+/// The target. Clones share its state.
 #[derive(Clone, Debug)]
 pub(crate) struct Target {
     name: SmolStr,
@@ -45,7 +45,7 @@
     ledger: Ledger,
     counts: Counts,
     last_load: f64,
-    /// Open connections by the caller's address, and whether each is silent.
+    /// Open connections by the caller's address, with whether each is silenced.
     connections: HashMap<SocketAddr, bool>,
 }
 
@@ -69,14 +69,14 @@
         self.name.clone()
     }
 
-    /// Takes a slot for `intent`, or sheds the call where all are in use.
-    pub(crate) fn begin(&self, intent: Intent) -> Option<Run> {
+    /// Starts a run in a free slot, or counts the call as shed if there is none.
+    pub(crate) fn begin(&self, entry_key: EntryKey) -> Option<Run> {
         let mut tables = self.tables();
         if tables.counts.running >= tables.behaviour.slots {
             tables.counts.shed += 1;
             return None;
         }
-        let entry = tables.ledger.begin(intent);
+        let entry = tables.ledger.begin(entry_key);
         let counts = &mut tables.counts;
         counts.started += 1;
         counts.running += 1;
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Counts a call that was refused for another reason than full slots.
+    /// Counts a call that is refused for another reason than a lack of slots.
     pub(crate) fn shed(&self) {
         self.tables().counts.shed += 1;
     }
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Notes a connection; true where it was not known before.
+    /// Records a connection. Returns whether it was new.
     pub(crate) fn connect(&self, peer: SocketAddr) -> bool {
         let mut tables = self.tables();
         let new = !tables.connections.contains_key(&peer);
@@ -162,15 +162,15 @@
         self.tables().ledger.entries().to_vec()
     }
 
-    /// A panic while the lock was held leaves plain counts behind, which stay
-    /// readable; the test that reads them fails on the panic itself.
+    /// Locks the state. A poisoned lock is ignored, since the state holds plain counts that stay
+    /// readable after a panic; the panic itself fails the test.
     fn tables(&self) -> MutexGuard<'_, Tables> {
         self.tables.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// A slot in use. Dropped before [`Run::finish`], it counts as cancelled: the
-/// server drops the handler of a request whose connection closed.
+/// A run, which occupies a slot until it is dropped. It counts as cancelled if it is dropped before
+/// [`Run::finish`], as the server drops the handler of a request whose connection was closed.
 #[derive(Debug)]
 pub(crate) struct Run {
     pub(crate) number: u64,
@@ -181,7 +181,7 @@
 }
 
 impl Run {
-    /// Ends the run and says what becomes of its answer.
+    /// Completes the run and returns how its answer is sent.
     pub(crate) fn finish(mut self) -> Delivery {
         self.finished = true;
         let behaviour = &self.target.tables().behaviour;
--- a/crates/standin-target/tests/target.rs
+++ b/crates/standin-target/tests/target.rs
@@ -1,4 +1,4 @@
-//! The target stand-in over real sockets.
+//! Tests of the target stand-in over sockets.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -11,14 +11,14 @@
 use serde::de::DeserializeOwned;
 use stoatstep_standin_target::{Answer, Behaviour, Counts, Entry, Options, serve};
 
-/// Long enough to tell silence from a slow run.
-const PATIENCE: Duration = Duration::from_millis(400);
+/// Time without an answer after which a connection counts as silent, longer than a slow run takes.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Time for what has to come.
-const BOUND: Duration = Duration::from_secs(10);
+/// Time within which an expected answer or state has to arrive.
+const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A loopback address that no other server of these tests uses, so that a port
-/// which one gives up is not taken by the next.
+/// Returns a loopback address that no other server of these tests uses, so that a port that one
+/// releases is not taken by the next.
 fn own_address() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     Ipv4Addr::new(127, 0, 30, NEXT.fetch_add(1, Ordering::Relaxed))
@@ -57,8 +57,8 @@
     }
 }
 
-/// A target with one slot, whose runs don't end until they are let go.
-fn held() -> Behaviour {
+/// Returns the behaviour of a target with one slot, whose runs don't end until they are released.
+fn holding_runs() -> Behaviour {
     Behaviour {
         slots: 1,
         holds_runs: true,
@@ -68,7 +68,7 @@
 
 fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).unwrap();
-    stream.set_read_timeout(Some(BOUND)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     stream
 }
 
@@ -81,8 +81,8 @@
     stream.write_all(text.as_bytes()).unwrap();
 }
 
-/// Reads the head and as much of the body as comes: status and body, or
-/// `None` where nothing came within the stream's read timeout.
+/// Reads the head of an answer and as much of its body as arrives. Returns both, or `None` if
+/// nothing arrives within the stream's read timeout.
 fn receive(stream: &mut TcpStream) -> Option<(String, Vec<u8>)> {
     let mut data = Vec::new();
     let mut buf = [0; 4096];
@@ -161,20 +161,20 @@
     assert!(Answer::check(changed.as_bytes(), "m", 20).is_err());
 }
 
-/// Waits until the target's counts are as a test needs them.
-fn until(addr: SocketAddr, is_so: impl Fn(&Counts) -> bool) {
+/// Waits until the target's counts satisfy a condition.
+fn until(addr: SocketAddr, condition: impl Fn(&Counts) -> bool) {
     let begin = Instant::now();
     loop {
         let counts: Counts = fetch(addr, "/admin/counts");
-        if is_so(&counts) {
+        if condition(&counts) {
             return;
         }
-        assert!(begin.elapsed() < BOUND, "{counts:?}");
+        assert!(begin.elapsed() < TIMEOUT, "{counts:?}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Sends a call on a connection of its own, and returns once it runs.
+/// Sends a call on a new connection and returns once it runs.
 fn running(addr: SocketAddr, method: &str, path: &str, body: &str) -> TcpStream {
     let mut stream = connect(addr);
     send(&mut stream, method, path, "", body);
@@ -182,13 +182,13 @@
     stream
 }
 
-fn let_runs_end(addr: SocketAddr) {
+fn release_runs(addr: SocketAddr) {
     change(addr, r#"{"holds_runs": false}"#);
 }
 
 #[test]
 fn a_call_over_the_slots_is_shed_and_did_not_run() {
-    let addr = start(held());
+    let addr = start(holding_runs());
     let mut first = running(addr, "GET", "/one", "");
     let mut second = connect(addr);
     send(&mut second, "GET", "/two", "", "");
@@ -197,7 +197,7 @@
         head.contains("503") && head.contains("stoatstep-shed: 1"),
         "{head}"
     );
-    let_runs_end(addr);
+    release_runs(addr);
     assert!(receive(&mut first).unwrap().0.contains("200"));
     let entries: Vec<Entry> = fetch(addr, "/admin/ledger");
     assert_eq!(entries.len(), 1);
@@ -205,12 +205,11 @@
     assert_eq!((counts.started, counts.finished, counts.shed), (1, 1, 1));
 }
 
-/// The caller gives up and closes its connection while its call, which has a
-/// body, runs. The run must stop and free its slot, or else calls that nobody
-/// waits for would fill the target.
+/// Guards against slots occupied by calls that nobody waits for. A caller that times out closes its
+/// connection while its call, which has a body, runs; the run must stop and free its slot.
 #[test]
 fn closing_the_connection_cancels_the_run() {
-    let addr = start(held());
+    let addr = start(holding_runs());
     drop(running(addr, "POST", "/one", "body"));
     until(addr, |it| it.running == 0);
     let counts: Counts = fetch(addr, "/admin/counts");
@@ -244,17 +243,16 @@
     assert_eq!((counts.started, counts.cancelled, counts.shed), (1, 1, 1));
 }
 
-/// Something between the two ends loses track of a connection: what is sent on
-/// it neither arrives nor fails, and the answer of a call that runs already is
-/// lost. A connection opened later works.
+/// Simulates a connection that is lost by something between its ends: what is sent on it neither
+/// arrives nor fails, and the answer of a running call is lost. A connection opened later works.
 #[test]
 fn a_silenced_connection_never_answers_while_new_ones_do() {
-    let addr = start(held());
+    let addr = start(holding_runs());
     let mut old = running(addr, "GET", "/one", "");
     change(addr, r#"{"silence_connections": true}"#);
-    let_runs_end(addr);
+    release_runs(addr);
     until(addr, |it| it.finished == 1);
-    old.set_read_timeout(Some(PATIENCE)).unwrap();
+    old.set_read_timeout(Some(SILENCE_TIMEOUT)).unwrap();
     assert!(receive(&mut old).is_none());
     send(&mut old, "GET", "/two", "", "");
     assert!(receive(&mut old).is_none());
@@ -285,7 +283,7 @@
 
 #[test]
 fn health_can_lie() {
-    let addr = start(held());
+    let addr = start(holding_runs());
     let _busy = running(addr, "GET", "/one", "");
     let load = |addr| fetch::<serde_json::Value>(addr, "/healthz")["load"].clone();
     assert_eq!(load(addr), 1.0);
@@ -337,8 +335,8 @@
     assert!(mean < Duration::from_millis(12), "{mean:?}");
 }
 
-/// A target is killed and started again at once. What ran before must still be
-/// in its ledger, or a duplicate run would pass for a first one.
+/// Guards against duplicate runs that go undetected. After a target was killed and restarted, its
+/// ledger must still have the earlier runs.
 #[test]
 fn a_ledger_file_outlives_the_process() {
     let path = std::env::temp_dir().join(format!("stoat-ledger-{}", std::process::id()));
