--- a/crates/platform/src/http/outcome.rs
+++ b/crates/platform/src/http/outcome.rs
@@ -51,9 +51,9 @@
     }
 }
 
-/// Maps the status of an answer to an error, if it is none of success. Only statuses by which the
-/// service itself states that it did nothing count as not done; after a 500 or a gateway's 502, the
-/// request may have been executed.
+/// Maps the status of an unsuccessful answer to an error. Only statuses by which the service itself
+/// states that it did nothing count as not done; after a 500 or a gateway's 502, the request may
+/// have been executed.
 pub(super) fn from_status(res: &ClientResponse, body: &[u8]) -> Result<(), PlatformError> {
     let status = res.status();
     if status.is_success() {
--- a/crates/telemetry/src/fields.rs
+++ b/crates/telemetry/src/fields.rs
@@ -109,9 +109,9 @@
 pub const BEFORE_STEP: &str = "before_step";
 /// Time until a roll-out has to be complete, in milliseconds.
 pub const LEFT_MS: &str = "left_ms";
-/// Number of bad runs of those targets of the new version that are tried first.
+/// Number of bad runs of the canary targets, which have the new version.
 pub const NEW_BAD: &str = "new_bad";
-/// Number of all counted runs of those targets of the new version that are tried first.
+/// Number of all counted runs of the canary targets.
 pub const NEW_RUNS: &str = "new_runs";
 /// Number of bad runs of those targets of the old side that were asked.
 pub const OLD_BAD: &str = "old_bad";
@@ -123,7 +123,7 @@
 pub const CONTENTS: &str = "contents";
 /// Number of calls that a target ran.
 pub const RUNS: &str = "runs";
-/// Generations of targets that ended while they ran a request.
+/// Number of generations of targets that ended while they ran a request.
 pub const LIVES: &str = "lives";
 /// Number of times that the store came back from an older copy.
 pub const ERA: &str = "era";
