--- a/crates/daemon/src/control/tables.rs
+++ b/crates/daemon/src/control/tables.rs
@@ -14,7 +14,7 @@
     self as membership, Input, MemberKey, MemberState, Membership, Time, starting_incarnation,
 };
 use stoatstep_resource::{Delta, State, Version};
-use stoatstep_telemetry::RateLimit;
+use stoatstep_telemetry::LogRateLimit;
 
 use super::directory::{Directory, Member};
 use super::traffic::Traffic;
@@ -48,7 +48,7 @@
     pub(super) cold_start: RefCell<ColdStart>,
     pub(super) has_announced_leave: Cell<bool>,
     pub(super) takes_snapshot: Cell<bool>,
-    pub(super) warnings: RefCell<RateLimit>,
+    pub(super) warnings: RefCell<LogRateLimit>,
     pub(crate) traffic: Traffic,
 }
 
--- a/crates/daemon/src/control/warning.rs
+++ b/crates/daemon/src/control/warning.rs
@@ -3,7 +3,7 @@
 use std::fmt::Display;
 use std::time::Duration;
 
-use stoatstep_telemetry::{Admission, RateLimit};
+use stoatstep_telemetry::{LogDecision, LogRateLimit};
 
 use crate::node::Node;
 
@@ -13,15 +13,15 @@
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// The limit that all warnings of a daemon's control side share.
-pub(super) fn limit() -> RateLimit {
-    RateLimit::new(ALLOWED, WINDOW)
+pub(super) fn limit() -> LogRateLimit {
+    LogRateLimit::new(ALLOWED, WINDOW)
 }
 
 /// Logs a warning, or counts it towards the next one of its kind.
 pub(crate) fn warn(node: &Node, message: &'static str, err: &dyn Display) {
     let now = node.control.now();
     let admission = node.control.warnings.borrow_mut().admit(message, now);
-    let Admission::Log { suppressed } = admission else {
+    let LogDecision::Log { suppressed } = admission else {
         return;
     };
     slog::warn!(node.log, "{}", message;
--- a/crates/mesh/src/journal.rs
+++ b/crates/mesh/src/journal.rs
@@ -10,7 +10,7 @@
 use slog::Logger;
 use smol_str::SmolStr;
 use stoatstep_calls::{AttemptId, Outcome, Reason, Time};
-use stoatstep_telemetry::{Admission, Histograms, Metrics, RateLimit, Stage, fields};
+use stoatstep_telemetry::{Histograms, LogDecision, LogRateLimit, Metrics, Stage, fields};
 
 use crate::wire::{CallParts, End};
 
@@ -80,7 +80,7 @@
 /// Rate-limited log lines, counters and histograms of one daemon.
 pub(crate) struct Journal {
     log: Logger,
-    lines: RefCell<RateLimit>,
+    lines: RefCell<LogRateLimit>,
     metrics: Metrics,
     histograms: RefCell<Histograms>,
 }
@@ -89,7 +89,7 @@
     pub(crate) fn new(log: Logger) -> Self {
         Self {
             log,
-            lines: RefCell::new(RateLimit::new(SUCCESS_LINES.max(FAILURE_LINES), WINDOW)),
+            lines: RefCell::new(LogRateLimit::new(SUCCESS_LINES.max(FAILURE_LINES), WINDOW)),
             metrics: Metrics::new(),
             histograms: RefCell::new(Histograms::new(MAX_ROUTES)),
         }
@@ -115,8 +115,8 @@
     /// to be suppressed too.
     pub(crate) fn admits(&self, kind: &'static str, now: Time) -> Option<u64> {
         match self.lines.borrow_mut().admit(kind, now) {
-            Admission::Log { suppressed } => Some(suppressed),
-            Admission::Suppress => None,
+            LogDecision::Log { suppressed } => Some(suppressed),
+            LogDecision::Suppress => None,
         }
     }
 
--- a/crates/telemetry/src/histograms.rs
+++ b/crates/telemetry/src/histograms.rs
@@ -8,7 +8,7 @@
 use smol_str::SmolStr;
 
 /// Tenant name under which all tenants beyond the bound are counted.
-pub const OTHER: &str = "other";
+pub const OTHER_TENANTS: &str = "other";
 
 /// Significant decimal digits of recorded values: quantiles are accurate to 1%, and a histogram
 /// takes a few KB.
@@ -63,7 +63,7 @@
 /// Key and summary of one histogram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Series {
-    /// Tenant of the calls, or [`OTHER`].
+    /// Tenant of the calls, or [`OTHER_TENANTS`].
     pub tenant: SmolStr,
     /// Class of the calls.
     pub class: SmolStr,
@@ -84,8 +84,8 @@
 /// Table of latency histograms, bounded in size.
 ///
 /// The tenant's name comes from the caller, who could send a new one with every call. Tenants
-/// beyond the bound are therefore counted together as [`OTHER`]. Classes and stages are closed
-/// sets, so the whole table is bounded.
+/// beyond the bound are therefore counted together as [`OTHER_TENANTS`]. Classes and stages are
+/// closed sets, so the whole table is bounded.
 #[derive(Debug)]
 pub struct Histograms {
     max_tenants: usize,
@@ -180,7 +180,7 @@
             return known.clone();
         }
         if self.tenants.len() >= self.max_tenants {
-            return OTHER.into();
+            return OTHER_TENANTS.into();
         }
         let tenant = SmolStr::new(tenant);
         self.tenants.insert(tenant.clone());
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Logs, metrics and latency histograms of a program.
 //!
 //! [`logger`] writes JSON lines to standard error, and [`batched_logger`] writes them in batches to
-//! any output. [`RateLimit`] bounds the messages that a lasting fault repeats, and [`fields`]
+//! any output. [`LogRateLimit`] bounds the messages that a lasting fault repeats, and [`fields`]
 //! defines the keys of the lines' values. [`Metrics`] counts through `cadence` and keeps the sums
 //! in memory for `/metrics`. [`Histograms`] holds a latency histogram for each tenant, class and
 //! [`Stage`]. The memory of all of them is bounded whatever callers send, since a daemon shares its
@@ -17,7 +17,7 @@
 mod statsd;
 
 pub use batch::batched_logger;
-pub use histograms::{Histograms, OTHER, Series, Stage, Summary};
+pub use histograms::{Histograms, OTHER_TENANTS, Series, Stage, Summary};
 pub use log::{Level, LevelError, logger};
 pub use metrics::Metrics;
-pub use rate_limit::{Admission, RateLimit};
+pub use rate_limit::{LogDecision, LogRateLimit};
--- a/crates/telemetry/src/rate_limit.rs
+++ b/crates/telemetry/src/rate_limit.rs
@@ -5,7 +5,7 @@
 
 /// Whether to log a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum LogDecision {
     /// Log it together with the number of suppressed messages.
     Log {
         /// Messages of the same key that were suppressed since the last logged one.
@@ -21,7 +21,7 @@
 /// limit, logging would take the processor time that calls need and hide the line that explains the
 /// fault. Keys are constants of the program, so that no input can make the table grow.
 #[derive(Clone, Debug)]
-pub struct RateLimit {
+pub struct LogRateLimit {
     allowed: u32,
     window: Duration,
     keys: BTreeMap<&'static str, Window>,
@@ -34,7 +34,7 @@
     suppressed: u64,
 }
 
-impl RateLimit {
+impl LogRateLimit {
     /// Creates a limit of `allowed` messages of each key per `window`.
     #[must_use]
     pub fn new(allowed: u32, window: Duration) -> Self {
@@ -46,7 +46,7 @@
     }
 
     /// Decides whether to log a message at `now`, a time since an arbitrary fixed start.
-    pub fn admit(&mut self, key: &'static str, now: Duration) -> Admission {
+    pub fn admit(&mut self, key: &'static str, now: Duration) -> LogDecision {
         let window = self.keys.entry(key).or_insert_with(|| Window {
             start: now,
             ..Window::default()
@@ -57,10 +57,10 @@
         }
         if window.logged >= self.allowed {
             window.suppressed += 1;
-            return Admission::Suppress;
+            return LogDecision::Suppress;
         }
         window.logged += 1;
-        Admission::Log {
+        LogDecision::Log {
             suppressed: std::mem::take(&mut window.suppressed),
         }
     }
--- a/crates/telemetry/tests/all/histograms.rs
+++ b/crates/telemetry/tests/all/histograms.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use proptest::prelude::*;
-use stoatstep_telemetry::{Histograms, OTHER, Stage, Summary};
+use stoatstep_telemetry::{Histograms, OTHER_TENANTS, Stage, Summary};
 
 #[test]
 fn quantiles_are_within_one_percent() {
@@ -35,7 +35,7 @@
         histograms.record(&tenant, "urgent", Stage::Target, Duration::from_micros(n));
     }
     assert_eq!(histograms.series().len(), 4);
-    let other = histograms.summary(OTHER, "urgent", Stage::Target);
+    let other = histograms.summary(OTHER_TENANTS, "urgent", Stage::Target);
     assert_eq!(other.count, 9_997);
     histograms.record("tenant-1", "urgent", Stage::Target, Duration::ZERO);
     let known = histograms.summary("tenant-1", "urgent", Stage::Target);
