--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -34,14 +34,14 @@
 /// A server that answers every request with one async function.
 pub struct Server {
     listener: TcpListener,
-    unwritten: Unwritten,
+    pending_writes: PendingWrites,
 }
 
 /// Answers of a server that have not been written completely.
 #[derive(Clone, Default)]
-pub struct Unwritten(Rc<RefCell<Vec<IoRef>>>);
+pub struct PendingWrites(Rc<RefCell<Vec<IoRef>>>);
 
-impl Unwritten {
+impl PendingWrites {
     /// Returns whether all answers have been written.
     #[must_use]
     pub fn is_empty(&self) -> bool {
@@ -71,15 +71,15 @@
         let listener = TcpListener::bind(addr).await?;
         Ok(Self {
             listener,
-            unwritten: Unwritten::default(),
+            pending_writes: PendingWrites::default(),
         })
     }
 
     /// Returns a handle to the answers that are not written yet, which stays valid while the server
     /// runs.
     #[must_use]
-    pub fn unwritten(&self) -> Unwritten {
-        self.unwritten.clone()
+    pub fn pending_writes(&self) -> PendingWrites {
+        self.pending_writes.clone()
     }
 
     /// Accepts connections until the process ends. When a caller closes its connection, the future
@@ -109,7 +109,7 @@
             };
             let service = service.clone();
             let io = ntex::rt::from_tcp_stream(stream.into_std()?, cfg.clone())?;
-            self.unwritten.add(io.get_ref());
+            self.pending_writes.add(io.get_ref());
             ntex::rt::spawn(async move {
                 // A connection that its caller breaks is not an error of the server.
                 let _ = service.call(io).await;
--- a/crates/mesh/src/node.rs
+++ b/crates/mesh/src/node.rs
@@ -24,7 +24,7 @@
 use crate::rollout::{self, Rollouts};
 use crate::{drain, fleet::gossip};
 use stoatstep_calls::Shutdown;
-use stoatstep_http::{Server, Unwritten};
+use stoatstep_http::{PendingWrites, Server};
 use stoatstep_membership::{Heartbeat, HeartbeatOutcome, StartMillis};
 use stoatstep_telemetry::fields;
 
@@ -49,7 +49,7 @@
     pub(crate) quotas: Quotas,
     pub(crate) in_flight: Cell<u32>,
     /// Answers to callers that are not yet fully written.
-    pub(crate) unwritten: Unwritten,
+    pub(crate) unwritten: PendingWrites,
     pub(crate) departure: Cell<Shutdown>,
 }
 
@@ -94,7 +94,7 @@
             quarantine: QuarantineState::default(),
             quotas: Quotas::default(),
             in_flight: Cell::new(0),
-            unwritten: callers.unwritten(),
+            unwritten: callers.pending_writes(),
             departure: Cell::new(Shutdown::new(cfg.grace)),
             cfg,
             log,
