--- a/crates/platform/src/fault.rs
+++ b/crates/platform/src/fault.rs
@@ -53,7 +53,7 @@
 
 /// Combined effect of the active faults on one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Verdict {
+pub struct FaultEffect {
     /// Whether to refuse the request without executing it.
     pub refuse: bool,
     /// Time to wait before the request is executed.
@@ -88,23 +88,23 @@
 
     /// Returns the combined effect of all active faults on a request that arrives at `now`. The
     /// longest delay before its execution applies.
-    pub fn verdict(&mut self, now: Duration, service: Service, zone: &str) -> Verdict {
-        let mut verdict = Verdict::default();
+    pub fn effect(&mut self, now: Duration, service: Service, zone: &str) -> FaultEffect {
+        let mut effect = FaultEffect::default();
         for fault in self.active(now) {
             let elsewhere = fault.zone.as_ref().is_some_and(|it| it != zone);
             if elsewhere || !fault.service.covers(service) {
                 continue;
             }
             match fault.kind {
-                FaultKind::Down => verdict.refuse = true,
-                FaultKind::Slow => verdict.delay = verdict.delay.max(fault.delay),
+                FaultKind::Down => effect.refuse = true,
+                FaultKind::Slow => effect.delay = effect.delay.max(fault.delay),
                 FaultKind::Pause => {
                     let left = fault.until.saturating_sub(now);
-                    verdict.delay = verdict.delay.max(left);
+                    effect.delay = effect.delay.max(left);
                 }
-                FaultKind::LoseAnswers => verdict.lose_answer = Some(fault.delay),
+                FaultKind::LoseAnswers => effect.lose_answer = Some(fault.delay),
             }
         }
-        verdict
+        effect
     }
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -25,7 +25,7 @@
 
 pub use api::Platform;
 pub use error::PlatformError;
-pub use fault::{Fault, FaultKind, Faults, Service, Verdict};
+pub use fault::{Fault, FaultEffect, FaultKind, Faults, Service};
 pub use http::{HttpPlatform, HttpPlatformBuilder};
 pub use limit::RateLimit;
 pub use memory::{MemoryPlatform, Operation, Outcome};
--- a/crates/scenario/src/world/store.rs
+++ b/crates/scenario/src/world/store.rs
@@ -7,8 +7,8 @@
 use smol_str::SmolStr;
 use stoatstep_membership::Time;
 use stoatstep_platform::{
-    CommitAnswer, CommitRequest, Fault, Faults, Objects, Platform, PlatformError, ReadAnswer,
-    ReadRequest, Service, Table, Verdict,
+    CommitAnswer, CommitRequest, Fault, FaultEffect, Faults, Objects, Platform, PlatformError,
+    ReadAnswer, ReadRequest, Service, Table,
 };
 
 use super::exec::{Executor, OUTSIDE, oneshot};
@@ -67,9 +67,9 @@
 }
 
 impl StoreClient {
-    fn verdict(&self, service: Service) -> Verdict {
+    fn verdict(&self, service: Service) -> FaultEffect {
         let mut faults = self.store.faults.borrow_mut();
-        faults.verdict(self.exec.now(), service, &self.zone)
+        faults.effect(self.exec.now(), service, &self.zone)
     }
 
     async fn ask<T: 'static>(
--- a/crates/standin-platform/src/standin.rs
+++ b/crates/standin-platform/src/standin.rs
@@ -154,8 +154,8 @@
             bytes: arrival.bytes,
         };
         self.counts.arrived(now, zone, access, size);
-        let verdict = self.faults.verdict(now, arrival.service, zone);
-        if verdict.refuse {
+        let effect = self.faults.effect(now, arrival.service, zone);
+        if effect.refuse {
             self.counts.refused(zone);
             return Decision::Refuse {
                 retry_after: RETRY_WHEN_DOWN,
@@ -169,12 +169,12 @@
             self.counts.throttled(zone);
             return Decision::Throttle { retry_after };
         }
-        if verdict.lose_answer.is_some() {
+        if effect.lose_answer.is_some() {
             self.counts.lost_answer(zone);
         }
         Decision::Run {
-            delay: verdict.delay,
-            lose_answer: verdict.lose_answer,
+            delay: effect.delay,
+            lose_answer: effect.lose_answer,
         }
     }
 }
