--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -28,7 +28,7 @@
 pub use fault::{Fault, FaultEffect, FaultKind, Faults, Service};
 pub use http::{HttpPlatform, HttpPlatformBuilder};
 pub use limit::RateLimit;
-pub use memory::{MemoryPlatform, Operation, Outcome};
+pub use memory::{MemoryPlatform, Operation, ScriptedOutcome};
 pub use objects::Objects;
 pub use request::{
     CommitAnswer, CommitRequest, Condition, RangeRead, ReadAnswer, ReadRequest, Row, RowKey,
--- a/crates/platform/src/memory.rs
+++ b/crates/platform/src/memory.rs
@@ -33,7 +33,7 @@
 
 /// Scripted outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum ScriptedOutcome {
     /// The request succeeds, so that a scripted fault applies to a later request.
     Pass,
     /// The request is refused and not executed.
@@ -45,7 +45,7 @@
     /// The request is lost and never executed, which the caller can't tell from a lost answer.
     LoseRequest,
     /// The caller gets no answer, and the request is executed when
-    /// [`MemoryPlatform::land_delayed`] is called. Only writes can be delayed.
+    /// [`MemoryPlatform::apply_delayed`] is called. Only writes can be delayed.
     Delay,
 }
 
@@ -59,7 +59,7 @@
 struct Shared {
     table: Table,
     objects: Objects,
-    script: VecDeque<(Operation, Outcome)>,
+    script: VecDeque<(Operation, ScriptedOutcome)>,
     delayed: VecDeque<DelayedWrite>,
     down: bool,
 }
@@ -85,7 +85,7 @@
     }
 
     /// Scripts the outcome of the next request of this kind that has none yet.
-    pub fn script(&self, operation: Operation, outcome: Outcome) {
+    pub fn script(&self, operation: Operation, outcome: ScriptedOutcome) {
         let mut shared = self.shared.borrow_mut();
         shared.script.push_back((operation, outcome));
     }
@@ -97,7 +97,7 @@
 
     /// Executes the oldest delayed write. Returns false if there is none.
     #[must_use]
-    pub fn land_delayed(&self) -> bool {
+    pub fn apply_delayed(&self) -> bool {
         let mut shared = self.shared.borrow_mut();
         let Some(delayed) = shared.delayed.pop_front() else {
             return false;
@@ -137,18 +137,20 @@
     ) -> Result<T, PlatformError> {
         let mut shared = self.shared.borrow_mut();
         match shared.outcome(operation) {
-            Outcome::Pass => apply(&mut shared),
-            Outcome::Unavailable => Err(PlatformError::Unavailable {
+            ScriptedOutcome::Pass => apply(&mut shared),
+            ScriptedOutcome::Unavailable => Err(PlatformError::Unavailable {
                 reason: "down".into(),
                 retry_after: None,
             }),
-            Outcome::Throttled(retry_after) => Err(PlatformError::Throttled { retry_after }),
-            Outcome::LoseAnswer => {
+            ScriptedOutcome::Throttled(retry_after) => {
+                Err(PlatformError::Throttled { retry_after })
+            }
+            ScriptedOutcome::LoseAnswer => {
                 let _ = apply(&mut shared);
                 Err(lost())
             }
-            Outcome::LoseRequest => Err(lost()),
-            Outcome::Delay => {
+            ScriptedOutcome::LoseRequest => Err(lost()),
+            ScriptedOutcome::Delay => {
                 shared.delayed.extend(delayed);
                 Err(lost())
             }
@@ -157,14 +159,14 @@
 }
 
 impl Shared {
-    fn outcome(&mut self, operation: Operation) -> Outcome {
+    fn outcome(&mut self, operation: Operation) -> ScriptedOutcome {
         if self.down {
-            return Outcome::Unavailable;
+            return ScriptedOutcome::Unavailable;
         }
         let position = self.script.iter().position(|(it, _)| *it == operation);
         position
             .and_then(|position| self.script.remove(position))
-            .map_or(Outcome::Pass, |(_, outcome)| outcome)
+            .map_or(ScriptedOutcome::Pass, |(_, outcome)| outcome)
     }
 }
 
--- a/crates/versionlog/tests/random.rs
+++ b/crates/versionlog/tests/random.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use stoatstep_platform::{MemoryPlatform, Operation, Outcome, Row};
+use stoatstep_platform::{MemoryPlatform, Operation, Row, ScriptedOutcome};
 use stoatstep_versionlog::{
     AcceptedChange, Head, LogEntry, OperationEntry, WriteAction, WriteError, decode_snapshot,
 };
@@ -18,16 +18,16 @@
     /// The oldest delayed transaction arrives.
     Land,
     /// The next request of this kind fails in this way.
-    Fault(Operation, Outcome),
+    Fault(Operation, ScriptedOutcome),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let request = prop_oneof![Just(Operation::Read), Just(Operation::Commit)];
     let outcome = prop_oneof![
-        Just(Outcome::LoseAnswer),
-        Just(Outcome::LoseRequest),
-        Just(Outcome::Delay),
-        Just(Outcome::Unavailable),
+        Just(ScriptedOutcome::LoseAnswer),
+        Just(ScriptedOutcome::LoseRequest),
+        Just(ScriptedOutcome::Delay),
+        Just(ScriptedOutcome::Unavailable),
     ];
     prop_oneof![
         6 => (0_usize..WRITERS).prop_map(Event::Step),
@@ -78,7 +78,7 @@
                     writers[writer].step(&platform);
                 }
                 Event::Land => {
-                    let _ = platform.land_delayed();
+                    let _ = platform.apply_delayed();
                 }
                 Event::Fault(request, outcome) => platform.script(request, outcome),
             }
@@ -87,7 +87,7 @@
         for writer in &mut writers {
             let _ = writer.finish(&platform);
         }
-        while platform.land_delayed() {}
+        while platform.apply_delayed() {}
 
         let log = operations(&platform);
         let names = ["op-a", "op-a", "op-b", "op-c"];
--- a/crates/versionlog/tests/recovery.rs
+++ b/crates/versionlog/tests/recovery.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use stoatstep_platform::{CommitRequest, MemoryPlatform, Operation, Outcome, Write};
+use stoatstep_platform::{CommitRequest, MemoryPlatform, Operation, ScriptedOutcome, Write};
 use stoatstep_resource::State;
 use stoatstep_versionlog::{
     HEAD, Head, LogConfig, LogError, RecoveryError, encode_snapshot, log_key, snapshot_name,
@@ -124,7 +124,7 @@
     // ones. The daemon reads the head again.
     // Safeguard: `Recovery::next` reads the head once no candidate is left.
     let (platform, _) = with_snapshots();
-    platform.script(Operation::GetObject, Outcome::Unavailable);
+    platform.script(Operation::GetObject, ScriptedOutcome::Unavailable);
     let log = log(&platform, &cfg());
     log.environment()
         .while_asleep
@@ -204,8 +204,8 @@
 fn short_outages_are_waited_out() {
     let (platform, state) = with_snapshots();
     for request in [Operation::Read, Operation::GetObject, Operation::Read] {
-        platform.script(request, Outcome::LoseAnswer);
-        platform.script(request, Outcome::Unavailable);
+        platform.script(request, ScriptedOutcome::LoseAnswer);
+        platform.script(request, ScriptedOutcome::Unavailable);
     }
     let recovered = run(log(&platform, &cfg()).recover()).unwrap();
     assert_eq!(recovered.state, state);
--- a/crates/versionlog/tests/snapshots.rs
+++ b/crates/versionlog/tests/snapshots.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use smol_str::SmolStr;
-use stoatstep_platform::{MemoryPlatform, Operation, Outcome, Platform};
+use stoatstep_platform::{MemoryPlatform, Operation, Platform, ScriptedOutcome};
 use stoatstep_resource::State;
 use stoatstep_versionlog::{
     Head, LogConfig, OPERATION_PREFIX, SnapshotAction, SnapshotError, SnapshotInput,
@@ -174,10 +174,10 @@
         Operation::DeleteObject,
     ];
     let outcomes = [
-        Outcome::LoseAnswer,
-        Outcome::LoseRequest,
-        Outcome::Delay,
-        Outcome::Unavailable,
+        ScriptedOutcome::LoseAnswer,
+        ScriptedOutcome::LoseRequest,
+        ScriptedOutcome::Delay,
+        ScriptedOutcome::Unavailable,
     ];
     for request in requests {
         for outcome in outcomes {
@@ -189,7 +189,7 @@
             let taken = snapshot(&platform, &second).unwrap();
             assert_eq!(taken.head.snapshot_version(), 16, "{request:?} {outcome:?}");
             let state = fill(&platform, 17);
-            while platform.land_delayed() {}
+            while platform.apply_delayed() {}
             check(&platform, &state);
             assert_eq!(head(&platform).snapshot_version(), 16);
         }
--- a/crates/versionlog/tests/writer.rs
+++ b/crates/versionlog/tests/writer.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use stoatstep_platform::{CommitRequest, MemoryPlatform, Operation, Outcome, Platform, Write};
+use stoatstep_platform::{
+    CommitRequest, MemoryPlatform, Operation, Platform, ScriptedOutcome, Write,
+};
 use stoatstep_resource::State;
 use stoatstep_versionlog::{
     HEAD, Head, LogConfig, LogError, RevisionConflict, Tail, WriteAction, WriteError, WriteInput,
@@ -50,7 +52,7 @@
     // commit the change a second time.
     // Safeguard: `Writer::evaluate_read` checks the operation's row first.
     let platform = MemoryPlatform::new();
-    platform.script(Operation::Commit, Outcome::LoseAnswer);
+    platform.script(Operation::Commit, ScriptedOutcome::LoseAnswer);
     let accepted = write(&platform, put_service("op-1", "floatdesk")).unwrap();
     assert_eq!(accepted.version, 1);
     assert!(!accepted.replayed);
@@ -65,7 +67,7 @@
     // exists and report a conflict with its own change.
     // Safeguard: the operation's row is checked before the revisions.
     let platform = MemoryPlatform::new();
-    platform.script(Operation::Commit, Outcome::LoseAnswer);
+    platform.script(Operation::Commit, ScriptedOutcome::LoseAnswer);
     let create = change("op-1", vec![(service("floatdesk"), Some(0))]);
     assert_eq!(write(&platform, create).unwrap().version, 1);
 }
@@ -73,7 +75,7 @@
 #[test]
 fn a_lost_request_is_sent_again() {
     let platform = MemoryPlatform::new();
-    platform.script(Operation::Commit, Outcome::LoseRequest);
+    platform.script(Operation::Commit, ScriptedOutcome::LoseRequest);
     let accepted = write(&platform, put_service("op-1", "floatdesk")).unwrap();
     assert_eq!(accepted.version, 1);
     assert_eq!(operations(&platform), ["op-1"]);
@@ -87,13 +89,13 @@
     // Safeguard: both are conditioned on the same head row.
     for lands_after in 0..4 {
         let platform = MemoryPlatform::new();
-        platform.script(Operation::Commit, Outcome::Delay);
+        platform.script(Operation::Commit, ScriptedOutcome::Delay);
         let mut stepper = Stepper::new(put_service("op-1", "floatdesk"), 1);
         // The read, the delayed commit, and the steps until the original arrives.
         for _ in 0..2 + lands_after {
             stepper.step(&platform);
         }
-        assert!(platform.land_delayed());
+        assert!(platform.apply_delayed());
         let accepted = stepper.finish(&platform).unwrap();
         assert_eq!(accepted.version, 1, "landed after {lands_after} steps");
         assert_eq!(operations(&platform), ["op-1"]);
@@ -106,12 +108,12 @@
     // When the original arrives, it must not restore the resource.
     // Safeguard: the head row never has the same revision again.
     let platform = MemoryPlatform::new();
-    platform.script(Operation::Commit, Outcome::Delay);
+    platform.script(Operation::Commit, ScriptedOutcome::Delay);
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
     let mut delete = change("op-2", Vec::new());
     delete.deletes.push((service_key("floatdesk"), Some(1)));
     write(&platform, delete).unwrap();
-    assert!(platform.land_delayed());
+    assert!(platform.apply_delayed());
     assert_eq!(operations(&platform), ["op-1", "op-2"]);
     let log = log(&platform, &LogConfig::default());
     let state = run(log.recover()).unwrap().state;
@@ -125,14 +127,14 @@
     // already; if it were applied, it would move the head back to version 1.
     // Safeguard: the transaction is conditioned on the head row's revision.
     let platform = MemoryPlatform::new();
-    platform.script(Operation::Commit, Outcome::Delay);
+    platform.script(Operation::Commit, ScriptedOutcome::Delay);
     write(&platform, put_service("op-1", "floatdesk")).unwrap();
     let state = fill(&platform, 20);
     let cfg = LogConfig::builder().retained_tail(4).build();
     let log = log(&platform, &cfg);
     run(log.snapshot(state)).unwrap();
     assert!(!operations(&platform).contains(&"op-1".to_owned()));
-    assert!(platform.land_delayed());
+    assert!(platform.apply_delayed());
     assert_eq!(run(log.head()).unwrap().version, 20);
 }
 
@@ -190,7 +192,7 @@
     // which finds out.
     // Safeguard: `Writer::fail` takes the unanswered transaction into account.
     let platform = MemoryPlatform::new();
-    platform.script(Operation::Commit, Outcome::LoseAnswer);
+    platform.script(Operation::Commit, ScriptedOutcome::LoseAnswer);
     let mut stepper = Stepper::new(put_service("op-1", "floatdesk"), 1);
     stepper.step(&platform);
     stepper.step(&platform);
@@ -220,7 +222,7 @@
     // The transaction is delayed, another writer updates the head, and this writer reads that
     // before the platform becomes unavailable: its first transaction can no longer be applied.
     let platform = MemoryPlatform::new();
-    platform.script(Operation::Commit, Outcome::Delay);
+    platform.script(Operation::Commit, ScriptedOutcome::Delay);
     let mut stepper = Stepper::new(put_service("op-1", "floatdesk"), 1);
     stepper.step(&platform);
     stepper.step(&platform);
@@ -235,7 +237,7 @@
         "got {error}"
     );
     platform.set_down(false);
-    assert!(platform.land_delayed());
+    assert!(platform.apply_delayed());
     assert_eq!(operations(&platform), ["op-2"]);
 }
 
@@ -320,8 +322,8 @@
 fn a_throttled_writer_waits_as_long_as_it_was_asked() {
     let platform = MemoryPlatform::new();
     let hint = Duration::from_millis(300);
-    platform.script(Operation::Read, Outcome::Throttled(hint));
-    platform.script(Operation::Commit, Outcome::Throttled(hint));
+    platform.script(Operation::Read, ScriptedOutcome::Throttled(hint));
+    platform.script(Operation::Commit, ScriptedOutcome::Throttled(hint));
     let log = log(&platform, &LogConfig::default());
     let accepted = run(log.write(
         put_service("op-1", "floatdesk"),
