--- a/crates/daemon/src/control/warning.rs
+++ b/crates/daemon/src/control/warning.rs
@@ -3,7 +3,7 @@
 use std::fmt::Display;
 use std::time::Duration;
 
-use stoatstep_telemetry::{Admission, RateLimit};
+use stoatstep_telemetry::{LogDecision, LogRateLimit};
 
 use crate::node::Node;
 
@@ -13,8 +13,8 @@
 const WINDOW: Duration = Duration::from_secs(10);
 
 /// Returns the rate limit that all warnings of the control plane share.
-pub(super) fn rate_limit() -> RateLimit {
-    RateLimit::new(ALLOWED, WINDOW)
+pub(super) fn rate_limit() -> LogRateLimit {
+    LogRateLimit::new(ALLOWED, WINDOW)
 }
 
 /// Logs a warning, or suppresses it and counts it in the next one with the same
@@ -22,7 +22,7 @@
 pub(crate) fn warn(node: &Node, message: &'static str, err: &dyn Display) {
     let now = node.control.now();
     let admission = node.control.warnings.borrow_mut().admit(message, now);
-    let Admission::Log { suppressed } = admission else {
+    let LogDecision::Log { suppressed } = admission else {
         return;
     };
     slog::warn!(node.log, "{}", message;
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP plumbing over the library: reading whole bodies, and a [`Server`] that
-//! runs on the caller's own thread.
+//! HTTP utilities on top of `ntex`: functions that read request and response bodies, and a
+//! [`Server`] that runs on the caller's thread.
 
 mod body;
 mod server;
 
 pub use body::{BodyError, drop_body, read_body};
-pub use server::{Server, Unwritten};
+pub use server::{PendingWrites, Server};
--- a/crates/telemetry/tests/all/histograms.rs
+++ b/crates/telemetry/tests/all/histograms.rs
@@ -1,9 +1,9 @@
-//! Quantiles and the bound on tenants.
+//! Tests of the accuracy of quantiles and of the bound on tenants.
 
 use std::time::Duration;
 
 use proptest::prelude::*;
-use stoatstep_telemetry::{Histograms, OTHER, Stage, Summary};
+use stoatstep_telemetry::{Histograms, OTHER_TENANTS, Stage, Summary};
 
 #[test]
 fn quantiles_are_within_one_percent() {
@@ -25,9 +25,8 @@
     assert_eq!(summary, Summary::default());
 }
 
-/// A caller sends a new tenant name with every call. Each would be a new
-/// histogram, and the daemon's memory would grow until the instance's target
-/// is killed for want of it. Beyond the bound they all count as one.
+/// Guards against a caller that sends a new tenant name with every call. If each got a histogram,
+/// the daemon's memory would grow until the target on its instance is killed for lack of memory.
 #[test]
 fn invented_tenants_share_one_histogram() {
     let mut histograms = Histograms::new(3);
@@ -36,7 +35,7 @@
         histograms.record(&tenant, "urgent", Stage::Target, Duration::from_micros(n));
     }
     assert_eq!(histograms.series().len(), 4);
-    let other = histograms.summary(OTHER, "urgent", Stage::Target);
+    let other = histograms.summary(OTHER_TENANTS, "urgent", Stage::Target);
     assert_eq!(other.count, 9_997);
     histograms.record("tenant-1", "urgent", Stage::Target, Duration::ZERO);
     let known = histograms.summary("tenant-1", "urgent", Stage::Target);
